--- a/src/vanillaswitch/coordination/fleet/__init__.py
+++ b/src/vanillaswitch/coordination/fleet/__init__.py
@@ -1,5 +1,6 @@
-"""Running jobs on the instances of a fleet.
+"""Runs jobs on the instances of a fleet.
 
-One process of the system owns the fleet at a time. It alone starts and stops
-tasks and orders machines; the others take in jobs and pass questions on.
+One process of the system owns the fleet at a time. Only the owner starts and
+stops tasks and sends orders for machines. The other processes accept jobs and
+forward queries.
 """
--- a/src/vanillaswitch/coordination/fleet/instances/__init__.py
+++ b/src/vanillaswitch/coordination/fleet/instances/__init__.py
@@ -1,1 +1,5 @@
-"""What runs on instances: orders, accounts, ends, and the core of it all."""
+"""Tracks what runs on instances and decides which runs start and stop.
+
+Covers orders to instances, their status reports, ended runs and recovery
+after a change of owner. ``core.Core`` combines all of it.
+"""
--- a/src/vanillaswitch/coordination/fleet/instances/accounts.py
+++ b/src/vanillaswitch/coordination/fleet/instances/accounts.py
@@ -1,4 +1,4 @@
-"""What instances say of themselves, and what is inferred from silence."""
+"""Processes the status reports of instances and their absence."""
 
 from collections.abc import Collection
 
@@ -12,60 +12,61 @@
 from vanillaswitch.protocol import jobs
 
 
-class Accounts(restarts.Restarts):
-    """Takes note of instances' accounts."""
+class StatusReports(restarts.RestartDetection):
+    """Updates runs and instances from status reports."""
 
     def held(
-        self, name: str, held: fleet.Held, began_at: float, now: float
+        self, name: str, report: fleet.Held, began_at: float, now: float
     ) -> None:
-        """Takes note of an instance's own account.
+        """Processes a status report of an instance.
 
         Args:
             name: the instance.
-            held: its account.
-            began_at: monotonic seconds at which it was asked.
+            report: its status report.
+            began_at: monotonic seconds at which the report was requested.
             now: monotonic seconds.
         """
         instance = self.instances.get(name)
         if instance is None:
             return
-        if not self._is_of_now(instance, held, began_at, now):
+        if not self._is_current_report(instance, report, began_at, now):
             return
         instance.heard_at = now
-        instance.clock_ms, instance.clock_at = held.clock_ms, now
+        instance.clock_ms, instance.clock_at = report.clock_ms, now
         if not instance.adopted or instance.silent or instance.doubtful:
             self._changed = True
         instance.silent = instance.doubtful = False
-        for end in held.ended:
+        for end in report.ended:
             if end.number > instance.last_end:
                 instance.last_end = end.number
-                self._end_heard(instance, end, now)
-        listed = {(row.task, row.run) for row in held.running}
-        for row in held.running:
+                self._process_end(instance, end, now)
+        listed = {(row.task, row.run) for row in report.running}
+        for row in report.running:
             if not instance.adopted:
                 self._drop_replacement(instance, row, listed)
-            self._listed(instance, row, began_at, now)
+            self._process_listed_run(instance, row, began_at, now)
         for run in list(instance.runs.values()):
             if run.key not in listed:
-                self._missing(instance, run, began_at, now)
+                self._process_missing_run(instance, run, began_at, now)
         if not instance.adopted:
             instance.adopted = True
             instance.adopted_at = now
-            self._stop_copies(instance, now)
+            self._stop_late_starts(instance, now)
 
-    def _end_heard(
+    def _process_end(
         self, instance: rooms.Instance, end: fleet.End, now: float
     ) -> None:
-        """Takes note of an end, or keeps it until its job can be read.
+        """Applies the end of a run, or keeps it until its job can be read.
 
-        Noted now, it would be forgotten by its instance and say nothing to
-        the job, whose task would run a second time.
+        An end that was applied now would be acknowledged, so the instance would
+        forget it. The unread job would not know of it, and its task would run a
+        second time.
         """
         if end.task.job_id in self.unread:
             instance.unread_ends.append(end)
             instance.remove((end.task, end.run))
         else:
-            self._ended(instance, end, now)
+            self._apply_end(instance, end, now)
 
     def _drop_replacement(
         self,
@@ -73,12 +74,13 @@
         row: fleet.Running,
         listed: Collection[rooms.RunKey],
     ) -> None:
-        """Forgets a newer run of a listed task that never began here.
+        """Drops a newer run of a listed task that never started.
 
-        The owner before had recorded it in place of the listed one, as after
-        it had taken that as over. Its order is void by this owner's token, and
-        nobody else was told its number; so the listed run is the task's own.
-        Stopped as an older one, it was away beside as many as are spared.
+        The previous owner recorded the newer run after it took the listed one
+        as over. This owner's fencing token voids that start, and no other
+        instance was sent the newer run, so the listed run is the current one.
+        Stopped as outdated, its task would become unavailable in addition to
+        those that the disruption budget already covers.
         """
         entry = self.book.get(row.task.job_id)
         task = entry.task(row.task) if entry else None
@@ -94,45 +96,48 @@
         task.state = books.TaskState.WAITING
         task.run = row.run
 
-    def _listed(
+    def _process_listed_run(
         self,
         instance: rooms.Instance,
         row: fleet.Running,
         began_at: float,
         now: float,
     ) -> None:
+        """Updates a run from its row in a status report."""
         run = instance.runs.get((row.task, row.run))
         if run is None:
-            run = self._found(instance, row, now)
+            run = self._process_unknown_run(instance, row, now)
             if run is None:
                 return
         run.begin(now)
         run.begun_before = run.begun_before or run.inherited
         run.inherited = False
-        # Orders of the owner before are void since the instance was adopted; a
-        # stop that it accepted until then ends its run within ``stop_s``.
+        # Orders of the previous owner are void since the instance was adopted.
+        # A stop that it accepted before ends its run within ``stop_s``.
         if began_at >= instance.adopted_at + self._bounds.stop_s:
             run.in_doubt = False
         self._begun(row.task.job_id)
         progress.observe(instance, run, row.percent, now)
         run.gauge = row.gauge
         if not run.cleared:
-            self._note_work(instance, run)
+            self._clear_if_proven(instance, run)
         run.saved = row.saved or run.saved
 
-    def _found(
+    def _process_unknown_run(
         self, instance: rooms.Instance, row: fleet.Running, now: float
     ) -> rooms.Run | None:
-        """Accounts for a run that is not in the book; most are stopped.
+        """Handles a listed run that this owner does not know; stops most.
 
-        It may be listed by an answer that was on its way while its end was
-        taken note of: such a run is over and takes no room.
+        Returns:
+            The run if it takes capacity. None for a run on an adopted instance:
+            the report may have been on its way while the end of the run was
+            processed, so the run is over.
         """
         if row.task.job_id in self.unread:
-            return self._found_unread(instance, row, now)
+            return self._add_unread_run(instance, row, now)
         entry = self.book.get(row.task.job_id)
-        if entry is not None and may_go_on(entry, row):
-            return self._take_back(instance, entry, row, now)
+        if entry is not None and can_reinstate(entry, row):
+            return self._reinstate_run(instance, entry, row, now)
         if entry is None or row.task.step >= len(entry.job.steps):
             step = jobs.Step(count=1)
         else:
@@ -148,22 +153,22 @@
         run = rooms.Run(row.task, row.run, step, books.need(step), now)
         run.sent = run.confirmed = True
         instance.add(run)
-        self.stop_run(instance, run, now, "not in the book")
+        self.stop_run(instance, run, now, "not a current run of a known job")
         return run
 
-    def _take_back(
+    def _reinstate_run(
         self,
         instance: rooms.Instance,
         entry: books.Entry,
         row: fleet.Running,
         now: float,
     ) -> rooms.Run:
-        """Lets a run go on that was taken as over.
+        """Restores a listed run that this owner had taken as over.
 
-        A lease that counts as lapsed, or an entry of a machine that names no
-        instance, is a judgement from outside; the account of the instance
-        goes before it. Runs that were judged so were all stopped in the moment
-        their instances were heard of again, however many of a service.
+        An expired lease, or a machine listed without an instance, is indirect
+        evidence that a run is over. The status report of the instance takes
+        precedence. Otherwise all such runs, however many belong to one
+        service, would be stopped as soon as their instances report again.
         """
         open_step = entry.open[row.task.occurrence, row.task.step]
         step, task = open_step.step, open_step.tasks[row.task.index]
@@ -173,8 +178,8 @@
         task.counted_run = min(task.counted_run, row.run - 1)
         run = rooms.Run(row.task, row.run, step, books.need(step), now)
         run.sent = run.in_doubt = run.begun_before = True
-        # It has begun, so it can't begin again: an account that does not list
-        # it any more tells that it is over.
+        # It has begun and can't begin again, so a status report that does not
+        # list it shows that it is over.
         run.void_since = now
         instance.add(run)
         self.book.touch(entry)
@@ -189,14 +194,14 @@
         )
         return run
 
-    def _found_unread(
+    def _add_unread_run(
         self, instance: rooms.Instance, row: fleet.Running, now: float
     ) -> rooms.Run:
-        """Accounts for a run whose job can't be read yet; it goes on.
+        """Adds a run whose job can't be read yet; it continues.
 
-        What it needs is not known. All the room that is free now would be too
-        little: other runs may turn out to have never begun, and give theirs
-        back.
+        Its resource need is unknown, so it takes the whole instance. The
+        capacity that is free now could be too little: other runs may turn out
+        to have never begun and free theirs.
         """
         step = jobs.Step(count=1)
         whole = instance.registration.capacity
@@ -205,33 +210,34 @@
         instance.add(run)
         return run
 
-    def _missing(
+    def _process_missing_run(
         self,
         instance: rooms.Instance,
         run: rooms.Run,
         began_at: float,
         now: float,
     ) -> None:
-        """Judges a run that an instance's account does not show.
+        """Releases a run that a status report does not list, if it is over.
 
-        An account may be older than a start that was sent meanwhile, so that
-        a run is missing proves nothing by itself. It does where the run can't
-        start any more since before the account was asked for, and where an
-        earlier owner's order is void because this owner's token is higher.
+        The report may be older than a start that was sent meanwhile, so a
+        missing run proves nothing by itself. The run is over if it could no
+        longer start before the report was requested, or if a previous owner
+        ordered it, whose order this owner's higher fencing token voids.
         """
         inherited = run.inherited and not instance.adopted
-        if inherited and _meant_for_former(instance, run):
-            why = "its instance started again"
-            self._crashed(instance, [run], why, now, sure=False)
+        if inherited and _targets_former_incarnation(instance, run):
+            why = "its instance restarted"
+            self._count_loss(instance, [run], why, now, crash_confirmed=False)
         void = run.void_since is not None and run.void_since < began_at
-        if inherited or void or _is_too_late(run, began_at):
+        if inherited or void or _can_no_longer_start(run, began_at):
             self._release(instance, run)
 
     def unanswered(self, name: str, began_at: float) -> None:
-        """Takes note that a call to an instance got no answer.
+        """Marks an instance to which a call got no response.
 
-        Until it is heard of again it gets no more work: a rack that went dark
-        was given tasks for 3 s, each of which then waited for its lease.
+        It gets no work until its next status report. Otherwise an unreachable
+        rack would be given tasks for 3 s, each of which would then wait for its
+        lease to expire.
 
         Args:
             name: the instance.
@@ -242,54 +248,65 @@
             instance.doubtful = True
 
     def silent(self, name: str, now: float) -> None:
-        """Takes note that an instance does not answer."""
+        """Marks an instance that does not respond."""
         instance = self.instances.get(name)
         if instance is not None and not instance.silent:
             instance.silent = True
-            self._emit_instance(instance, "silent", "no answer", now)
+            self._emit_instance_changed(
+                instance, "silent", "calls get no response", now
+            )
 
     def lapse(self, now: float) -> None:
-        """Frees what ran on silent instances once its lease has lapsed."""
+        """Releases runs on unresponsive instances whose lease has expired."""
         for instance in list(self.instances.values()):
             if not instance.silent or not instance.lapsed(now):
                 continue
             if instance.runs:
-                self._emit_instance(instance, "lapsed", "its lease", now)
-                self._crashed(
+                self._emit_instance_changed(
+                    instance, "lapsed", "the lease on its runs expired", now
+                )
+                self._count_loss(
                     instance,
                     list(instance.runs.values()),
-                    "its lease lapsed",
+                    "the lease on its runs expired",
                     now,
-                    sure=False,
+                    crash_confirmed=False,
                 )
                 for run in list(instance.runs.values()):
                     self._release(instance, run)
             if not instance.listed:
-                self.gone(instance.name, now, "unlisted and silent")
+                self.gone(
+                    instance.name,
+                    now,
+                    "no longer registered and unresponsive",
+                )
 
 
-def _is_too_late(run: rooms.Run, asked_at: float) -> bool:
-    """Whether a run is to be stopped and no start of it may arrive any more.
+def _can_no_longer_start(run: rooms.Run, asked_at: float) -> bool:
+    """Whether a run is being stopped and no start of it can still arrive.
 
-    No copy leaves once it is to be stopped, and the stop may have to wait: it
-    could end one task more than its job spares, while the others of its step
-    wait in the same way.
+    No copy of the start is sent once the run is being stopped. The stop itself
+    may be held back, because it could exceed the disruption budget of its job
+    while the other tasks of the step wait in the same way.
     """
     if run.stopping is None:
         return False
     return asked_at - run.stopping >= rooms.LATE_S
 
 
-def _meant_for_former(instance: rooms.Instance, run: rooms.Run) -> bool:
-    """Whether an instance has started again since a run was decided."""
+def _targets_former_incarnation(
+    instance: rooms.Instance, run: rooms.Run
+) -> bool:
+    """Whether an instance has restarted since a run was assigned to it."""
     known = (run.born_ms, instance.lives.current)
     return None not in known and run.born_ms != instance.lives.current
 
 
-def may_go_on(entry: books.Entry, row: fleet.Running) -> bool:
-    """Whether a listed run is its task's newest, and nothing replaced it.
+def can_reinstate(entry: books.Entry, row: fleet.Running) -> bool:
+    """Whether a listed run is its task's newest and nothing replaced it.
 
-    A gang starts and ends together: one member by itself is of no use.
+    Never true for a gang, which starts and ends as a whole: one member by
+    itself is of no use.
     """
     task = entry.task(row.task)
     if task is None or entry.job.steps[row.task.step].gang:
--- a/src/vanillaswitch/coordination/fleet/instances/crashes.py
+++ b/src/vanillaswitch/coordination/fleet/instances/crashes.py
@@ -1,9 +1,10 @@
-"""Instances that are lost under their runs, and tasks given up for it.
+"""Counts lost instances against tasks and fails jobs that cause crashes.
 
-A task may crash each instance that starts it. Started again like any other, it
-took a pool down, with all that ran beside it. So a loss counts against the
-tasks that had just begun there, in their jobs' rows, and a task that is given
-up ends its job.
+A task may crash every instance that starts it. If it were restarted like any
+other task, it could take down a whole pool and everything that runs there. Each
+loss therefore counts against the tasks that had just begun on the instance. The
+counts are stored with their jobs, and a job fails when one of its tasks has
+crashed too many instances.
 """
 
 from collections.abc import Callable
@@ -20,36 +21,38 @@
 from vanillaswitch.protocol import jobs
 from vanillaswitch.state import deployment as deployments
 
-MOMENT_S = 0.5
-"""Instances lost within so long of each other may have one cause: the list of
-machines is read every 0.25 s, and tells of a crash after as long again."""
+SHARED_CAUSE_S = 0.5
+"""Instances lost within this time of each other may share a cause. The list of
+machines is read every 0.25 s and shows a crash another 0.25 s later."""
 
-IMAGE_DOUBT_S = 60.0
-"""For so long the first task of a step whose image crashed instances is tried
-apart; later the image may have been replaced under its name."""
+IMAGE_SUSPICION_S = 60.0
+"""How long the first task of a step runs isolated after its image crashed
+instances. Later, the image may have been replaced under the same name."""
 
 
 @dataclasses.dataclass(frozen=True)
-class _Loss:
-    """An instance that was lost.
+class _InstanceLoss:
+    """The loss of an instance.
 
     Attributes:
-        suspected: a task that was suspected before explains it.
+        at: monotonic seconds at which it was detected.
+        explained: a task that was already suspected explains it.
     """
 
     at: float
     instance: str
     rack: str
-    suspected: bool
+    explained: bool
 
 
 @dataclasses.dataclass(frozen=True)
-class _Open:
-    """A crash of which it is not known yet what else was lost with it.
+class _PendingCrash:
+    """A crash for which other losses at the same time may still be detected.
 
     Attributes:
-        alone: nothing else had just begun on the instance.
-        lasting: the task runs until its job is cancelled.
+        at: monotonic seconds at which it was detected.
+        alone: no other run had just begun on the instance.
+        long_running: the task runs until its job is cancelled.
     """
 
     at: float
@@ -57,11 +60,11 @@
     task: books.Task
     crash: crash_evidence.Crash
     alone: bool
-    lasting: bool
+    long_running: bool
 
 
-class Crashes(endings.Endings):
-    """Takes note of instances that are lost with what they run."""
+class CrashTracking(endings.RunCompletion):
+    """Handles the loss of instances and of their runs."""
 
     def __init__(
         self,
@@ -71,69 +74,75 @@
     ):
         """See ``term_state.State``."""
         super().__init__(order, emit, bounds)
-        self._losses: list[_Loss] = []
-        self._undecided: list[_Open] = []
+        self._recent_losses: list[_InstanceLoss] = []
+        self._pending_crashes: list[_PendingCrash] = []
         self._doubted_images: dict[str, float] = {}
 
     def gone(self, name: str, now: float, why: str) -> None:
-        """Takes note that an instance is surely over with all it ran."""
+        """Removes an instance that is certainly gone, with all its runs."""
         instance = self.instances.pop(name, None)
         if instance is None:
             return
-        self._emit_instance(instance, "gone", why, now)
+        self._emit_instance_changed(instance, "gone", why, now)
         runs = list(instance.runs.values())
-        self._crashed(instance, runs, why, now)
+        self._count_loss(instance, runs, why, now)
         for run in runs:
             self._release(instance, run)
         self._changed = True
 
-    def _crashed(
+    def _count_loss(
         self,
         instance: rooms.Instance,
         runs: Sequence[rooms.Run],
         why: str,
         now: float,
         *,
-        sure: bool = True,
+        crash_confirmed: bool = True,
     ) -> None:
         """Counts the loss of an instance against its runs.
 
         Args:
-            instance: it is lost, with these runs.
-            runs: that were there.
-            why: how that was found.
+            instance: the lost instance.
+            runs: the runs that were lost with it.
+            why: how the loss was detected.
             now: monotonic seconds.
-            sure: whether it crashed; else it may only be cut off.
+            crash_confirmed: whether the instance crashed; otherwise it may only
+                be cut off.
         """
         if instance.leaving or instance.registration.draining:
             return
         begun = [run for run in runs if _may_have_begun(run)]
         unproven = [run for run in begun if not run.proven]
-        suspected = any(run.apart for run in unproven)
-        if sure:
+        has_suspect = any(run.apart for run in unproven)
+        if crash_confirmed:
             rack = instance.registration.rack
-            self._note_loss(_Loss(now, instance.name, rack, suspected))
+            self._record_loss(
+                _InstanceLoss(now, instance.name, rack, has_suspect)
+            )
         for run in begun:
-            if _is_innocent(run, suspected):
+            if _is_unlikely_cause(run, has_suspect):
                 continue
             crash = crash_evidence.Crash(
-                run.run, instance.name, _kind(run, sure), run.worked_s
+                run.run,
+                instance.name,
+                _evidence_kind(run, crash_confirmed),
+                run.worked_s,
             )
             alone = unproven == [run]
-            self._count_crash(instance, run, crash, alone, now)
+            self._record_crash(instance, run, crash, alone, now)
             if not run.proven:
-                self._tell_crash(instance, run, crash, why, unproven, now)
+                self._emit_crash(instance, run, crash, why, unproven, now)
 
-    def _note_loss(self, loss: _Loss) -> None:
-        """Keeps a loss for as long as crashes may be weighed against it."""
-        self._losses = [
+    def _record_loss(self, loss: _InstanceLoss) -> None:
+        """Keeps a loss as long as pending crashes may be compared with it."""
+        self._recent_losses = [
             known
-            for known in self._losses
-            if loss.at - known.at <= 2 * MOMENT_S
+            for known in self._recent_losses
+            if loss.at - known.at <= 2 * SHARED_CAUSE_S
         ]
-        self._losses.append(loss)
+        self._recent_losses.append(loss)
 
-    def _count_crash(
+    def _record_crash(
         self,
         instance: rooms.Instance,
         run: rooms.Run,
@@ -141,90 +150,108 @@
         alone: bool,
         now: float,
     ) -> None:
-        """Counts a crash; what weighs it is known only a moment later."""
+        """Records a crash; its kind is final only ``SHARED_CAUSE_S`` later."""
         entry = self.book.get(run.task.job_id)
         task = entry.task(run.task) if entry else None
         if entry is None or task is None or not task.add_crash(crash):
             return
         entry.open[run.task.occurrence, run.task.step].crashed = True
         self.book.touch(entry)
-        lasting = run.step.long_running
+        long_running = run.step.long_running
         rack = instance.registration.rack
-        self._undecided.append(_Open(now, rack, task, crash, alone, lasting))
-        surest = dataclasses.replace(crash, kind=crash_evidence.Kind.ALONE)
-        crashes = [*task.crashes[:-1], surest]
-        if crash_evidence.convicts(crashes, lasting=lasting):
-            task.judged_at = now + MOMENT_S
+        self._pending_crashes.append(
+            _PendingCrash(now, rack, task, crash, alone, long_running)
+        )
+        strongest = dataclasses.replace(crash, kind=crash_evidence.Kind.ALONE)
+        crashes = [*task.crashes[:-1], strongest]
+        if crash_evidence.convicts(crashes, lasting=long_running):
+            task.judged_at = now + SHARED_CAUSE_S
 
     def settle_crashes(self, now: float) -> None:
-        """Judges crashes of which it is known now what was lost with them.
+        """Evaluates crashes for which all losses at the same time are known.
 
-        A rack that goes down while two of its instances have just been given
-        a task each looks like a task that crashes them.
+        The delay is needed because the loss of a rack looks like a crashing
+        task if two of its instances had just been given a run of that task.
         """
-        # As ``Task.judged_at`` is worked out: rounded otherwise, a task starts
-        # in the moment before it is judged.
-        due = [item for item in self._undecided if now >= item.at + MOMENT_S]
+        # Same expression as for ``Task.judged_at``: a different rounding would
+        # let a task start just before it is evaluated.
+        due = [
+            item
+            for item in self._pending_crashes
+            if now >= item.at + SHARED_CAUSE_S
+        ]
         if not due:
             return
-        self._undecided = [item for item in self._undecided if item not in due]
+        self._pending_crashes = [
+            item for item in self._pending_crashes if item not in due
+        ]
         for item in due:
             entry = self.book.get(item.task.name.job_id)
             if entry is None or entry.ended is not None:
                 continue
-            self._weigh(item)
+            self._adjust_evidence(item)
             self.book.touch(entry)
-            if all(item.task is not other.task for other in self._undecided):
-                self._judge(entry, item.task, now)
+            if all(
+                item.task is not other.task for other in self._pending_crashes
+            ):
+                self._fail_if_crashing(entry, item.task, now)
 
-    def _judge_inherited(self, entry: books.Entry, now: float) -> None:
-        """Judges the crashes that an earlier owner recorded of a job.
+    def _evaluate_recovered_crashes(
+        self, entry: books.Entry, now: float
+    ) -> None:
+        """Evaluates the crashes that a previous owner recorded for a job.
 
-        It may have ended before it judged the last of them.
+        That owner's term may have ended before it evaluated the last of them.
         """
         crashed = [step for step in entry.open.values() if step.crashed]
         for step in crashed:
             for task in step.tasks:
                 if entry.ended is None:
-                    self._judge(entry, task, now)
+                    self._fail_if_crashing(entry, task, now)
 
-    def _judge(self, entry: books.Entry, task: books.Task, now: float) -> None:
-        lasting = entry.job.steps[task.name.step].long_running
-        if crash_evidence.convicts(task.crashes, lasting=lasting):
-            self._give_up_job(entry, task, now)
+    def _fail_if_crashing(
+        self, entry: books.Entry, task: books.Task, now: float
+    ) -> None:
+        """Fails a job if the evidence shows that a task crashes instances."""
+        long_running = entry.job.steps[task.name.step].long_running
+        if crash_evidence.convicts(task.crashes, lasting=long_running):
+            self._fail_crashing_job(entry, task, now)
 
-    def _weigh(self, item: _Open) -> None:
-        """Weighs a crash by what else was lost at that moment."""
+    def _adjust_evidence(self, item: _PendingCrash) -> None:
+        """Adjusts the evidence of a crash to other losses at that time."""
         task, crash = item.task, item.crash
         if crash not in task.crashes:
             return
-        shared = self._is_shared(item)
+        shared = self._has_shared_cause(item)
         worked = crash.kind is crash_evidence.Kind.WORKED
-        if shared and worked and item.lasting:
+        if shared and worked and item.long_running:
             task.withdraw_crash(crash.run)
         elif (
             item.alone and not shared and crash.kind is crash_evidence.Kind.NEW
         ):
-            surest = dataclasses.replace(crash, kind=crash_evidence.Kind.ALONE)
-            task.crashes[task.crashes.index(crash)] = surest
+            strongest = dataclasses.replace(
+                crash, kind=crash_evidence.Kind.ALONE
+            )
+            task.crashes[task.crashes.index(crash)] = strongest
 
-    def _is_shared(self, item: _Open) -> bool:
-        """Whether another instance was lost then, by the same cause it seems.
+    def _has_shared_cause(self, item: _PendingCrash) -> bool:
+        """Whether another instance was lost at the same time.
 
-        A suspect explains the loss of its own instance, but for one of the
-        same rack.
+        Ignores the loss of an instance on which a suspected task explains it,
+        unless it is in the same rack.
         """
         own = {crash.instance for crash in item.task.crashes}
         return any(
             loss.instance not in own
-            and (not loss.suspected or loss.rack == item.rack != "")
-            and abs(loss.at - item.at) <= MOMENT_S
-            for loss in self._losses
+            and (not loss.explained or loss.rack == item.rack != "")
+            and abs(loss.at - item.at) <= SHARED_CAUSE_S
+            for loss in self._recent_losses
         )
 
-    def _give_up_job(
+    def _fail_crashing_job(
         self, entry: books.Entry, task: books.Task, now: float
     ) -> None:
+        """Fails a job whose task crashes instances; suspects its image."""
         self._emit(
             events.JobGivenUp(
                 entry.job.job_id,
@@ -235,13 +262,18 @@
         )
         image = entry.job.steps[task.name.step].image
         if image:
-            self._doubted_images[image] = now + IMAGE_DOUBT_S
+            self._doubted_images[image] = now + IMAGE_SUSPICION_S
         entry.given_up = tuple(task.crashes)
-        cause = f"{task.name.label} crashed {len(task.crashes)} instances"
+        cause = f"task {task.name.label} crashed {len(task.crashes)} instances"
         self._end_job(entry, jobs.JobState.FAILED, cause, now)
 
-    def _note_work(self, instance: rooms.Instance, run: rooms.Run) -> None:
-        """Clears the task of a run that works, and its step's other tasks."""
+    def _clear_if_proven(
+        self, instance: rooms.Instance, run: rooms.Run
+    ) -> None:
+        """Clears the task of a run that has worked for long enough.
+
+        The other tasks of its step may then start as well.
+        """
         if not run.proven:
             return
         if run.apart:
@@ -253,15 +285,15 @@
             return
         entry.open[run.task.occurrence, run.task.step].works = True
         task.suspect = False
-        left = crash_evidence.left_after(
+        remaining = crash_evidence.left_after(
             task.crashes, run.worked_s, lasting=run.step.long_running
         )
-        if len(left) < len(task.crashes):
-            task.crashes = left
+        if len(remaining) < len(task.crashes):
+            task.crashes = remaining
             self.book.touch(entry)
-        run.cleared = not left
+        run.cleared = not remaining
 
-    def _tell_crash(
+    def _emit_crash(
         self,
         instance: rooms.Instance,
         run: rooms.Run,
@@ -302,18 +334,22 @@
     return run.sent and not run.unsent
 
 
-def _is_innocent(run: rooms.Run, suspected: bool) -> bool:
-    """Whether a run had worked for too long to be the cause.
+def _is_unlikely_cause(run: rooms.Run, has_suspect: bool) -> bool:
+    """Whether a run had worked for too long to have caused the crash.
 
-    One that lasts is there for minutes, so sooner or later its instance
-    crashes under it. Beside a suspected task any other has a better excuse.
+    Applies to long-running tasks, because they run for minutes and sooner or
+    later their instance crashes for another reason. Applies to other tasks only
+    if a suspected task ran on the same instance.
     """
     worked_long = run.worked_s >= crash_evidence.MOST_PROOF_S
-    return worked_long and (suspected or run.step.long_running)
+    return worked_long and (has_suspect or run.step.long_running)
 
 
-def _kind(run: rooms.Run, sure: bool) -> crash_evidence.Kind:
-    if not sure or run.begun_at is None:
+def _evidence_kind(
+    run: rooms.Run, crash_confirmed: bool
+) -> crash_evidence.Kind:
+    """Returns the kind of evidence that a loss gives against a run."""
+    if not crash_confirmed or run.begun_at is None:
         return crash_evidence.Kind.UNSURE
     if run.worked_s >= crash_evidence.PROVEN_S:
         return crash_evidence.Kind.WORKED
--- a/src/vanillaswitch/coordination/fleet/instances/endings.py
+++ b/src/vanillaswitch/coordination/fleet/instances/endings.py
@@ -1,4 +1,4 @@
-"""How runs, jobs and instances end, and what follows from it."""
+"""Handles the ends of runs and jobs, and suspends failing instances."""
 
 from vanillaswitch.coordination.fleet import events
 from vanillaswitch.coordination.fleet.instances import stops
@@ -7,19 +7,19 @@
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 
-SUSPEND_FAILURES = 3
-"""An instance is suspended when tasks of so many jobs in a row failed on it:
-a single job may be one that can never be done."""
+SUSPEND_AFTER_JOBS = 3
+"""An instance is suspended when tasks of this many jobs in a row failed on it.
+One job is not enough, since it may fail on every instance."""
 
 SUSPEND_S = 2.0
-"""First suspension; each further one lasts twice as long."""
+"""First suspension; each further one is twice as long."""
 
-MAX_SUSPENSIONS = 4
-"""Doublings of the suspension: 16 s at most, since it may be sound again."""
+MAX_SUSPENSION_DOUBLINGS = 4
+"""Limits a suspension to 32 s, since the instance may work again."""
 
 
-class Endings(stops.Stops):
-    """Takes note of ends."""
+class RunCompletion(stops.Stops):
+    """Applies the ends of runs to their tasks, jobs and instances."""
 
     def _end_job(
         self,
@@ -28,18 +28,19 @@
         cause: str,
         now: float,
     ) -> None:
+        """Ends a job and stops all its runs."""
         entry.end(state)
-        self._emit_end(entry, cause, now)
+        self._emit_job_end(entry, cause, now)
         self.book.touch(entry)
         for instance in self.instances.values():
             for run in list(instance.runs.values()):
                 if run.task.job_id == entry.job.job_id:
                     self.stop_run(instance, run, now, cause)
 
-    def _ended(
+    def _apply_end(
         self, instance: rooms.Instance, end: fleet.End, now: float
     ) -> None:
-        """Takes note of one listed end."""
+        """Applies the end of a run that an instance listed."""
         run = instance.remove((end.task, end.run))
         self._changed = True
         self._begun(end.task.job_id)
@@ -49,16 +50,16 @@
         task = entry.task(end.task)
         if task is None:
             return
-        # An instance that tells of the end was not crashed by the run.
+        # The instance reports the end, so the run did not crash it.
         task.withdraw_crash(end.run)
         if end.run == task.run:
             task.suspect = False
         if end.how is fleet.How.DONE:
-            self._done(entry, task, instance, now)
+            self._complete_task(entry, task, instance, now)
             return
         self._emit_run_end(task, end.run, instance, end.how.value)
         if end.how is fleet.How.FAILED:
-            self._failed(entry, task, end, instance, now)
+            self._count_failure(entry, task, end, instance, now)
             if entry.ended is not None:
                 return
         current = task.run == end.run and task.state is books.TaskState.ASSIGNED
@@ -79,7 +80,7 @@
             )
         )
 
-    def _emit_end(self, entry: books.Entry, cause: str, now: float) -> None:
+    def _emit_job_end(self, entry: books.Entry, cause: str, now: float) -> None:
         self._emit(
             events.JobEnded(
                 entry.job.job_id,
@@ -90,13 +91,14 @@
             )
         )
 
-    def _done(
+    def _complete_task(
         self,
         entry: books.Entry,
         task: books.Task,
         instance: rooms.Instance,
         now: float,
     ) -> None:
+        """Marks a task as done; requeues it if it is long-running."""
         if task.state is books.TaskState.DONE:
             return
         instance.failures_in_row.clear()
@@ -105,34 +107,36 @@
         step = entry.open[name.occurrence, name.step]
         step.works = True
         if step.step.long_running:
-            # It is to run until it is cancelled, however it ends.
+            # It has to run until its job is cancelled, however a run ends.
             self._requeue(entry, task, "")
             return
-        # One member's end stands for the whole gang.
-        ended = step.tasks if step.step.gang else [task]
-        for member in ended:
+        # The end of one member completes the whole gang.
+        completed = step.tasks if step.step.gang else [task]
+        for member in completed:
             if member is not task:
                 member.state = books.TaskState.DONE
                 continue
             if task.state is books.TaskState.ASSIGNED:
-                self._stop_other_run(task, now)
+                self._stop_current_run(task, now)
             member.state = books.TaskState.DONE
         if step.done:
             entry.close_step(step)
             if entry.ended is not None:
-                self._emit_end(entry, "all its tasks are done", now)
+                self._emit_job_end(entry, "all tasks are done", now)
         self.book.touch(entry)
 
-    def _stop_other_run(self, task: books.Task, now: float) -> None:
-        """Stops a run that goes on although an earlier one is done."""
+    def _stop_current_run(self, task: books.Task, now: float) -> None:
+        """Stops the current run of a task that an earlier run has completed."""
         other = self.instances.get(task.instance)
         if other is None:
             return
         run = other.runs.get((task.name, task.run))
         if run is not None:
-            self.stop_run(other, run, now, "an earlier run is done")
+            self.stop_run(
+                other, run, now, "an earlier run of the task completed"
+            )
 
-    def _failed(
+    def _count_failure(
         self,
         entry: books.Entry,
         task: books.Task,
@@ -140,6 +144,7 @@
         instance: rooms.Instance,
         now: float,
     ) -> None:
+        """Counts a failed run; fails the job after too many of them."""
         if end.run <= task.counted_run:
             return
         task.counted_run = end.run
@@ -148,40 +153,51 @@
         self.book.touch(entry)
         name = task.name
         step = entry.open[name.occurrence, name.step]
-        self._judge_instance(instance, entry.job.job_id, now)
+        self._suspend_if_failing(instance, entry.job.job_id, now)
         queue = self.queues.get(entry.job.queue)
         allowed = queue.max_attempts if queue else 1
         if not step.step.long_running and step.failures >= allowed:
-            cause = f"{end.how} {step.failures} times on {instance.name} last"
+            cause = (
+                f"a task {end.how} {step.failures} times, most recently on "
+                f"{instance.name}"
+            )
             self._end_job(entry, jobs.JobState.FAILED, cause, now)
 
-    def _judge_instance(
+    def _suspend_if_failing(
         self, instance: rooms.Instance, job_id: str, now: float
     ) -> None:
-        """Suspends an instance on which job after job fails."""
+        """Counts a failed job; suspends an instance with several in a row."""
         instance.failures_in_row.add(job_id)
-        if len(instance.failures_in_row) < SUSPEND_FAILURES:
+        if len(instance.failures_in_row) < SUSPEND_AFTER_JOBS:
             return
         instance.failures_in_row.clear()
-        wait = SUSPEND_S * 2 ** min(instance.suspensions, MAX_SUSPENSIONS)
+        wait_s = SUSPEND_S * 2 ** min(
+            instance.suspensions, MAX_SUSPENSION_DOUBLINGS
+        )
         instance.suspensions += 1
-        instance.suspended_until = now + wait
-        why = f"{SUSPEND_FAILURES} jobs failed in a row, for {wait} s"
-        self._emit_instance(instance, "suspended", why, now)
+        instance.suspended_until = now + wait_s
+        why = (
+            f"suspended for {wait_s} s after {SUSPEND_AFTER_JOBS} jobs failed "
+            "in a row"
+        )
+        self._emit_instance_changed(instance, "suspended", why, now)
 
     def _requeue(
         self, entry: books.Entry, task: books.Task, saved: str
     ) -> None:
+        """Returns a task to the queue and keeps its checkpoint, if any."""
         task.state = books.TaskState.WAITING
         task.instance = ""
         name = task.name
         if saved and entry.job.steps[name.step].checkpointable:
-            self._save(entry, task, saved)
+            self._save_checkpoint(entry, task, saved)
         self.book.touch(entry)
         self._changed = True
 
-    def _save(self, entry: books.Entry, task: books.Task, saved: str) -> None:
-        """Keeps a checkpoint; one member's is valid for its whole gang."""
+    def _save_checkpoint(
+        self, entry: books.Entry, task: books.Task, saved: str
+    ) -> None:
+        """Stores a checkpoint; one member's is valid for its whole gang."""
         name = task.name
         step = entry.open[name.occurrence, name.step]
         for member in step.tasks if step.step.gang else [task]:
@@ -190,7 +206,10 @@
     def _release(
         self, instance: rooms.Instance, run: rooms.Run, how: str = "lost"
     ) -> None:
-        """Frees a run that is surely over without a listed end."""
+        """Removes a run that is certainly over without a listed end.
+
+        Requeues its task if this was the current run.
+        """
         instance.remove(run.key)
         self._changed = True
         entry = self.book.get(run.task.job_id)
--- a/src/vanillaswitch/coordination/fleet/instances/inheritance.py
+++ b/src/vanillaswitch/coordination/fleet/instances/inheritance.py
@@ -1,8 +1,8 @@
-"""What an owner inherits: runs that the one before recorded.
+"""Recovers the runs that previous owners recorded.
 
-Rows name the instance of each run, and say nothing of whether it still runs;
-accounts tell, once instances answer. Jobs may be read later than the rest,
-where their part of the store is away.
+The stored rows name the instance of each run but don't show whether it still
+runs. The status reports of the instances show that. Some jobs are read later
+than the rest, if their part of the store is unavailable.
 """
 
 from vanillaswitch.coordination.fleet.instances import accounts
@@ -12,87 +12,94 @@
 from vanillaswitch.protocol import fleet
 
 
-class Inheritance(accounts.Accounts):
-    """Accounts for the runs of earlier owners."""
+class Inheritance(accounts.StatusReports):
+    """Recovers the runs of previous owners."""
 
     def inherit_runs(self, now: float, lapses_at: float) -> list[str]:
-        """Accounts for the runs that an earlier owner recorded.
+        """Recovers the runs that a previous owner recorded.
 
         Args:
             now: monotonic seconds.
-            lapses_at: by then the lease of all that runs on an instance that
-                can't be reached has lapsed.
+            lapses_at: monotonic seconds at which every lease on an
+                unreachable instance has expired.
 
         Returns:
-            Ids of instances that run something and are in no list.
+            Ids of instances that have runs but are not registered.
         """
-        unlisted = []
+        unregistered = []
         for entry in self.book.live.values():
             for step in entry.open.values():
                 for task in step.tasks:
                     if task.state is books.TaskState.ASSIGNED:
                         name = task.instance
                         if name not in self.instances:
-                            unlisted.append(name)
-                            self._add_unlisted(name, now)
-                        self._inherit(step, task, now)
+                            unregistered.append(name)
+                            self._add_unregistered(name, now)
+                        self._recover_run(step, task, now)
         for instance in self.instances.values():
             instance.lapses_at = lapses_at
         for entry in list(self.book.live.values()):
-            self._judge_inherited(entry, now)
-        return unlisted
+            self._evaluate_recovered_crashes(entry, now)
+        return unregistered
 
     def inherit_late(
         self, entry: books.Entry, now: float, lapses_at: float
     ) -> None:
-        """Accounts for the runs of a job that could not be read before.
+        """Recovers the runs of a job that could not be read before.
 
-        Where an instance has answered meanwhile, its accounts tell of each
-        run: it is listed, its end was, or it never began and its order is
-        void, since this owner's token is higher.
+        If an instance has sent a status report meanwhile, the state of each
+        run is known. Either the run or its end was listed, or the run never
+        began and its order is void, since this owner's fencing token is higher.
         """
         for step in entry.open.values():
             for task in step.tasks:
                 if task.state is books.TaskState.ASSIGNED:
-                    self._inherit_late(step, task, now, lapses_at)
+                    self._recover_late_task(step, task, now, lapses_at)
         for instance in self.instances.values():
-            self._note_unread_ends(instance, entry.job.job_id, now)
+            self._apply_unread_ends(instance, entry.job.job_id, now)
             for run in list(instance.runs.values()):
                 if run.unread and run.task.job_id == entry.job.job_id:
-                    self._settle_unread(instance, entry, run, now)
-        self._judge_inherited(entry, now)
+                    self._resolve_unread_run(instance, entry, run, now)
+        self._evaluate_recovered_crashes(entry, now)
 
-    def _settle_unread(
+    def _resolve_unread_run(
         self,
         instance: rooms.Instance,
         entry: books.Entry,
         run: rooms.Run,
         now: float,
     ) -> None:
-        """Decides on a run that the rows of its job, now read, don't name."""
+        """Reinstates or stops a run that the rows of its job don't name."""
         row = fleet.Running(
             run.task, run.run, run.saved, run.percent, run.gauge
         )
-        if not accounts.may_go_on(entry, row):
-            self.stop_run(instance, run, now, "not in the book")
+        if not accounts.can_reinstate(entry, row):
+            self.stop_run(
+                instance, run, now, "not a current run of a known job"
+            )
             return
         instance.remove(run.key)
-        self._take_back(instance, entry, row, now).take_listing(run)
+        self._reinstate_run(instance, entry, row, now).take_listing(run)
 
-    def _inherit_late(
+    def _recover_late_task(
         self,
         step: books.OpenStep,
         task: books.Task,
         now: float,
         lapses_at: float,
     ) -> None:
+        """Recovers a run of a job that was read late.
+
+        Merges it with what its instance has listed meanwhile. Releases it if
+        the instance has listed neither the run nor its end.
+        """
         instance = self.instances.get(task.instance)
         if instance is None:
-            self._add_unlisted(task.instance, now)
+            self._add_unregistered(task.instance, now)
             instance = self.instances[task.instance]
             instance.lapses_at = lapses_at
         found = instance.remove((task.name, task.run))
-        self._inherit(step, task, now)
+        self._recover_run(step, task, now)
         run = instance.runs[task.name, task.run]
         if found is not None:
             run.inherited = False
@@ -102,20 +109,21 @@
         ):
             self._release(instance, run)
 
-    def _note_unread_ends(
+    def _apply_unread_ends(
         self, instance: rooms.Instance, job_id: str, now: float
     ) -> None:
+        """Applies the ends that were kept until their job could be read."""
         ends = [e for e in instance.unread_ends if e.task.job_id == job_id]
         for end in ends:
             instance.unread_ends.remove(end)
-            self._ended(instance, end, now)
+            self._apply_end(instance, end, now)
 
-    def _add_unlisted(self, name: str, now: float) -> None:
-        """Adds an instance of which nothing but its id is known.
+    def _add_unregistered(self, name: str, now: float) -> None:
+        """Adds an instance of which only the id is known.
 
-        It gets no work, since it is silent and unlisted. It does not count as
-        draining: what drains takes its tasks with it, so all of them may be
-        stopped at once, and this one may be sound and register again.
+        It gets no work, since it is unresponsive and not registered. It does
+        not count as draining: all tasks of a draining instance may be stopped
+        at once, while this one may be healthy and register again.
         """
         unknown = fleet.Registration(
             name, "", "", "", False, fleet.Resources(0, 0), ()
@@ -125,9 +133,10 @@
         instance.silent = True
         self.instances[name] = instance
 
-    def _inherit(
+    def _recover_run(
         self, step: books.OpenStep, task: books.Task, now: float
     ) -> None:
+        """Adds the recorded run of a task to its instance."""
         run = rooms.Run(
             task.name, task.run, step.step, books.need(step.step), now
         )
--- a/src/vanillaswitch/coordination/fleet/instances/lease_times.py
+++ b/src/vanillaswitch/coordination/fleet/instances/lease_times.py
@@ -1,28 +1,29 @@
-"""How long leases of what runs last, by the clock of their owner."""
+"""Lengths of the leases on runs, measured by the owner's clock."""
 
 HOLD_S = 6.0
-"""Lease of what runs on an instance. It has to outlast a change of owner
-(about 4 s) and a short outage; the longer it is, the longer a task on an
-instance that is cut off can't start elsewhere."""
+"""Lease on the runs of an instance. It has to outlast a change of owner (about
+4 s) and a short outage. A longer lease delays restarting the tasks of an
+instance that is cut off."""
 
 CLOCK_ERROR = 1.03
-"""An instance's clock may be 2% slow, so its lease lasts longer by our clock;
-the rest covers the time that an answer travels."""
+"""Factor by which a lease may last longer on the owner's clock. An instance's
+clock may be 2% slow; the rest covers the travel time of a response."""
 
 LAPSE_MARGIN_S = 0.2
-"""Added to a lease before it counts as lapsed, for timers that fire late."""
+"""Added to a lease before it counts as expired, because timers fire late."""
 
 OVERRUN_S = 8.0
-"""So long after its last write an owner goes on holding: in an outage of the
-store nobody can take over, and a lease that lapses throws work away. A later
-owner waits this long plus a lease for an instance that it can't reach."""
+"""How long after its last successful write an owner keeps renewing leases.
+During an outage of the store nobody can take over, and an expired lease loses
+the work done under it. A later owner waits this long plus a lease for an
+instance that it can't reach."""
 
 
 def lapses_at(now: float, lease_s: float = HOLD_S) -> float:
-    """Returns when a lease that is granted now has surely lapsed."""
+    """Returns when a lease that is granted now has expired for certain."""
     return now + lease_s * CLOCK_ERROR + LAPSE_MARGIN_S
 
 
 def inherited_lapse_at(now: float) -> float:
-    """Returns when the last lease of an earlier owner has surely lapsed."""
+    """Returns when the last lease of a previous owner has certainly expired."""
     return lapses_at(now) + OVERRUN_S
--- a/src/vanillaswitch/coordination/fleet/instances/listing.py
+++ b/src/vanillaswitch/coordination/fleet/instances/listing.py
@@ -1,4 +1,4 @@
-"""The owner's view of the platform's list of instances."""
+"""Watches the registrations of instances in the platform's list."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -13,13 +13,13 @@
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import unusable
 
-PAUSE_S = 0.2
-"""Pause between reads of the instances' heartbeats, which come all the time
-and rarely say anything new."""
+READ_PAUSE_S = 0.2
+"""Pause between reads of the table. Heartbeats change it all the time but
+rarely contain anything new."""
 
-UNLISTED_S = 2.5
-"""An entry that is missing counts as gone only so long after the store came
-back: living instances register again within about 2 s."""
+UNLIST_DELAY_S = 2.5
+"""A missing registration counts as removed only this long after the store
+recovered. Live instances register again within about 2 s."""
 
 Decode = Callable[
     [str, Mapping[str, Any]], fleet.Registration | unusable.Unusable
@@ -28,7 +28,7 @@
 
 
 class Listing:
-    """Follows the registrations of instances for one term."""
+    """Watches the table of instances during one term of ownership."""
 
     def __init__(
         self,
@@ -39,20 +39,20 @@
         clock: clocks.Clock,
         emit: Callable[[object], None],
         on_change: Callable[[], None],
-        old_s: float,
+        stale_after_s: float,
     ):
-        """Makes a listing that has read nothing.
+        """Creates a watcher that has read nothing yet.
 
         Args:
-            core: is told of instances.
-            feed: where to read.
+            core: receives the registrations.
+            feed: reads the table.
             table: name of the table of instances.
-            decode: decodes its rows.
-            clock: paces the reads.
-            emit: takes events.
-            on_change: called when something may have changed.
-            old_s: entries that can't be read for so long may no longer tell
-                the room of now.
+            decode: decodes the rows of the table.
+            clock: clock that times the reads.
+            emit: receives events.
+            on_change: called when a registration may have changed.
+            stale_after_s: time without a successful read after which the
+                registered capacity may be out of date.
         """
         self._core = core
         self._table = table
@@ -60,26 +60,32 @@
         self._clock = clock
         self._emit = emit
         self._on_change = on_change
-        self._old_s = old_s
-        self._read_at = clock.monotonic()
+        self._stale_after_s = stale_after_s
+        self._last_read_at = clock.monotonic()
         self._unusable: dict[str, str] = {}
         self._missing: set[str] = set()
         self._follower = follow.Follower(
-            feed, table, clock, self._on_snapshot, self._on_rows, emit, PAUSE_S
+            feed,
+            table,
+            clock,
+            self._on_snapshot,
+            self._on_rows,
+            emit,
+            READ_PAUSE_S,
         )
 
     def start_from(self, snapshot: feeds.Snapshot) -> None:
-        """Takes a snapshot that was read before, and goes on from there."""
+        """Applies a snapshot that was read before and continues from it."""
         self._on_snapshot(snapshot)
         self._follower.start_from(snapshot)
 
     def run(self) -> None:
-        """Follows the table for good."""
+        """Watches the table until its greenlet is killed."""
         self._follower.run()
 
     def judge_missing(self, now: float) -> None:
-        """Takes instances as gone from the list that are missing for good."""
-        settled = now - self._follower.back_at >= UNLISTED_S
+        """Marks instances as unlisted whose registrations stay missing."""
+        settled = now - self._follower.back_at >= UNLIST_DELAY_S
         if self._follower.failing or not settled:
             return
         for name in self._missing:
@@ -87,10 +93,12 @@
         self._missing.clear()
 
     def judge_rooms(self, now: float) -> None:
-        """Tells whether entries may be too old to tell the room of now."""
+        """Updates whether the registered capacity may be out of date."""
         if not self._follower.failing:
-            self._read_at = now
-        self._core.entries_are_old(now - self._read_at >= self._old_s)
+            self._last_read_at = now
+        self._core.entries_are_old(
+            now - self._last_read_at >= self._stale_after_s
+        )
 
     def _on_snapshot(self, snapshot: feeds.Snapshot) -> None:
         present = {row.key for row in snapshot.rows}
@@ -100,18 +108,18 @@
     def _on_rows(self, changes: Iterable[feeds.Change]) -> None:
         now = self._clock.monotonic()
         for change in changes:
-            self._on_row(change, now)
+            self._apply_row(change, now)
         self._on_change()
 
-    def _on_row(self, change: feeds.Change, now: float) -> None:
+    def _apply_row(self, change: feeds.Change, now: float) -> None:
         if change.value is None and not change.damage:
             self._missing.add(change.key)
             self._unusable.pop(change.key, None)
             return
         self._missing.discard(change.key)
-        found = self._read(change)
+        found = self._decode_change(change)
         if isinstance(found, unusable.Unusable):
-            self._tell_unusable(change, found.reason)
+            self._emit_unusable(change, found.reason)
             self._core.distrusted(change.key, found.reason, now)
             return
         self._unusable.pop(change.key, None)
@@ -121,15 +129,15 @@
             return
         self._core.registered(found, now)
 
-    def _read(
+    def _decode_change(
         self, change: feeds.Change
     ) -> fleet.Registration | unusable.Unusable:
         if change.value is None:
             return unusable.Unusable(change.damage)
         return self._decode(change.key, change.value)
 
-    def _tell_unusable(self, change: feeds.Change, why: str) -> None:
-        """Tells of a row once, however often it is written like that."""
+    def _emit_unusable(self, change: feeds.Change, why: str) -> None:
+        """Emits an event for an unusable row, once for each reason."""
         if self._unusable.get(change.key) == why:
             return
         self._unusable[change.key] = why
--- a/src/vanillaswitch/coordination/fleet/instances/lives.py
+++ b/src/vanillaswitch/coordination/fleet/instances/lives.py
@@ -1,16 +1,16 @@
-"""Which start of an instance is the one that runs now.
+"""Tells apart the incarnations of an instance that restarts under its id.
 
-An instance may start again under its id and holds nothing of before. It names
-the moment of its start in its entry and in its accounts, which reach an owner
-on different ways: either may tell of a new start first, and the other one go on
-telling of the former for a while.
+A restarted instance keeps nothing of its previous incarnation. Its
+registration and its status reports both name the time at which it started.
+They reach the owner on different paths, so either can show a new incarnation
+first while the other still describes the former one for a while.
 """
 
 import enum
 
 
-class Told(enum.Enum):
-    """What an entry or an account is about."""
+class Origin(enum.Enum):
+    """Incarnation that a registration or a status report comes from."""
 
     CURRENT = "current"
     NEW = "new"
@@ -18,62 +18,63 @@
 
 
 class Lives:
-    """The starts of one instance, as far as they were heard of."""
+    """The known incarnations of one instance, identified by start time."""
 
     def __init__(self, born_ms: int | None, now: float):
-        """Begins with the start that the first entry names.
+        """Starts with the incarnation that the first registration names.
 
         Args:
-            born_ms: milliseconds since 1970; None where it names none.
+            born_ms: milliseconds since 1970; None if it names none.
             now: monotonic seconds.
         """
         self._current = born_ms
-        self._since = now
+        self._current_since = now
         self._former: set[int] = set()
 
     @property
     def current(self) -> int | None:
-        """When the instance that runs now started; None if not known."""
+        """Start time of the current incarnation; None if not known."""
         return self._current
 
-    def of_account(self, born_ms: int | None, asked_at: float) -> Told:
-        """Judges an account of an instance.
+    def classify_report(self, born_ms: int | None, asked_at: float) -> Origin:
+        """Returns the incarnation that a status report comes from.
 
-        One that was asked for after the current start was heard of is from an
-        instance that ran after it, whatever its clock says: a start is not
-        above the former one where the clock was set back in between.
+        A report that was requested after the current incarnation became known
+        comes from the current or a newer one, whatever start time it names: the
+        start time can be lower if the clock was set back in between.
 
         Args:
-            born_ms: the start that it names.
-            asked_at: monotonic seconds at which it was asked for.
+            born_ms: the start time that the report names.
+            asked_at: monotonic seconds at which it was requested.
         """
         if born_ms is None or born_ms == self._current:
-            return Told.CURRENT
+            return Origin.CURRENT
         if self._current is None:
             self._current = born_ms
-            return Told.CURRENT
+            return Origin.CURRENT
         if born_ms in self._former:
-            return Told.FORMER
-        older = born_ms < self._current and asked_at < self._since
-        return Told.FORMER if older else Told.NEW
+            return Origin.FORMER
+        older = born_ms < self._current and asked_at < self._current_since
+        return Origin.FORMER if older else Origin.NEW
 
-    def of_entry(self, born_ms: int | None) -> Told:
-        """Judges an entry of the list of instances.
+    def classify_registration(self, born_ms: int | None) -> Origin:
+        """Returns the incarnation that a registration comes from.
 
-        An entry may have been written at any time before it is read, so one
-        with a lower start proves nothing: the next account tells.
+        A registration may have been written long before it is read. One with
+        a lower start time therefore counts as old, and the next status report
+        decides.
         """
         if born_ms is None or born_ms == self._current:
-            return Told.CURRENT
+            return Origin.CURRENT
         if self._current is None:
             self._current = born_ms
-            return Told.CURRENT
+            return Origin.CURRENT
         if born_ms in self._former or born_ms < self._current:
-            return Told.FORMER
-        return Told.NEW
+            return Origin.FORMER
+        return Origin.NEW
 
-    def begin(self, born_ms: int | None, now: float) -> None:
-        """Takes note that a new start was heard of."""
+    def add(self, born_ms: int | None, now: float) -> None:
+        """Makes a new incarnation the current one."""
         if self._current is not None:
             self._former.add(self._current)
-        self._current, self._since = born_ms, now
+        self._current, self._current_since = born_ms, now
--- a/src/vanillaswitch/coordination/fleet/instances/restarts.py
+++ b/src/vanillaswitch/coordination/fleet/instances/restarts.py
@@ -1,4 +1,4 @@
-"""Instances that start again under their id, and what follows from it."""
+"""Detects instances that restart under their id and ends their former runs."""
 
 from collections.abc import Collection
 
@@ -9,86 +9,93 @@
 from vanillaswitch.coordination.fleet.queue import rooms
 from vanillaswitch.protocol import fleet
 
-CLOCK_BACK_MS = 2000.0
-"""A clock further behind than this belongs to a new life of its instance: an
-answer is 0.7 s on its way at most, and a slow clock falls behind by 0.1 s
-between two accounts."""
+CLOCK_RESET_MS = 2000.0
+"""An instance whose clock is further behind than this has restarted. A response
+takes at most 0.7 s to arrive, and a slow clock loses 0.1 s between two status
+reports."""
 
 
-class Restarts(crashes.Crashes):
-    """Tells the starts of an instance apart."""
+class RestartDetection(crashes.CrashTracking):
+    """Tells the incarnations of an instance apart."""
 
     def registered(self, registration: fleet.Registration, now: float) -> bool:
-        """Takes note of an instance; returns whether it is a new one."""
+        """Adds or updates an instance; returns whether it is new."""
         known = self.instances.get(registration.instance)
         if known is not None:
-            told = known.lives.of_entry(registration.born_ms)
-            if told is lives.Told.FORMER:
+            origin = known.lives.classify_registration(registration.born_ms)
+            if origin is lives.Origin.FORMER:
                 return False
-            if told is lives.Told.NEW:
-                self._restarted(known, registration.born_ms, now)
+            if origin is lives.Origin.NEW:
+                self._handle_restart(known, registration.born_ms, now)
         return super().registered(registration, now)
 
-    def _is_of_now(
+    def _is_current_report(
         self,
         instance: rooms.Instance,
-        held: fleet.Held,
+        report: fleet.Held,
         began_at: float,
         now: float,
     ) -> bool:
-        """Whether an account is about the instance that runs now.
+        """Whether a status report comes from the running incarnation.
 
-        It may be the first word of a new start, which is taken note of.
+        If it is the first report of a new incarnation, the runs of the former
+        one end here.
         """
-        told = instance.lives.of_account(held.born_ms, began_at)
-        if told is lives.Told.FORMER:
-            why = f"an account of the start at {held.born_ms} is not used"
-            self._emit_instance(instance, "former", why, now)
+        origin = instance.lives.classify_report(report.born_ms, began_at)
+        if origin is lives.Origin.FORMER:
+            why = (
+                "ignored a status report of the incarnation started at "
+                f"{report.born_ms}"
+            )
+            self._emit_instance_changed(instance, "former", why, now)
             return False
-        if told is lives.Told.NEW:
-            said = {(row.task, row.run) for row in held.running}
-            said |= {(end.task, end.run) for end in held.ended}
-            self._restarted(instance, held.born_ms, now, said)
+        if origin is lives.Origin.NEW:
+            reported = {(row.task, row.run) for row in report.running}
+            reported |= {(end.task, end.run) for end in report.ended}
+            self._handle_restart(instance, report.born_ms, now, reported)
         return True
 
-    def _restarted(
+    def _handle_restart(
         self,
         instance: rooms.Instance,
         born_ms: int | None,
         now: float,
-        said: Collection[rooms.RunKey] = (),
+        reported: Collection[rooms.RunKey] = (),
     ) -> None:
-        """Ends what ran before an instance started again.
+        """Ends what ran before an instance restarted.
 
-        Its id is the same, so nothing else tells: its empty account looked
-        like one that is older than the starts, its tasks stayed at work in
-        the book for good, and its new ends, whose numbers begin at 1, like
-        ends heard before.
+        The id stays the same, so the new start time is the only sign. Without
+        this, the empty report of the new incarnation would pass for one that
+        is older than the starts, and its tasks would count as running forever.
+        The ends of the new incarnation, numbered from 1, would pass for ends
+        that are already known.
 
         Args:
-            instance: the one that started again.
-            born_ms: when it started again.
+            instance: the one that restarted.
+            born_ms: start time of the new incarnation.
             now: monotonic seconds.
-            said: runs that its account names; it accepted them since.
+            reported: runs that its report names; the new incarnation accepted
+                them.
         """
-        why = f"started at {instance.lives.current}, again at {born_ms}"
-        self._emit_instance(instance, "restarted", why, now)
+        why = f"started at {instance.lives.current}, restarted at {born_ms}"
+        self._emit_instance_changed(instance, "restarted", why, now)
         runs = list(instance.runs.values())
-        crashed = [run for run in runs if run.key not in said]
-        self._crashed(instance, crashed, why, now)
-        instance.lives.begin(born_ms, now)
-        # Calls of before that reach the new start name times of another
-        # clock; it shortens such a lease to the longest that it takes.
+        crashed = [run for run in runs if run.key not in reported]
+        self._count_loss(instance, crashed, why, now)
+        instance.lives.add(born_ms, now)
+        # Calls sent before the restart that reach the new incarnation name
+        # deadlines on the former clock. The instance cuts such a lease to the
+        # longest one that it grants.
         longest_s = self._bounds.max_hold_s
         instance.start_anew(now, lease_times.lapses_at(now, longest_s))
         self._stops = [s for s in self._stops if s.instance != instance.name]
         self._forget_tickets(instance.name)
         for run in runs:
-            if run.key in said or run.inherited:
+            if run.key in reported or run.inherited:
                 continue
-            if _may_still_come(run):
+            if _may_start_late(run):
                 run.begin_doubt()
-                self.stop_run(instance, run, now, "its instance started again")
+                self.stop_run(instance, run, now, "its instance restarted")
             else:
                 self._release(instance, run)
         self._changed = True
@@ -96,26 +103,28 @@
     def _heed_clock(
         self, instance: rooms.Instance, clock_ms: float, now: float
     ) -> None:
-        """Finds by its clock that an instance has started again.
+        """Detects a restart of an instance by its clock.
 
-        The answer to a start names no life. The deadline in that start was on
-        the clock of the former one, so what runs there now may go on for as
-        long as an instance grants; taken as lapsed before, it ran twice. No
-        more is sent there until an account tells.
+        The response to a start names no incarnation. The deadline in that start
+        was on the clock of the former one, so the run may last for the longest
+        lease that an instance grants. Counted as expired before, the task would
+        run twice. The instance gets no more work until it sends a status
+        report.
         """
         behind_ms = instance.clock_now_ms(now) - clock_ms
-        if not instance.adopted or behind_ms <= CLOCK_BACK_MS:
+        if not instance.adopted or behind_ms <= CLOCK_RESET_MS:
             return
         longest_s = self._bounds.max_hold_s
         lapses_at = lease_times.lapses_at(now, longest_s)
         instance.lapses_at = max(instance.lapses_at, lapses_at)
         instance.doubtful = True
 
-    def _stop_copies(self, instance: rooms.Instance, now: float) -> None:
-        """Stops runs that are over and whose starts may still arrive.
+    def _stop_late_starts(self, instance: rooms.Instance, now: float) -> None:
+        """Stops ended runs whose starts may still arrive at an instance.
 
-        Asked for when a new start is first heard: it would not refuse them as
-        old, and a quote that is done would run again.
+        Called at the first status report of an incarnation. A new incarnation
+        does not refuse such a start as outdated and would run a finished task
+        again.
         """
         self._stops.extend(
             term_state.StopOrder(instance.name, task, run)
@@ -123,7 +132,7 @@
         )
 
     def _forget_tickets(self, name: str) -> None:
-        """Drops an instance's tickets, which are good for one start of it."""
+        """Drops an instance's tickets, which only one incarnation accepts."""
         for step, tickets in list(self.tickets.items()):
             if name in tickets:
                 self.tickets[step] = {
@@ -133,12 +142,13 @@
                 }
 
 
-def _may_still_come(run: rooms.Run) -> bool:
-    """Whether a run may be at the new start, or may yet arrive there.
+def _may_start_late(run: rooms.Run) -> bool:
+    """Whether a run may be on the new incarnation or may still start there.
 
-    That one knows no token and no run, so it would carry out a copy of a start
-    that had no answer, or had accepted a start that the former one was meant
-    for, while the task had begun elsewhere. It has to accept a stop first. A
-    run that the former one listed began there and is over.
+    The new incarnation knows no fencing token and no run. It may have accepted
+    a start that was meant for the former one, or may still carry out a copy of
+    a start without a response, while the task runs elsewhere. It has to accept
+    a stop first. A run that the former incarnation listed began there and has
+    ended with it.
     """
     return run.unanswered or (run.sent and not run.was_listed)
--- a/src/vanillaswitch/coordination/fleet/instances/suspicion.py
+++ b/src/vanillaswitch/coordination/fleet/instances/suspicion.py
@@ -1,10 +1,11 @@
-"""Where a task starts that may crash its instance.
-
-Load pattern: a task is lost with its instance, and with it what else had begun
-there a moment before; any of them may be the cause. Packed onto the fullest
-instance like others, the guilty one takes as many again along. So each starts
-where nothing is new, so that a second crash tells which one it was, and where
-least is lost; and nothing else starts there until it has worked for a while.
+"""Chooses instances for tasks that are suspected of crashing them.
+
+When an instance crashes, every task that had just begun there may be the cause.
+If the suspects were packed onto the fullest instance like other tasks, the one
+that causes crashes would take down as many runs again. Each suspect therefore
+starts on an instance without other new runs, so that a second crash identifies
+it, and where the fewest runs would be lost. Nothing else starts there until the
+suspect has worked for a while.
 """
 
 from collections.abc import Sequence
@@ -14,20 +15,21 @@
 from vanillaswitch.coordination.fleet.queue import book as books
 from vanillaswitch.coordination.fleet.queue import rooms
 
-APART_SHARE = 0.25
-"""Most of a pool on which suspected tasks run at a time: the others serve the
-jobs that did nothing."""
+BUSY_SUSPECT_SHARE = 0.25
+"""Largest share of a pool that may run suspected tasks at a time. The rest
+serves jobs that are not suspected."""
 
-IDLE_SHARE = 0.75
-"""The same where the instance has no other work. Most of the tasks that are
-lost with an instance are sound, and waited for each other beside idle ones."""
+IDLE_SUSPECT_SHARE = 0.75
+"""The same limit for choosing an instance without other work. Most tasks lost
+with an instance are not the cause, and with the lower limit they would wait
+for each other while instances are idle."""
 
 
 def may_try(pool: Sequence[rooms.Instance], chosen: rooms.Instance) -> bool:
-    """Whether one more instance of a pool may run a suspected task."""
-    share = APART_SHARE if chosen.runs else IDLE_SHARE
-    tried = sum(instance.tries for instance in pool)
-    return tried < max(1, int(len(pool) * share))
+    """Whether the chosen instance of a pool may run a suspected task."""
+    share = BUSY_SUSPECT_SHARE if chosen.runs else IDLE_SUSPECT_SHARE
+    running = sum(instance.tries for instance in pool)
+    return running < max(1, int(len(pool) * share))
 
 
 def least_harm(
@@ -37,27 +39,31 @@
     candidates: Sequence[rooms.Instance],
     now: float,
 ) -> rooms.Instance | None:
-    """Returns the instance whose loss costs least; one to wait for at worst.
+    """Returns the instance whose loss would cost least.
+
+    If no instance can start the task now, it returns one to wait for.
 
     Args:
-        state: of the term.
-        step: of the task.
-        task: that may crash its instance.
+        state: state of the current term.
+        step: the step of the task.
+        task: the suspected task.
         candidates: instances that may run it.
         now: monotonic seconds.
     """
     need = books.need(step.step)
 
     def rank(instance: rooms.Instance) -> tuple[object, ...]:
-        lasting = [
+        long_running = [
             run for run in instance.runs.values() if run.step.long_running
         ]
-        unspared = sum(_is_unspared(state, run, now) for run in lasting)
+        over_budget = sum(
+            _has_no_budget_left(state, run, now) for run in long_running
+        )
         return (
             not is_free_for(step, task, instance),
-            unspared > 0,
+            over_budget > 0,
             instance.name != step.held,
-            len(lasting),
+            len(long_running),
             instance.name in task.avoid or instance.slow,
             instance.used_cpu,
             instance.name,
@@ -74,16 +80,18 @@
 def is_free_for(
     step: books.OpenStep, task: books.Task, instance: rooms.Instance
 ) -> bool:
-    """Whether a suspected task may start on an instance at once."""
-    apart = step.step.anti_affinity
+    """Whether a suspected task may start on an instance now."""
+    limit = step.step.anti_affinity
     return (
         not instance.unproven
         and instance.fits(books.need(step.step))
-        and not (apart and instance.count_of(task.name) >= apart)
+        and not (limit and instance.count_of(task.name) >= limit)
     )
 
 
-def _is_unspared(state: term_state.State, run: rooms.Run, now: float) -> bool:
-    """Whether one more task of a lasting run's step may not be away."""
+def _has_no_budget_left(
+    state: term_state.State, run: rooms.Run, now: float
+) -> bool:
+    """Whether no other task of a run's step may become unavailable."""
     beside = sparing.beside(state, run.task, now)
     return bool(beside.spared) and beside.away >= beside.spared
--- a/src/vanillaswitch/coordination/fleet/instances/term_state.py
+++ b/src/vanillaswitch/coordination/fleet/instances/term_state.py
@@ -1,4 +1,4 @@
-"""The state of one term of ownership, and what its decisions leave to do."""
+"""State of one term of ownership and the actions it has decided on."""
 
 from collections.abc import Callable
 from collections.abc import Collection
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StartOrder:
-    """A start that may be sent once its row is written."""
+    """A start that may be sent once its job's row is written."""
 
     instance: str
     task: jobs.TaskName
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StopOrder:
-    """A run that is to be stopped."""
+    """An order to stop a run."""
 
     instance: str
     task: jobs.TaskName
@@ -40,13 +40,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Batch:
-    """What is written together and what may be done afterwards.
+    """Rows to write together, and what may follow once they are written.
 
     Attributes:
         entries: jobs whose rows are written.
-        starts: to be sent afterwards.
-        seen: number of the last end taken note of, by instance.
-        lives: the life of the instance that numbered it.
+        starts: starts to send afterwards.
+        seen: number of the last processed end, by instance. It may be
+            acknowledged afterwards.
+        lives: the incarnation that numbered this end, by instance.
     """
 
     entries: tuple[books.Entry, ...]
@@ -60,16 +61,17 @@
 
     Attributes:
         book: all accepted jobs.
-        instances: by id.
-        queues: by name, as configured now.
-        pools: by name, as configured now.
-        unread: jobs of which only progress is known: their own rows lie in
-            a part of the store that is away.
-        without_spec: jobs that could start but for their spec, which is not
-            read yet.
-        waiting_cpu: processors that ready tasks wait for, by pool.
-        arrivals: jobs that came lately, by pool.
-        waiting_load: those of them that end by themselves, by pool.
+        instances: instances by id.
+        queues: configured queues by name.
+        pools: configured pools by name.
+        unread: jobs of which only the progress is known, because their own
+            rows are in a part of the store that is unavailable.
+        tickets: ticket of each instance, by step.
+        without_spec: jobs that could start if their spec had been read.
+        waiting_cpu: thousandths of a core that ready tasks wait for, by pool.
+        arrivals: recently arrived jobs, by pool.
+        waiting_load: load of the waiting tasks that end by themselves, by
+            pool.
     """
 
     def __init__(
@@ -78,12 +80,12 @@
         emit: Callable[[object], None],
         bounds: deployments.Bounds = DEFAULT_BOUNDS,
     ):
-        """Makes the state of a term that knows nothing yet.
+        """Creates the empty state of a new term.
 
         Args:
-            order: which open step gets room first.
-            emit: takes each event of ``events``.
-            bounds: of the deployment.
+            order: decides which open step gets capacity first.
+            emit: receives each event of ``events``.
+            bounds: limits of the deployment.
         """
         self._bounds = bounds
         self._order = order
@@ -107,53 +109,62 @@
 
     @property
     def notice_s(self) -> float:
-        """A lasting task away for so long counts against what is spared."""
+        """Seconds after which an unavailable long-running task uses budget."""
         return self._bounds.notice_s
 
     def configured(self, config: fleet.FleetConfig) -> None:
-        """Takes a configuration into force."""
+        """Applies a configuration."""
         self.queues = {queue.name: queue for queue in config.queues}
         self.pools = config.pools
         self._changed = True
 
     def registered(self, registration: fleet.Registration, now: float) -> bool:
-        """Takes note of an instance; returns whether it is a new one."""
+        """Adds or updates an instance; returns whether it is new."""
         self._changed = True
         known = self.instances.get(registration.instance)
         if known is None:
             instance = rooms.Instance(registration, now)
             self.instances[registration.instance] = instance
-            self._emit_instance(instance, "listed", "", now)
+            self._emit_instance_changed(instance, "listed", "", now)
             return True
         if registration.draining and not known.registration.draining:
-            self._emit_instance(known, "draining", "it says so", now)
+            self._emit_instance_changed(
+                known,
+                "draining",
+                "its registration says that it is draining",
+                now,
+            )
         if known.distrusted:
-            self._emit_instance(known, "listed", "it can be read again", now)
+            self._emit_instance_changed(
+                known, "listed", "its registration can be read again", now
+            )
         known.register(registration)
         known.listed = True
         known.distrusted = False
         return False
 
     def distrusted(self, name: str, why: str, now: float) -> None:
-        """Takes note that an instance's entry can't be read.
+        """Marks an instance whose registration can't be read.
 
-        Another writer may have written over it: the instance may run on, and
-        may be gone. What runs there is held at the address that is known, and
-        keeps its room until its end is heard or its lease has lapsed; started
-        elsewhere at once it could run twice. It gets no new work.
+        Another writer may have overwritten it, so the instance may be running
+        or gone. The leases of its runs are renewed at the last known address.
+        The runs keep their capacity until they are listed as ended or their
+        lease has expired; started elsewhere before, tasks could run twice. The
+        instance gets no new work.
         """
         known = self.instances.get(name)
         if known is None or known.distrusted:
             return
         known.distrusted = True
         self._changed = True
-        self._emit_instance(known, "distrusted", why, now)
+        self._emit_instance_changed(known, "distrusted", why, now)
 
     def holds(self, name: str) -> bool:
-        """Whether an instance is asked for its account and held.
+        """Whether an instance is polled and its leases are renewed.
 
-        One of a service that the configuration does not name is no instance
-        of ours; what was started there before is held to its end.
+        An instance of a service that is not configured as a pool is not
+        managed. Runs that were started there before keep their leases until
+        they end.
         """
         known = self.instances.get(name)
         if known is None or not known.registration.address:
@@ -161,14 +172,14 @@
         return bool(known.runs) or known.registration.service in self.pools
 
     def unlisted(self, name: str) -> None:
-        """Takes note that an instance left the platform's list.
+        """Marks an instance that left the platform's list.
 
-        That is no proof that it stopped: it may be cut off and run on.
+        This does not prove that it stopped: it may be cut off and still run.
         """
         if name in self.instances:
             self.instances[name].listed = False
 
-    def _emit_instance(
+    def _emit_instance_changed(
         self, instance: rooms.Instance, change: str, why: str, now: float
     ) -> None:
         self._emit(
@@ -183,12 +194,12 @@
         )
 
     def service_of(self, entry: books.Entry) -> str:
-        """Returns the pool that a job's tasks run in now."""
+        """Returns the name of the pool that a job's tasks run in."""
         queue = self.queues.get(entry.job.queue)
         return queue.service if queue else entry.job.service
 
     def pool_instances(self, service: str) -> list[rooms.Instance]:
-        """Returns a pool's instances."""
+        """Returns the instances of a pool."""
         return self.by_pool().get(service, [])
 
     def by_pool(self) -> dict[str, list[rooms.Instance]]:
@@ -200,7 +211,7 @@
         return found
 
     def _begun(self, job_id: str) -> None:
-        """Takes note that a task of a job has surely begun."""
+        """Marks a job as begun; one of its tasks certainly runs or has run."""
         entry = self.book.get(job_id)
         if entry is not None:
             entry.begun = True
@@ -211,16 +222,16 @@
 
     @property
     def changed(self) -> bool:
-        """Whether something happened that a plan may act on."""
+        """Whether anything changed that planning may act on."""
         return self._changed
 
     @property
     def has_work(self) -> bool:
-        """Whether there is something to write."""
+        """Whether there are rows to write."""
         return self.book.has_dirty
 
     def take_batch(self, limit: int) -> Batch:
-        """Takes the next rows to write, with what follows from them."""
+        """Removes and returns the next rows to write and their starts."""
         entries = tuple(self.book.take_dirty(limit))
         ids = {entry.job.job_id for entry in entries}
         starts = [s for s in self._starts if s.task.job_id in ids]
@@ -230,12 +241,12 @@
             for name, instance in self.instances.items()
         }
         if self.book.has_dirty:
-            # Some of these ends are not in this batch.
+            # Some of these ends belong to jobs that are not in this batch.
             seen = {}
         lives = {name: self.instances[name].life for name in seen}
         return Batch(entries, tuple(starts), seen, lives)
 
     def take_stops(self) -> list[StopOrder]:
-        """Takes the stops that are to be sent."""
+        """Removes and returns the stops to send."""
         stops, self._stops = self._stops, []
         return stops
