--- a/tests/common/crashing_days.py
+++ b/tests/common/crashing_days.py
@@ -1,8 +1,8 @@
-"""Days of tasks that crash the instances that start them, in short steps.
+"""Simulates tasks that crash their instances, in short time steps.
 
-An owner decides; instances carry out, end and crash. What the rules ask is
-counted from what instances were told: how many of them went down under a task,
-and how often it was started afterwards.
+An owner decides, and simulated instances run tasks, complete them and crash.
+The tests check counts that are taken on the instances: how many of them crashed
+under a task, and how often the task was started afterwards.
 """
 
 from collections.abc import Collection
@@ -21,23 +21,27 @@
 from vanillaswitch.protocol import jobs
 
 TICK_S = 0.05
-FOUND_S = 0.25
-"""Time after which a crash is found by the list of machines."""
+DETECTION_S = 0.25
+"""Time until the list of machines shows a crash."""
 
-BACK_S = 3.0
-"""Time after which an instance is there again."""
+RESTART_S = 3.0
+"""Time until a crashed instance runs again."""
 
-TASK_S = 0.6
-"""How long a task that ends by itself works."""
+TASK_DURATION_S = 0.6
+"""How long a task runs that ends by itself."""
 
-MOST_CRASHES = 3
-MOST_STARTS_AFTERWARDS = 2
-"""After so many crashes under it a task is started so often more at most."""
+MAX_CRASHES = 3
+MAX_STARTS_AFTERWARDS = 2
+"""How often a task may start once it has crashed ``MAX_CRASHES`` instances."""
 
 
 @dataclasses.dataclass
 class Tally:
-    """What became of one task, as the instances saw it."""
+    """Starts and crashes of one task, counted on the instances.
+
+    Attributes:
+        starts_afterwards: starts after ``MAX_CRASHES`` crashes.
+    """
 
     starts: int = 0
     crashes: int = 0
@@ -46,15 +50,15 @@
     def start(self) -> None:
         """Counts a start."""
         self.starts += 1
-        self.starts_afterwards += self.crashes >= MOST_CRASHES
+        self.starts_afterwards += self.crashes >= MAX_CRASHES
 
 
 class Day:
-    """A pool of instances, its jobs and its owners.
+    """Simulates a pool of instances, its jobs and its owners.
 
     Attributes:
-        told: what the owners wrote into their logs.
-        tallies: by task.
+        emitted: events that the owners emitted.
+        tallies: starts and crashes by task.
         instances_lost: how many instances crashed.
     """
 
@@ -66,70 +70,70 @@
         cpu: int = 4000,
         crash_after_s: float = 0.01,
     ):
-        """Makes a day without jobs.
+        """Starts a simulation without jobs.
 
         Args:
-            instances: of the pool.
-            same_id: whether a crashed one starts again under its id.
-            cpu: thousandths of a core of each.
-            crash_after_s: time from a start until it crashes its instance.
+            instances: number of instances in the pool.
+            same_id: whether a crashed instance restarts under its id.
+            cpu: thousandths of a core of each instance.
+            crash_after_s: time from the start of a crashing task to the crash.
         """
         self.now = 1.0
         self.token = 0
-        self.told: list[object] = []
+        self.emitted: list[object] = []
         self.tallies: dict[jobs.TaskName, Tally] = {}
         self.instances_lost = 0
         self.models: dict[str, leased_instance.LeasedInstance] = {}
         self._same_id = same_id
         self._cpu = cpu
         self._crash_after_s = crash_after_s
-        self._lives = 0
-        self._bad: set[jobs.TaskName] = set()
+        self._boots = 0
+        self._crashing_tasks: set[jobs.TaskName] = set()
         self._jobs: dict[str, jobs.Job] = {}
         self._rows: dict[str, dict[str, object]] = {}
-        self._noted: dict[str, tuple[int, int]] = {}
+        self._recorded_ends: dict[str, tuple[int, int]] = {}
         self._crash_at: dict[str, float] = {}
-        self._found_at: dict[str, float] = {}
-        self._back_at: list[tuple[float, str]] = []
+        self._detect_at: dict[str, float] = {}
+        self._restart_at: list[tuple[float, str]] = []
         self._ends_at: dict[tuple[str, jobs.TaskName], float] = {}
-        self._untried: list[term_state.StartOrder] = []
+        self._unsent_starts: list[term_state.StartOrder] = []
         for _ in range(instances):
-            self._boot(f"i-{self._lives + 1}")
-        self.core = self._owner()
+            self._boot(f"i-{self._boots + 1}")
+        self.core = self._new_owner()
 
     def hand_in(
         self, job: jobs.Job, bad: Collection[tuple[int, int]] = ()
     ) -> None:
-        """Hands a job in; tasks (step, index) of ``bad`` crash instances."""
+        """Submits a job; its tasks (step, index) in ``bad`` crash instances."""
         self._jobs[job.job_id] = job
-        self._bad.update(
+        self._crashing_tasks.update(
             jobs.TaskName(job.job_id, 0, step, index) for step, index in bad
         )
         self.core.job_added(job, self.now)
 
     def run(self, seconds: float) -> None:
-        """Plays so much time."""
+        """Advances the simulation by this time."""
         until = self.now + seconds
         while self.now < until:
             self._tick()
 
     def take_over(self) -> None:
-        """Has another process own the fleet, from the rows alone."""
-        self.core = self._owner()
+        """Replaces the owner by one that knows only the stored rows."""
+        self.core = self._new_owner()
 
     def state(self, job: jobs.Job) -> jobs.JobState:
-        """Returns what a client is told of a job."""
+        """Returns the state of a job that clients see."""
         entry = self.core.book.get(job.job_id)
         assert entry is not None
         return entry.shown
 
     def tally(self, job: jobs.Job, step: int = 0, index: int = 0) -> Tally:
-        """Returns what became of a task."""
+        """Returns the starts and crashes of a task."""
         return self.tallies[jobs.TaskName(job.job_id, 0, step, index)]
 
-    def is_bad(self, task: jobs.TaskName) -> bool:
+    def crashes_instances(self, task: jobs.TaskName) -> bool:
         """Whether a task crashes its instances."""
-        return task in self._bad
+        return task in self._crashing_tasks
 
     def crash_rack(self, rack: str) -> None:
         """Crashes all instances of a rack."""
@@ -138,35 +142,33 @@
                 self.crash(name)
 
     def crash(self, name: str) -> None:
-        """Crashes an instance with all it runs."""
+        """Crashes an instance with all its runs."""
         model = self.models[name]
         for task in model.running:
             self.tallies[task].crashes += 1
         model.crash()
         self.instances_lost += 1
         self._crash_at.pop(name, None)
-        self._found_at[name] = self.now + FOUND_S
-        self._back_at.append((self.now + BACK_S, name))
-
-    # Instances.
+        self._detect_at[name] = self.now + DETECTION_S
+        self._restart_at.append((self.now + RESTART_S, name))
 
     def _boot(self, name: str) -> None:
-        self._lives += 1
+        self._boots += 1
         registration = dataclasses.replace(
             fleets.registration(
-                name, rack=f"r{self._lives % 3}", cpu=self._cpu
+                name, rack=f"r{self._boots % 3}", cpu=self._cpu
             ),
-            born_ms=self._lives,
+            born_ms=self._boots,
         )
         self.models[name] = leased_instance.LeasedInstance(registration)
 
     def _tick(self) -> None:
         self.now = round(self.now + TICK_S, 3)
-        self._instances_go_on()
-        self._tell_owner()
+        self._advance_instances()
+        self._report_to_owner()
         self._plan()
 
-    def _instances_go_on(self) -> None:
+    def _advance_instances(self) -> None:
         for name, at in list(self._crash_at.items()):
             if self.now >= at:
                 self.crash(name)
@@ -175,23 +177,22 @@
                 del self._ends_at[name, task]
                 if self.models[name].up and task in self.models[name].running:
                     self.models[name].end(task, fleet.How.DONE)
-        for at, name in list(self._back_at):
+        for at, name in list(self._restart_at):
             if self.now >= at:
-                self._back_at.remove((at, name))
-                again = name if self._same_id else f"i-{self._lives + 1}"
+                self._restart_at.remove((at, name))
+                again = name if self._same_id else f"i-{self._boots + 1}"
                 self._boot(again)
                 self.core.registered(self.models[again].registration, self.now)
         for model in self.models.values():
             if model.up:
                 model.advance(TICK_S * 1000)
 
-    # The owner.
-
-    def _owner(self) -> cores.Core:
+    def _new_owner(self) -> cores.Core:
         self.token += 1
-        self._untried.clear()
+        self._unsent_starts.clear()
         core = cores.Core(
-            queue_order.ORDERS.get(queue_order.DEFAULT_ORDER), self.told.append
+            queue_order.ORDERS.get(queue_order.DEFAULT_ORDER),
+            self.emitted.append,
         )
         core.configured(fleets.config())
         for model in self.models.values():
@@ -204,33 +205,35 @@
             else:
                 core.restore(job, row, 1, self.now)
         core.inherit_runs(self.now, lease_times.inherited_lapse_at(self.now))
-        self._noted.clear()
+        self._recorded_ends.clear()
         return core
 
-    def _tell_owner(self) -> None:
+    def _report_to_owner(self) -> None:
         for name in list(self.core.instances):
             model = self.models.get(name)
             if model is not None and model.up:
-                self._hold(name, model)
+                self._poll_instance(name, model)
             else:
                 self.core.unanswered(name, self.now)
-        for name, at in list(self._found_at.items()):
+        for name, at in list(self._detect_at.items()):
             if self.now >= at:
-                del self._found_at[name]
+                del self._detect_at[name]
                 if not self._same_id:
                     self.core.gone(name, self.now, "no machine runs it")
         for name in list(self.core.instances):
             if name not in self.models:
                 self.core.gone(name, self.now, "no machine runs it")
 
-    def _hold(self, name: str, model: leased_instance.LeasedInstance) -> None:
+    def _poll_instance(
+        self, name: str, model: leased_instance.LeasedInstance
+    ) -> None:
         known = self.core.instances[name]
         deadline = None
         if known.adopted:
             deadline = int(
                 known.clock_now_ms(self.now) + lease_times.HOLD_S * 1000
             )
-        life, seen = self._noted.get(name, (0, 0))
+        life, seen = self._recorded_ends.get(name, (0, 0))
         outcome = model.hold(
             self.token, seen if life == known.life else 0, deadline
         )
@@ -253,7 +256,7 @@
             self._rows[entry.job.job_id] = entry.pack()
             entry.shown = entry.state
         for name, number in batch.seen.items():
-            self._noted[name] = batch.lives[name], number
+            self._recorded_ends[name] = batch.lives[name], number
         for order in batch.starts:
             self._start(order)
 
@@ -278,107 +281,116 @@
             self.now,
         )
         self.tallies.setdefault(order.task, Tally()).start()
-        if order.task in self._bad:
+        if order.task in self._crashing_tasks:
             self._crash_at.setdefault(
                 order.instance, self.now + self._crash_after_s
             )
         elif step.long_running:
             model.running[order.task].percent = 100.0
         else:
-            self._ends_at[order.instance, order.task] = self.now + TASK_S
+            self._ends_at[order.instance, order.task] = (
+                self.now + TASK_DURATION_S
+            )
 
 
 @dataclasses.dataclass(frozen=True)
-class Trouble:
-    """What a drawn day holds.
+class Faults:
+    """Faults of a random simulation.
 
     Attributes:
-        bad_share: share of the jobs with a task that crashes its instances.
-        whole_steps: whether all tasks of such a step do.
-        owner_changes: chance of a change of owner in each tick.
-        lost_racks: chance in each tick that a third of the pool crashes.
+        crashing_share: share of the jobs with a task that crashes instances.
+        entire_steps: whether all tasks of such a step crash instances.
+        owner_change_rate: probability of a change of owner in each tick.
+        rack_loss_rate: probability in each tick that a rack crashes, which is
+            a third of the pool.
     """
 
-    bad_share: float = 0.05
-    whole_steps: bool = False
-    owner_changes: float = 0.0
-    lost_racks: float = 0.0
+    crashing_share: float = 0.05
+    entire_steps: bool = False
+    owner_change_rate: float = 0.0
+    rack_loss_rate: float = 0.0
 
 
 @dataclasses.dataclass
-class Drawn:
-    """A drawn day and its jobs."""
+class Scenario:
+    """A simulation with random jobs and faults.
+
+    Attributes:
+        simulation: the simulated pool.
+        healthy: jobs whose tasks crash no instance.
+        crashing: jobs with a task that crashes instances.
+    """
 
-    day: Day
-    sound: list[jobs.Job] = dataclasses.field(default_factory=list)
-    bad: list[jobs.Job] = dataclasses.field(default_factory=list)
+    simulation: Day
+    healthy: list[jobs.Job] = dataclasses.field(default_factory=list)
+    crashing: list[jobs.Job] = dataclasses.field(default_factory=list)
 
     @property
-    def given_up(self) -> list[jobs.Job]:
-        """Sound jobs that are shown as failed."""
+    def wrongly_failed(self) -> list[jobs.Job]:
+        """Healthy jobs that are shown as failed."""
         return [
             job
-            for job in self.sound
-            if self.day.state(job) is jobs.JobState.FAILED
+            for job in self.healthy
+            if self.simulation.state(job) is jobs.JobState.FAILED
         ]
 
     @property
     def most_starts_afterwards(self) -> int:
-        """Starts of a bad task after the third crash under it, at most."""
+        """Most starts of a crashing task after its third crash."""
         return max(
             (
                 tally.starts_afterwards
-                for task, tally in self.day.tallies.items()
-                if self.day.is_bad(task)
+                for task, tally in self.simulation.tallies.items()
+                if self.simulation.crashes_instances(task)
             ),
             default=0,
         )
 
 
-DAY_S = 25.0
-QUIET_S = 8.0
-"""No jobs come so long before the end of a drawn day."""
+DURATION_S = 25.0
+QUIET_END_S = 8.0
+"""No jobs are submitted in this last part of a random simulation."""
 
 
-def draw(seed: int, trouble: Trouble, **fields: Any) -> Drawn:
-    """Plays a day of short jobs beside a lasting one.
+def simulate_scenario(seed: int, faults: Faults, **fields: Any) -> Scenario:
+    """Simulates short jobs beside a long-running one.
 
     Args:
-        seed: of all that is drawn.
-        trouble: what comes.
-        fields: of the ``Day``.
+        seed: seed of all random choices.
+        faults: faults to inject.
+        fields: arguments of the ``Day``.
     """
-    chooser = random.Random(seed)
-    drawn = Drawn(Day(9, cpu=16_000, **fields))
-    lasting = jobs.Step(
+    rng = random.Random(seed)
+    scenario = Scenario(Day(9, cpu=16_000, **fields))
+    long_running_step = jobs.Step(
         count=5, cpu=1300, long_running=True, may_miss=1, anti_affinity=1
     )
-    drawn.sound.append(fleets.job(1000, (lasting,)))
-    drawn.day.hand_in(drawn.sound[0])
-    for tick in range(round(DAY_S / TICK_S)):
-        if tick * TICK_S < DAY_S - QUIET_S and chooser.random() < 0.2:
-            _hand_in_drawn(drawn, tick + 1, trouble, chooser)
-        if chooser.random() < trouble.owner_changes:
-            drawn.day.take_over()
-        if chooser.random() < trouble.lost_racks:
-            drawn.day.crash_rack(f"r{chooser.randrange(3)}")
-        drawn.day.run(TICK_S)
-    return drawn
-
-
-def _hand_in_drawn(
-    drawn: Drawn, number: int, trouble: Trouble, chooser: random.Random
+    scenario.healthy.append(fleets.job(1000, (long_running_step,)))
+    scenario.simulation.hand_in(scenario.healthy[0])
+    for tick in range(round(DURATION_S / TICK_S)):
+        if tick * TICK_S < DURATION_S - QUIET_END_S and rng.random() < 0.2:
+            _submit_random_job(scenario, tick + 1, faults, rng)
+        if rng.random() < faults.owner_change_rate:
+            scenario.simulation.take_over()
+        if rng.random() < faults.rack_loss_rate:
+            scenario.simulation.crash_rack(f"r{rng.randrange(3)}")
+        scenario.simulation.run(TICK_S)
+    return scenario
+
+
+def _submit_random_job(
+    scenario: Scenario, number: int, faults: Faults, rng: random.Random
 ) -> None:
-    count = chooser.randint(1, 12)
-    cpu = chooser.choice((600, 1100, 2500))
+    count = rng.randint(1, 12)
+    cpu = rng.choice((600, 1100, 2500))
     step = jobs.Step(count=count, cpu=cpu, estimate_ms=600)
     job = fleets.job(number, (step,))
-    guilty = [chooser.randrange(count)]
-    if trouble.whole_steps:
-        guilty = list(range(count))
-    if chooser.random() < trouble.bad_share:
-        drawn.bad.append(job)
-        drawn.day.hand_in(job, [(0, index) for index in guilty])
+    indices = [rng.randrange(count)]
+    if faults.entire_steps:
+        indices = list(range(count))
+    if rng.random() < faults.crashing_share:
+        scenario.crashing.append(job)
+        scenario.simulation.hand_in(job, [(0, index) for index in indices])
     else:
-        drawn.sound.append(job)
-        drawn.day.hand_in(job)
+        scenario.healthy.append(job)
+        scenario.simulation.hand_in(job)
--- a/tests/failures/test_unlisted_instance.py
+++ b/tests/failures/test_unlisted_instance.py
@@ -1,4 +1,4 @@
-"""An instance that runs tasks and stands in no list."""
+"""Instances that run tasks but are not registered."""
 
 import gevent
 import gevent.event
@@ -20,7 +20,7 @@
 
 
 class _Upstreams:
-    """Lists one run at a known address; fails for any other."""
+    """Reports runs for a known address and fails for an empty one."""
 
     def __init__(self, running):
         self._running = running
@@ -37,18 +37,19 @@
         raise AssertionError(f"a stop for {target}")
 
 
-def test_an_instance_of_unknown_address_is_held_once_it_registers():
-    """A task hangs for good after an outage of the store and a new owner.
+def test_an_instance_of_unknown_address_is_polled_once_it_registers():
+    """Otherwise a task hangs after a store outage and a change of owner.
 
-    The instance's entry lapsed while the store was away; the new owner knows
-    it from the rows alone, without an address, and its task of calls died.
-    When the instance registered again, nobody held it and its work was lost.
+    The registration of the instance expires while the store is unavailable. The
+    new owner knows the instance only from the rows, without an address. If that
+    ends the greenlet that polls it, the instance is not polled after it
+    registers again, and its work is lost.
     """
-    before = fleets.new_core()
-    fleets.adopt(before, "i-1")
-    before.job_added(fleets.job(steps=(jobs.Step(count=1),)), 0.0)
-    start = fleets.plan(before).starts[0]
-    entry = before.book.get(fleets.job().job_id)
+    previous = fleets.new_core()
+    fleets.adopt(previous, "i-1")
+    previous.job_added(fleets.job(steps=(jobs.Step(count=1),)), 0.0)
+    start = fleets.plan(previous).starts[0]
+    entry = previous.book.get(fleets.job().job_id)
     core = fleets.new_core()
     core.restore(entry.job, entry.pack(), 1, 0.0)
     assert core.inherit_runs(0.0, 1e9) == ["i-1"]
@@ -83,11 +84,11 @@
     )
 
 
-def test_an_instance_that_was_taken_as_gone_is_held_when_it_is_back():
-    """An instance stands idle for good after an outage of the store.
+def test_an_instance_that_was_removed_is_polled_when_it_registers_again():
+    """Otherwise an instance stays idle after an outage of the store.
 
-    Its entry and its lease lapsed, so it was taken as gone and its task of
-    calls ended; it registered again under the same id and got no new one.
+    Its registration and its lease expire, so the owner removes it and the
+    greenlet that polls it ends. It then registers again under the same id.
     """
     core = fleets.new_core()
     upstreams = _Upstreams(())
@@ -95,7 +96,7 @@
     core.registered(fleets.registration("i-1"), 0.0)
     tasks.ensure()
     gevent.sleep(0.1)
-    core.gone("i-1", 1.0, "unlisted and silent")
+    core.gone("i-1", 1.0, "no longer registered and unresponsive")
     gevent.sleep(0.2)
     core.registered(fleets.registration("i-1"), 2.0)
     tasks.ensure()
@@ -104,37 +105,37 @@
     core.gone("i-1", 3.0, "the test ends")
 
 
-def test_calls_that_fail_by_a_fault_of_ours_are_begun_again():
-    """An instance stands idle for good after one call to it went wrong."""
+def test_an_instance_task_that_died_of_an_exception_is_restarted():
+    """Otherwise an instance stays idle after one call raised an exception."""
     core = fleets.new_core()
     upstreams = _Upstreams(())
-    good = upstreams.hold
+    working = upstreams.hold
     upstreams.hold = lambda *_: 1 / 0
     tasks = instance_tasks.InstanceTasks(_means(core, upstreams))
     core.registered(fleets.registration("i-1"), 0.0)
     tasks.ensure()
     gevent.sleep(0.05)
     assert tasks.get("i-1") is None
-    upstreams.hold = good
+    upstreams.hold = working
     tasks.ensure()
     gevent.sleep(0.2)
     assert core.instances["i-1"].adopted
     core.gone("i-1", 3.0, "the test ends")
 
 
-def test_an_instance_of_unknown_address_is_not_emptied():
-    """Reminders stop all at once although their job spares one of them only.
+def test_an_instance_of_unknown_address_is_not_drained():
+    """Otherwise all tasks of a job stop though it allows only one to.
 
-    The entry of their instance lapsed in an outage, so a new owner knew it
-    from the rows alone and took it for one that leaves by itself, whose tasks
-    may all be stopped. Once it registered again the stops were sent.
+    The registration of their instance expires in an outage, so a new owner
+    knows the instance only from the rows. If it counted as draining, all its
+    tasks could be stopped. The stops would be sent once it registers again.
     """
     lasting = jobs.Step(count=2, long_running=True, may_miss=1)
-    before = fleets.new_core()
-    fleets.adopt(before, "i-1")
-    before.job_added(fleets.job(steps=(lasting,)), 0.0)
-    fleets.run_all(before, fleets.plan(before), percent=100.0)
-    entry = before.book.get(fleets.job().job_id)
+    previous = fleets.new_core()
+    fleets.adopt(previous, "i-1")
+    previous.job_added(fleets.job(steps=(lasting,)), 0.0)
+    fleets.run_all(previous, fleets.plan(previous), percent=100.0)
+    entry = previous.book.get(fleets.job().job_id)
     core = fleets.new_core()
     core.restore(entry.job, entry.pack(), 1, 0.0)
     assert core.inherit_runs(0.0, 1e9) == ["i-1"]
