--- a/src/vanillaswitch/coordination/fleet/instances/suspicion.py
+++ b/src/vanillaswitch/coordination/fleet/instances/suspicion.py
@@ -93,5 +93,5 @@
     state: term_state.State, run: rooms.Run, now: float
 ) -> bool:
     """Whether no other task of a run's step may become unavailable."""
-    beside = sparing.beside(state, run.task, now)
-    return bool(beside.spared) and beside.away >= beside.spared
+    siblings = sparing.beside(state, run.task, now)
+    return bool(siblings.spared) and siblings.away >= siblings.spared
--- a/src/vanillaswitch/coordination/fleet/instances/term_state.py
+++ b/src/vanillaswitch/coordination/fleet/instances/term_state.py
@@ -243,8 +243,8 @@
         if self.book.has_dirty:
             # Some of these ends belong to jobs that are not in this batch.
             seen = {}
-        lives = {name: self.instances[name].life for name in seen}
-        return Batch(entries, tuple(starts), seen, lives)
+        incarnations = {name: self.instances[name].life for name in seen}
+        return Batch(entries, tuple(starts), seen, incarnations)
 
     def take_stops(self) -> list[StopOrder]:
         """Removes and returns the stops to send."""
--- a/tests/common/crashing_days.py
+++ b/tests/common/crashing_days.py
@@ -233,9 +233,9 @@
             deadline = int(
                 known.clock_now_ms(self.now) + lease_times.HOLD_S * 1000
             )
-        life, seen = self._recorded_ends.get(name, (0, 0))
+        incarnation, seen = self._recorded_ends.get(name, (0, 0))
         outcome = model.hold(
-            self.token, seen if life == known.life else 0, deadline
+            self.token, seen if incarnation == known.life else 0, deadline
         )
         if isinstance(outcome, fleet.Held):
             self.core.held(name, outcome, self.now, self.now)
--- a/tests/failures/test_restarted_instance.py
+++ b/tests/failures/test_restarted_instance.py
@@ -229,10 +229,10 @@
     core.job_added(fleets.job(), 0.0)
     _end_all(core, "i-1", fleets.plan(core).starts, 2.0, FIRST)
     batch = core.take_batch(10)
-    life = core.instances["i-1"].life
+    incarnation = core.instances["i-1"].life
     _report(core, "i-1", 3.0, SECOND)
-    assert batch.lives["i-1"] == life
-    assert core.instances["i-1"].life != life
+    assert batch.lives["i-1"] == incarnation
+    assert core.instances["i-1"].life != incarnation
     means = instance_task.Means(core, None, None, None, None)
     task = instance_task.InstanceTask(means, "i-1")
     task.recorded(batch.seen["i-1"], batch.lives["i-1"])
--- a/tests/failures/test_unlisted_instance.py
+++ b/tests/failures/test_unlisted_instance.py
@@ -130,10 +130,10 @@
     knows the instance only from the rows. If it counted as draining, all its
     tasks could be stopped. The stops would be sent once it registers again.
     """
-    lasting = jobs.Step(count=2, long_running=True, may_miss=1)
+    long_running = jobs.Step(count=2, long_running=True, may_miss=1)
     previous = fleets.new_core()
     fleets.adopt(previous, "i-1")
-    previous.job_added(fleets.job(steps=(lasting,)), 0.0)
+    previous.job_added(fleets.job(steps=(long_running,)), 0.0)
     fleets.run_all(previous, fleets.plan(previous), percent=100.0)
     entry = previous.book.get(fleets.job().job_id)
     core = fleets.new_core()
