--- a/src/vanillaswitch/coordination/fleet/instances/instance_task.py
+++ b/src/vanillaswitch/coordination/fleet/instances/instance_task.py
@@ -65,7 +65,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Means:
-    """Objects that the calls to instances share during one term."""
+    """Objects that the calls to instances share during one term.
+
+    Attributes:
+        core: the owner's decisions.
+        upstreams: sends calls to instances.
+        recorder: writes the owner's rows; knows its token and its term.
+        clock: source of monotonic time.
+        wake: set to make the owner plan again.
+    """
 
     core: cores.Core
     upstreams: fleet.Upstreams
--- a/tests/failures/test_fleet_failures.py
+++ b/tests/failures/test_fleet_failures.py
@@ -174,7 +174,7 @@
     assert fleets.plan(core, late + 0.3).starts[0].run == 2
 
 
-def test_a_task_of_a_crashed_instance_starts_elsewhere_without_its_lease():
+def test_a_task_of_a_crashed_instance_does_not_wait_for_its_lease():
     """Guards against a task that waits seconds after its instance crashed.
 
     The list of machines shows another instance on the machine, so no run of
--- a/tests/failures/test_lasting_tasks_away.py
+++ b/tests/failures/test_lasting_tasks_away.py
@@ -175,8 +175,8 @@
 
     The leases counted as expired while no other instance had capacity, but
     the runs went on. When the instances answered again, the owner did not know
-    the runs any more. It stopped each with the cause "listed, not in the
-    book", without a check of the budget and without a log event.
+    the runs any more. It stopped all three at once ("listed, not in the
+    book"), without a check of the budget and without a log event.
     """
     core = _serving()
     for name in _SPARE:
