--- a/src/vanillaswitch/coordination/fleet/queue/__init__.py
+++ b/src/vanillaswitch/coordination/fleet/queue/__init__.py
@@ -1,1 +1,1 @@
-"""What waits, in which order, and where it finds room."""
+"""The queue of waiting tasks: its order, and placement on instances."""
--- a/src/vanillaswitch/coordination/fleet/queue/arrivals.py
+++ b/src/vanillaswitch/coordination/fleet/queue/arrivals.py
@@ -1,51 +1,54 @@
-"""How much the jobs of the last moment add to what a pool is asked for.
+"""Estimates the demand that newly arrived jobs add to a pool.
 
-Load pattern: in a turn many jobs come within a moment, in between there are
-few; sizes differ by a factor of ten and more. One large job makes a pool's
-need jump as the first second of a turn does, and goes on to ask for nothing
-more. So jobs are counted, and each counts as one of usual size.
+Load pattern: jobs come in bursts, many within a moment, with few in between.
+Their sizes differ by a factor of ten and more. One large job makes the demand
+of a pool jump as much as the first second of a burst does, but no further
+demand follows it. The estimate therefore counts jobs and gives each of them
+the usual size.
 """
 
 import collections
 
 SMOOTHING = 0.1
-"""Weight of a new job in the usual size: some ten jobs, a second of a turn."""
+"""Weight of a new job in the moving average of job sizes. It averages over
+about ten jobs, which is one second of a burst."""
 
-KEPT_S = 2.0
-"""Arrivals are kept for so long; growth is measured over less."""
+RETENTION_S = 2.0
+"""How long arrivals are kept. Growth is measured over a shorter window."""
 
 
 class Arrivals:
-    """Counts the jobs that came to one pool."""
+    """Counts the jobs that arrived for one pool."""
 
     def __init__(self) -> None:
-        """Has seen no job yet."""
+        """Starts without any job."""
         self._usual_cpu: float | None = None
         self._times: collections.deque[float] = collections.deque()
 
     def observe(self, cpu: int, now: float) -> None:
-        """Takes note of a job.
+        """Records the arrival of a job.
 
         Args:
-            cpu: thousandths of a core that its first steps ask for.
+            cpu: thousandths of a core that its first steps request.
             now: monotonic seconds.
         """
         self._times.append(now)
-        while self._times[0] < now - KEPT_S:
+        while self._times[0] < now - RETENTION_S:
             self._times.popleft()
         if self._usual_cpu is None:
             self._usual_cpu = cpu
         self._usual_cpu += SMOOTHING * (cpu - self._usual_cpu)
 
     def growth(self, window_s: float, now: float) -> float:
-        """Returns what the jobs of a window ask for, at their usual size.
+        """Returns how fast demand grew in a window, at the usual job size.
 
         Args:
-            window_s: length of the window that ends now, at most ``KEPT_S``.
+            window_s: length of the window, which ends now; at most
+                ``RETENTION_S``.
             now: monotonic seconds.
 
         Returns:
-            Thousandths of a core a second.
+            Thousandths of a core per second.
         """
         count = sum(at > now - window_s for at in self._times)
         return count * (self._usual_cpu or 0.0) / window_s
--- a/src/vanillaswitch/coordination/fleet/queue/book.py
+++ b/src/vanillaswitch/coordination/fleet/queue/book.py
@@ -1,8 +1,8 @@
-"""What the owner knows of every accepted job and of its tasks.
+"""The owner's records of all accepted jobs and their tasks.
 
-The book decides nothing about where tasks run. It knows which tasks may run
-now, takes note of how runs ended, and packs what must outlive the owner into
-one row for each job.
+These records do not decide where tasks run. They track which tasks may run now
+and how runs ended, and pack the state that a later owner needs into one row
+per job.
 """
 
 from collections.abc import Iterable
@@ -20,7 +20,7 @@
 
 
 class TaskState(enum.StrEnum):
-    """Where a task stands."""
+    """State of a task."""
 
     WAITING = "w"
     ASSIGNED = "a"
@@ -29,20 +29,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Task:
-    """One task of a step that has begun its turn.
+    """One task of an open step.
 
     Attributes:
-        run: highest run number given out; 0 before the first start.
-        instance: where the current run is; empty while it waits.
-        failed: runs that ended as failed.
+        run: highest run number assigned so far; 0 before the first start.
+        instance: where the current run is; empty while the task waits.
+        failed: number of runs that ended as failed.
         counted_run: highest run whose failure was counted.
-        saved: newest checkpoint known.
-        avoid: instances on which it failed.
-        crashes: instances that were lost under its runs.
-        suspect: it may crash the instance that starts it next.
-        judged_at: monotonic seconds until which it does not start: what else
-            was lost with its last instance is not known before.
-        born_ms: start of the life of the instance that its run was meant for.
+        saved: newest known checkpoint.
+        avoid: instances on which the task failed.
+        crashes: crashes of instances during its runs.
+        suspect: whether it may crash the instance that starts it next.
+        judged_at: monotonic seconds before which the task must not start.
+            Which other instances were lost with its last one is not known
+            earlier.
+        born_ms: boot time of the instance incarnation that its run was
+            assigned to.
     """
 
     name: jobs.TaskName
@@ -61,27 +63,32 @@
     born_ms: int | None = None
 
     def add_crash(self, crash: crash_evidence.Crash) -> bool:
-        """Takes note of a crash, once for each run; whether it is new."""
+        """Records a crash, once per run.
+
+        Returns:
+            Whether no crash was recorded for that run before.
+        """
         if any(known.run == crash.run for known in self.crashes):
             return False
         self.crashes.append(crash)
-        self.suspect = crash_evidence.makes_suspect(self.crashes)
+        self.suspect = crash_evidence.is_suspect(self.crashes)
         return True
 
     def withdraw_crash(self, run: int) -> None:
-        """Drops the crash under a run that its instance tells of after all."""
+        """Removes the crash of a run that its instance reports after all."""
         self.crashes = [known for known in self.crashes if known.run != run]
-        self.suspect = crash_evidence.makes_suspect(self.crashes)
+        self.suspect = crash_evidence.is_suspect(self.crashes)
 
 
 class OpenStep:
     """A step of one occurrence whose tasks may run.
 
     Attributes:
-        held: instance that is kept free for it; empty for none.
-        crashed: an instance was lost under a task of it, or under one of a
-            job with the same image.
-        works: a task of it has worked for a while, or is done.
+        held: name of the instance that is reserved for it; empty for none.
+        crashed: whether an instance was lost while it ran one of the step's
+            tasks, or a task of another job with the same image.
+        works: whether one of its tasks is done or ran long enough to show
+            that it does not crash its instance.
     """
 
     __slots__ = (
@@ -113,23 +120,23 @@
 
     @property
     def waiting(self) -> list[Task]:
-        """The tasks that have no run."""
+        """Tasks without a current run."""
         return [task for task in self.tasks if task.state is TaskState.WAITING]
 
     @property
     def suspects(self) -> list[Task]:
-        """Waiting tasks that start apart, the most suspected first."""
+        """Waiting tasks to start in isolation, most crashes first."""
         if not self.crashed:
             return []
         found = [task for task in self.waiting if task.suspect]
         return sorted(found, key=lambda task: -len(task.crashes))
 
     @property
-    def startable(self) -> list[Task]:
-        """Waiting tasks that may start anywhere.
+    def startable_tasks(self) -> list[Task]:
+        """Waiting tasks that may start without isolation.
 
-        Tasks of a step behave alike: as long as none of them was seen to
-        work, one after the other is tried, and the others wait. A gang is
+        Tasks of a step behave alike. Until one of them has run long enough,
+        suspect tasks are tried one at a time and the others wait. A gang is
         tried as a whole.
         """
         if not self.crashed:
@@ -141,80 +148,88 @@
 
     @property
     def waits(self) -> bool:
-        """Whether any task has no run."""
+        """Whether any task has no current run."""
         return any(task.state is TaskState.WAITING for task in self.tasks)
 
     @property
     def done(self) -> bool:
-        """Whether every task has ended as done."""
+        """Whether every task is done."""
         return all(task.state is TaskState.DONE for task in self.tasks)
 
     @property
     def failures(self) -> int:
-        """Failed runs of the task, or of the gang, that failed most."""
+        """Failed runs of a gang in total, else of the task with the most."""
         counts = [task.failed for task in self.tasks]
         return sum(counts) if self.step.gang else max(counts)
 
 
 class Entry:
-    """One accepted job.
+    """Record of one accepted job.
 
     Attributes:
-        heard_at: monotonic seconds at which the owner heard of it.
-        handed_in_at: monotonic seconds at which its entry took it in.
+        heard_at: monotonic seconds at which the owner received it.
+        submitted_at: monotonic seconds at which an entry process accepted it.
+        ended: final state; None until the job has ended.
+        shown: state that was last written to the store.
         ended_ms: when its end was written, on the store's steady clock; 0
-            where that is not known.
-        started: a task of it was given to an instance.
-        begun: a task of it has begun, by the word of its instance. An owner
-            that can't send what it decided has jobs started and not begun.
+            if unknown.
+        started: whether a task of it was assigned to an instance.
+        begun: whether an instance confirmed that a task of it has started.
+            While an owner can't send its decisions, jobs are assigned but not
+            started.
         spec: text that its instances are given; None until it is read.
-        whole_ms: its longest chain of work; None until it is worked out.
-        left_ms: the longest chain that is left, by occurrence, as far as it
-            was worked out since a step was last done.
-        given_up: crashes for which it was given up.
+        critical_path_ms: its critical path; None until it is computed.
+        remaining_path_ms: remaining critical path by occurrence, as far as
+            computed since a step was last done.
+        given_up: the crashes that made the job fail.
     """
 
     def __init__(self, job: jobs.Job, now: float, age_s: float = 0.0):
-        """Makes an entry for a job none of whose steps is open yet.
+        """Creates the record of a job without any open step.
 
         Args:
             job: the job.
-            now: monotonic seconds at which the owner heard of it.
-            age_s: how long before that its entry took it in.
+            now: monotonic seconds at which the owner received it.
+            age_s: seconds between its acceptance by an entry process and
+                ``now``.
         """
         self.job = job
         self.spec = None if job.spec_digest else job.spec
         self.heard_at = now
-        self.handed_in_at = now - age_s
+        self.submitted_at = now - age_s
         self.ended: jobs.JobState | None = None
         self.started = False
         self.begun = False
         self.shown = jobs.JobState.QUEUED
         self.version = 0
         self.ended_ms = 0.0
-        self.whole_ms: float | None = None
-        self.left_ms: dict[int, float] = {}
+        self.critical_path_ms: float | None = None
+        self.remaining_path_ms: dict[int, float] = {}
         self.open: dict[tuple[int, int], OpenStep] = {}
         self.given_up: tuple[crash_evidence.Crash, ...] = ()
-        self._may_open = True
+        self._may_open_steps = True
         self._done: set[tuple[int, int]] = set()
         self._opened: set[tuple[int, int]] = set()
 
     @property
     def state(self) -> jobs.JobState:
-        """The state that is true now; ``shown`` is the one recorded."""
+        """The current state; ``shown`` is the recorded one."""
         if self.ended is not None:
             return self.ended
         return jobs.JobState.RUNNING if self.started else jobs.JobState.QUEUED
 
     def open_steps(self, wall_ms: float) -> Iterable[OpenStep]:
-        """Opens the steps whose turn has come and returns all open ones."""
+        """Opens the steps that may run by now and returns all open ones.
+
+        Args:
+            wall_ms: time of day in milliseconds since 1970.
+        """
         if self.ended is not None:
             return ()
-        # Only time or the end of a step opens another one; looked for at each
-        # plan, that took a quarter of a plan of 400 waiting jobs.
-        if self._may_open or self.job.repeat_count:
-            self._may_open = False
+        # Only a due time or the end of a step opens another one. Looking for
+        # them in each plan took a quarter of a plan with 400 waiting jobs.
+        if self._may_open_steps or self.job.repeat_count:
+            self._may_open_steps = False
             for occurrence in range(self.job.occurrences):
                 if self.job.due_ms(occurrence) > wall_ms:
                     break
@@ -222,35 +237,35 @@
         return self.open.values()
 
     def next_due_ms(self) -> float | None:
-        """Returns when the next occurrence that has not begun is due."""
+        """Returns when the next unopened occurrence is due, None for none."""
         for occurrence in range(self.job.occurrences):
             if (occurrence, 0) not in self._opened:
                 return self.job.due_ms(occurrence)
         return None
 
     def task(self, name: jobs.TaskName) -> Task | None:
-        """Returns a task of an open step."""
+        """Returns a task of an open step, None if there is no such task."""
         step = self.open.get((name.occurrence, name.step))
         if step is None or not 0 <= name.index < len(step.tasks):
             return None
         return step.tasks[name.index]
 
     def is_done(self, occurrence: int, number: int) -> bool:
-        """Whether a step has been done as a whole."""
+        """Whether all tasks of a step are done."""
         return (occurrence, number) in self._done
 
     def close_step(self, step: OpenStep) -> None:
-        """Takes note that a step is done; the job may be done with it."""
+        """Marks a step as done, and the job as completed with its last one."""
         key = (step.occurrence, step.number)
         del self.open[key]
         self._done.add(key)
-        self._may_open = True
-        self.left_ms.clear()
+        self._may_open_steps = True
+        self.remaining_path_ms.clear()
         if len(self._done) == self.job.occurrences * len(self.job.steps):
             self.ended = jobs.JobState.COMPLETED
 
     def end(self, state: jobs.JobState) -> None:
-        """Ends the job early; its open steps are no longer wanted."""
+        """Ends the job early and drops its open steps."""
         self.ended = state
         self.open.clear()
 
@@ -264,11 +279,11 @@
                 self.open[key] = OpenStep(self, occurrence, number, step)
 
     def pack(self, store_ms: float = 0.0) -> dict[str, Any]:
-        """Returns what a later owner has to know, as a document.
+        """Returns the state that a later owner needs as a document.
 
         Args:
-            store_ms: the store's steady clock, taken as the end of a job that
-                has just ended; 0 where it is not known.
+            store_ms: the store's steady clock, used as the end time of a
+                job that has just ended; 0 if unknown.
         """
         if self.ended is not None and not self.ended_ms:
             self.ended_ms = store_ms
@@ -294,7 +309,7 @@
             "done": [list(key) for key in sorted(self._done)],
             "tasks": tasks,
         }
-        # Apart from the rows of tasks, which earlier versions read as well.
+        # Earlier versions read the rows of tasks too, so evidence is separate.
         evidence = [
             [
                 step.occurrence,
@@ -314,15 +329,16 @@
         return document
 
     def unpack(self, document: Mapping[str, Any]) -> unusable.Unusable | None:
-        """Restores what ``pack`` returned.
+        """Restores the state from a document that ``pack`` returned.
 
         Returns:
-            Why it can't be; the entry is of no use then.
+            None on success; otherwise why the document is invalid. The record
+            must not be used then.
         """
         try:
             self._unpack(document)
         except unusable.WRONG_FIELDS as error:
-            return unusable.Unusable(f"no progress of ours: {error!r}")
+            return unusable.Unusable(f"invalid progress document: {error!r}")
         return None
 
     def _unpack(self, document: Mapping[str, Any]) -> None:
@@ -338,11 +354,11 @@
         if self.ended is not None:
             return
         for row in document.get("tasks", ()):
-            self._restore(*row)
+            self._restore_task(*row)
         for row in document.get("evidence", ()):
             self._restore_evidence(*row)
 
-    def _restore(
+    def _restore_task(
         self,
         occurrence: int,
         number: int,
@@ -404,7 +420,7 @@
 
 
 class Book:
-    """All accepted jobs, and which of them have to be written."""
+    """All accepted jobs, and those whose rows have to be written."""
 
     def __init__(self) -> None:
         self._entries: dict[str, Entry] = {}
@@ -423,28 +439,35 @@
         return len(self._entries)
 
     def get(self, job_id: str) -> Entry | None:
-        """Returns a job's entry."""
+        """Returns the record of a job, None for an unknown job."""
         return self._entries.get(job_id)
 
     def add(self, entry: Entry) -> None:
-        """Takes a job in."""
+        """Adds a job."""
         self._entries[entry.job.job_id] = entry
         if entry.ended is None:
             self._live[entry.job.job_id] = entry
 
     def remove(self, job_id: str) -> None:
-        """Forgets an ended job whose rows were removed."""
+        """Removes an ended job whose rows were deleted."""
         self._entries.pop(job_id, None)
         self._live.pop(job_id, None)
 
     def touch(self, entry: Entry) -> None:
-        """Notes that an entry's row has to be written."""
+        """Marks a job's row as to be written."""
         self._dirty[entry.job.job_id] = entry
         if entry.ended is not None:
             self._live.pop(entry.job.job_id, None)
 
     def take_dirty(self, limit: int) -> list[Entry]:
-        """Returns entries to be written, at most ``limit``, oldest first."""
+        """Removes up to ``limit`` jobs to be written, longest marked first.
+
+        Args:
+            limit: highest number of jobs.
+
+        Returns:
+            The jobs whose rows the caller has to write.
+        """
         taken = list(self._dirty.values())[:limit]
         for entry in taken:
             del self._dirty[entry.job.job_id]
@@ -452,15 +475,16 @@
 
     @property
     def has_dirty(self) -> bool:
-        """Whether any entry has to be written."""
+        """Whether any row has to be written."""
         return bool(self._dirty)
 
     def pending(self, queue: str) -> int:
-        """Returns how many jobs without times wait for their first start.
+        """Returns how many jobs without a schedule wait to start.
 
-        A job counts until a task of it has begun. Counted by what was decided,
-        a queue looked empty while its owner could not send or write its
-        starts, and clients that ask before they hand in were misled.
+        A job counts until an instance confirms the start of one of its tasks.
+        If assigned tasks counted as started, a queue would look empty while
+        its owner can't send or write its starts. That would mislead clients
+        that check the queue before they submit.
         """
         return sum(
             1
@@ -472,10 +496,10 @@
 
 
 def has_ended(document: Mapping[str, Any]) -> bool:
-    """Whether the job had ended whose row ``Entry.pack`` returned."""
+    """Whether a document of ``Entry.pack`` is of a job that has ended."""
     return bool(document.get("ended"))
 
 
 def need(step: jobs.Step) -> fleet.Resources:
-    """Returns what a task of a step takes of an instance's room."""
+    """Returns the resources that a task of a step reserves."""
     return fleet.Resources(0 if step.fills else step.cpu, step.mem_mb, step.gpu)
--- a/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
+++ b/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
@@ -1,10 +1,10 @@
-"""What speaks for a task crashing the instances that start it.
+"""Evidence that a task crashes the instances that start it.
 
-An instance that crashes takes all its runs along, and most of them only stood
-beside the cause. To give up an innocent job loses all its work; to doubt a
-guilty one for longer costs one more instance. So a job is given up on two
-crashes only where one of them can have no other cause that is seen, and each
-weaker kind of evidence takes more of them.
+A crash of an instance ends all its runs, and most of them are not its cause.
+Giving up a job that is not the cause loses all its work. Keeping a job that is
+the cause for longer costs one more instance. So two crashes are enough only if
+one of them has no other visible cause. Weaker kinds of evidence need more
+crashes.
 """
 
 from collections.abc import Sequence
@@ -13,15 +13,15 @@
 
 
 class Kind(enum.StrEnum):
-    """How sure it is that a run crashed its instance.
+    """How certain it is that a run crashed its instance.
 
     Attributes:
-        ALONE: nothing else had just begun there, and no other instance was
+        ALONE: no other run had just started there, and no other instance was
             lost at that moment without a cause of its own.
-        NEW: it had just begun there.
-        WORKED: it had worked there for a while.
-        UNSURE: when it began, or whether it did, or whether the instance
-            crashed at all, is not known.
+        NEW: the run had just started there.
+        WORKED: the run had worked there for a while.
+        UNSURE: it is unknown whether or when the run started, or whether the
+            instance crashed at all.
     """
 
     ALONE = "alone"
@@ -31,38 +31,42 @@
 
 
 PROVEN_S = 0.1
-"""A run that its instance lists for so long did not crash it by starting."""
+"""A run that its instance reports for this long did not crash it by
+starting."""
 
 PROOF_FACTOR = 2.0
-"""A run clears its task after so many times what runs before it worked."""
+"""A run clears its task after this multiple of the longest time that a crashed
+run of the task worked."""
 
 MOST_PROOF_S = 2.0
-"""Longest time for which nothing starts beside a suspected task."""
+"""Longest time for which nothing else starts beside a suspect task."""
 
-FORGIVEN_S = 10.0
-"""A task whose run works for so long did not crash any instance before. One
-that crashes them as it begins is known by ``MOST_PROOF_S``."""
+FULLY_CLEARED_S = 10.0
+"""Run time after which a task is cleared of all crashes. A task that crashes
+its instances as it starts is already found within ``MOST_PROOF_S``."""
 
-MOST_ALONE = 2
-MOST_NEW = 3
-MOST_KNOWN = 4
-MOST_CRASHES = 5
-"""Crashes after which a task is given up: since a run of it last worked, with
-one that it was alone under, or all as it began; over all, where it surely ran,
-or may have. The users allow two starts after the third crash."""
+MAX_SOLE_CAUSE_CRASHES = 2
+MAX_NEW_RUN_CRASHES = 3
+MAX_CERTAIN_CRASHES = 4
+MAX_CRASHES = 5
+"""Crashes after which a task is given up. The first two limits count crashes
+of runs that had just started, since a run of the task last worked: the first
+one applies if one of them is ``ALONE``. The third limit counts all crashes at
+which the task certainly ran, the last one also those at which it may have run.
+The users allow two starts after the third crash."""
 
-MORE_OF_LASTING = 1
-"""One that lasts is given up so many crashes later: it is there for minutes, so
-instances crash under it by chance, and its job serves users of its own. What
-is unsure does not count against it."""
+EXTRA_CRASHES_LONG_RUNNING = 1
+"""A long-running task is given up after this many more crashes. It runs for
+minutes, so instances crash under it by chance, and its job serves users of its
+own. Crashes of kind ``UNSURE`` do not count against it."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Crash:
-    """An instance was lost under a run of a task.
+    """The loss of an instance during a run of a task.
 
     Attributes:
-        worked_s: for how long the instance had listed the run.
+        worked_s: for how long the instance had reported the run.
     """
 
     run: int
@@ -72,45 +76,45 @@
 
     @property
     def text(self) -> str:
-        """The evidence in a few words."""
+        """Short description for logs."""
         return f"run {self.run} on {self.instance}: {self.kind}"
 
 
 def proof_s(crashes: Sequence[Crash]) -> float:
     """Returns how long a task's next run has to work to clear the task.
 
-    A task that crashes its instances after a second is not cleared by half a
-    second of work.
+    Half a second of work does not clear a task that crashes its instances
+    after a second.
     """
     longest_s = max((crash.worked_s for crash in crashes), default=0.0)
     return min(max(PROVEN_S, PROOF_FACTOR * longest_s), MOST_PROOF_S)
 
 
 def convicts(crashes: Sequence[Crash], *, lasting: bool) -> bool:
-    """Whether a task is given up for crashes under its runs.
+    """Whether a task is given up because of crashes during its runs.
 
     Args:
-        crashes: instances that were lost under them.
-        lasting: whether it runs until its job is cancelled.
+        crashes: crashes of instances during its runs.
+        lasting: whether the task runs until its job is cancelled.
     """
-    more = MORE_OF_LASTING if lasting else 0
+    extra = EXTRA_CRASHES_LONG_RUNNING if lasting else 0
     kinds = [crash.kind for crash in crashes]
-    known = len(kinds) - kinds.count(Kind.UNSURE)
-    # A run that worked shows that no earlier one crashed its instance by
+    certain = len(kinds) - kinds.count(Kind.UNSURE)
+    # A run that worked shows that no earlier run crashed its instance by
     # starting there.
-    latest = kinds[_last_work(kinds) + 1 :]
+    latest = kinds[_last_worked_index(kinds) + 1 :]
     alone = latest.count(Kind.ALONE)
     new = alone + latest.count(Kind.NEW)
     return (
-        (alone > 0 and new >= MOST_ALONE + more)
-        or new >= MOST_NEW + more
-        or known >= MOST_KNOWN + more
-        or (not lasting and len(kinds) >= MOST_CRASHES)
+        (alone > 0 and new >= MAX_SOLE_CAUSE_CRASHES + extra)
+        or new >= MAX_NEW_RUN_CRASHES + extra
+        or certain >= MAX_CERTAIN_CRASHES + extra
+        or (not lasting and len(kinds) >= MAX_CRASHES)
     )
 
 
-def _last_work(kinds: Sequence[Kind]) -> int:
-    """Returns the place of the last run that had worked; -1 for none."""
+def _last_worked_index(kinds: Sequence[Kind]) -> int:
+    """Returns the index of the last run that had worked; -1 for none."""
     worked = [at for at, kind in enumerate(kinds) if kind is Kind.WORKED]
     return max(worked, default=-1)
 
@@ -118,22 +122,22 @@
 def left_after(
     crashes: Sequence[Crash], worked_s: float, *, lasting: bool
 ) -> list[Crash]:
-    """Returns the crashes that still speak against a task.
+    """Returns the crashes that still count against a task.
 
     Args:
-        crashes: instances that were lost under it.
-        worked_s: for how long its run has worked now.
-        lasting: whether it runs until its job is cancelled.
+        crashes: crashes of instances during its runs.
+        worked_s: for how long its current run has worked.
+        lasting: whether the task runs until its job is cancelled.
     """
     if worked_s < MOST_PROOF_S:
         return list(crashes)
-    if lasting or worked_s >= FORGIVEN_S:
+    if lasting or worked_s >= FULLY_CLEARED_S:
         return []
     return [crash for crash in crashes if crash.kind is Kind.WORKED]
 
 
-def makes_suspect(crashes: Sequence[Crash]) -> bool:
-    """Whether a task has to run apart after the last of some crashes."""
+def is_suspect(crashes: Sequence[Crash]) -> bool:
+    """Whether a task has to run in isolation after its last crash."""
     if not crashes:
         return False
     return crashes[-1].kind is not Kind.WORKED or len(crashes) > 1
--- a/src/vanillaswitch/coordination/fleet/queue/known_room.py
+++ b/src/vanillaswitch/coordination/fleet/queue/known_room.py
@@ -1,79 +1,83 @@
-"""The room of an instance, as far as it is surely there.
+"""The capacity of an instance, as far as it is certain.
 
-It may shrink and grow while the instance runs. Its entry and the list of
-machines tell, and reach an owner on different ways; while entries can't be
-read, neither tells the room of now.
+The capacity of an instance may shrink and grow while it runs. The instance's
+registration and the platform's machine list both report it, and their updates
+reach an owner at different times. While registrations can't be read, neither
+source is sure to show the current capacity.
 """
 
 from vanillaswitch.protocol import fleet
 
 UNKNOWN = fleet.Resources(0, 0)
-"""What stands for a room that is not named."""
+"""Stands for a capacity that a source does not name."""
 
 
-class KnownRoom:
-    """What was said of one instance's room in its present life.
+class KnownCapacity:
+    """Reported capacities of one instance in its current incarnation.
 
     Attributes:
-        now: the smaller of what the entry and the list of machines name; while
-            entries may be old, the smallest that was named.
-        full: the largest that was named.
+        current: capacity to plan with: the smaller one of the registration and
+            the machine list. While registrations may be out of date, the
+            smallest capacity registered so far replaces the registered one.
+        largest: the largest capacity reported so far.
     """
 
-    def __init__(self, entry: fleet.Resources):
-        """Begins with the room that the first entry names."""
+    def __init__(self, registered: fleet.Resources):
+        """Starts with the capacity in the first registration."""
         self._listed: fleet.Resources | None = None
-        self._is_old = False
-        self.begin_life(entry)
-
-    def begin_life(self, entry: fleet.Resources) -> None:
-        """Begins anew: what a former life of the instance named is void."""
-        self._entry = entry
-        self._smallest = entry
-        self.full = entry
-        self._judge()
-
-    def entry_names(self, room: fleet.Resources) -> None:
-        """Takes note of what the instance's entry names."""
-        # Before its first entry only the id of an instance is known.
+        self._is_stale = False
+        self.reset(registered)
+
+    def reset(self, registered: fleet.Resources) -> None:
+        """Drops the capacities that an earlier incarnation registered."""
+        self._registered = registered
+        self._smallest = registered
+        self.largest = registered
+        self._update()
+
+    def update_registered(self, capacity: fleet.Resources) -> None:
+        """Stores the capacity in the instance's registration."""
+        # Before its first registration only the id of an instance is known.
         if self._smallest == UNKNOWN:
-            self._smallest = room
-        self._entry = room
-        self._smallest = smaller(self._smallest, room)
-        self._judge()
+            self._smallest = capacity
+        self._registered = capacity
+        self._smallest = elementwise_min(self._smallest, capacity)
+        self._update()
 
-    def list_names(self, room: fleet.Resources) -> bool:
-        """Takes note of what the list of machines names.
+    def update_listed(self, capacity: fleet.Resources) -> bool:
+        """Stores the capacity in the platform's machine list.
 
         Returns:
-            Whether that changed the room of now.
+            Whether this changed ``current``.
         """
-        # The list is read four times a second, and lines that stay the same
-        # name the same room.
-        if room is self._listed or room == UNKNOWN:
+        # The list is read four times a second, and a line that did not change
+        # has the same object as its capacity.
+        if capacity is self._listed or capacity == UNKNOWN:
             return False
-        self._listed = room
-        before = self.now
-        self._judge()
-        return self.now != before
-
-    def age(self, old: bool) -> None:
-        """Takes note of whether entries may no longer tell the room."""
-        if old != self._is_old:
-            self._is_old = old
-            self._judge()
-
-    def _judge(self) -> None:
-        room = self._smallest if self._is_old else self._entry
-        self.full = larger(self.full, self._entry)
+        self._listed = capacity
+        before = self.current
+        self._update()
+        return self.current != before
+
+    def set_stale(self, stale: bool) -> None:
+        """Sets whether the registration may be out of date."""
+        if stale != self._is_stale:
+            self._is_stale = stale
+            self._update()
+
+    def _update(self) -> None:
+        capacity = self._smallest if self._is_stale else self._registered
+        self.largest = elementwise_max(self.largest, self._registered)
         if self._listed is not None:
-            room = smaller(room, self._listed)
-            self.full = larger(self.full, self._listed)
-        self.now = room
+            capacity = elementwise_min(capacity, self._listed)
+            self.largest = elementwise_max(self.largest, self._listed)
+        self.current = capacity
 
 
-def smaller(one: fleet.Resources, other: fleet.Resources) -> fleet.Resources:
-    """Returns what is there of each kind by both of two rooms."""
+def elementwise_min(
+    one: fleet.Resources, other: fleet.Resources
+) -> fleet.Resources:
+    """Returns the minimum of two capacities for each resource."""
     return fleet.Resources(
         min(one.cpu, other.cpu),
         min(one.mem_mb, other.mem_mb),
@@ -81,8 +85,10 @@
     )
 
 
-def larger(one: fleet.Resources, other: fleet.Resources) -> fleet.Resources:
-    """Returns what is there of each kind by either of two rooms."""
+def elementwise_max(
+    one: fleet.Resources, other: fleet.Resources
+) -> fleet.Resources:
+    """Returns the maximum of two capacities for each resource."""
     return fleet.Resources(
         max(one.cpu, other.cpu),
         max(one.mem_mb, other.mem_mb),
--- a/src/vanillaswitch/coordination/fleet/queue/placement.py
+++ b/src/vanillaswitch/coordination/fleet/queue/placement.py
@@ -1,10 +1,10 @@
 """Chooses instances for the tasks of a step.
 
-Load pattern: many short tasks of a step become ready together and some larger
-ones wait behind them. Packing each onto the fullest instance with room keeps
-whole instances free for what is large, and empty ones free to be maintained
-or moved; it also keeps work off an instance that fails everything it starts,
-which is always the emptiest.
+Load pattern: many short tasks of a step become ready together, and some larger
+ones wait behind them. Best-fit packing puts each task on the fullest instance
+that can hold it. That keeps whole instances free for large tasks, and empty
+ones free for maintenance or moves. It also keeps work off an instance that
+fails everything it starts, since that instance is always the emptiest.
 """
 
 from collections.abc import Iterable
@@ -24,13 +24,14 @@
     now: float,
     tickets: Mapping[str, str] | None,
 ) -> list[rooms.Instance]:
-    """Returns the instances that may run a step at all now.
+    """Returns the instances that may run a step now, whatever their capacity.
 
     Args:
-        step: whose tasks are to be placed.
-        instances: those of the step's pool.
+        step: the step whose tasks are to be placed.
+        instances: the instances of the step's pool.
         now: monotonic seconds.
-        tickets: by instance, where only these may run it; None for no limit.
+        tickets: tickets by instance; only these instances may run the step.
+            None for no restriction.
     """
     requires = step.step.requires
     return [
@@ -42,16 +43,16 @@
     ]
 
 
-class Widest:
-    """The most room that any of some instances has free, of each kind.
+class MaxFree:
+    """The largest unreserved amount of each resource over some instances.
 
-    In a turn that asks for more than there is, hundreds of steps wait for a
-    pool without room, and each would look at each of its instances. What needs
-    more than this fits on none of them.
+    A task that needs more fits on none of them. In a burst that demands more
+    than the capacity, hundreds of steps wait for a full pool. Without this
+    check each of them would look at every instance of the pool.
     """
 
     def __init__(self, instances: Iterable[rooms.Instance]):
-        """Looks at instances as they are now."""
+        """Takes the maximum over the current state of some instances."""
         self._cpu = self._mem = self._gpu = -1
         for instance in instances:
             free = instance.free
@@ -59,8 +60,8 @@
             self._mem = max(self._mem, free.mem_mb)
             self._gpu = max(self._gpu, free.gpu)
 
-    def admits(self, need: fleet.Resources) -> bool:
-        """Whether one of them may have room for a need."""
+    def may_fit(self, need: fleet.Resources) -> bool:
+        """Whether a need may fit on one of the instances."""
         return (
             need.cpu <= self._cpu
             and need.mem_mb <= self._mem
@@ -69,28 +70,28 @@
 
 
 def choose(step: book.OpenStep, candidates: Sequence[rooms.Instance]) -> Chosen:
-    """Chooses an instance for each waiting task that finds room.
+    """Chooses an instance for each waiting task that fits on one.
 
-    A gang gets places for all its tasks or none.
+    Either all tasks of a gang get an instance or none of them does.
     """
     if step.step.gang:
-        return gang(step, candidates) if step.startable else []
+        return place_gang(step, candidates) if step.startable_tasks else []
     chosen: Chosen = []
-    taken = _Tentative()
-    for task in step.startable:
+    reservations = _TentativeReservations()
+    for task in step.startable_tasks:
         instance = _best(step, task, candidates)
         if instance is None:
             if not task.avoid:
                 break
             continue
-        taken.add(step, task, instance)
+        reservations.add(step, task, instance)
         chosen.append((task, instance))
-    taken.undo()
+    reservations.undo()
     return chosen
 
 
-class _Tentative:
-    """Room taken while a choice is being made, given back afterwards."""
+class _TentativeReservations:
+    """Reservations made while instances are chosen, and undone afterwards."""
 
     def __init__(self) -> None:
         self._added: list[tuple[rooms.Instance, rooms.RunKey]] = []
@@ -98,22 +99,24 @@
     def add(
         self, step: book.OpenStep, task: book.Task, instance: rooms.Instance
     ) -> None:
-        """Takes room for a task."""
-        # Run numbers begin at 1, so this key meets no real run.
+        """Reserves resources for a task."""
+        # Run numbers start at 1, so this key differs from that of any real run.
         run = rooms.Run(task.name, 0, step.step, book.need(step.step), 0.0)
         instance.add(run)
         self._added.append((instance, run.key))
 
     def undo(self) -> None:
-        """Gives all room back."""
+        """Releases all reservations."""
         for instance, key in self._added:
             instance.remove(key)
 
 
-def gang(step: book.OpenStep, candidates: Sequence[rooms.Instance]) -> Chosen:
-    """Places a whole gang, on one rack where that serves it and is possible.
+def place_gang(
+    step: book.OpenStep, candidates: Sequence[rooms.Instance]
+) -> Chosen:
+    """Places a whole gang, on one rack if the step prefers it and one fits.
 
-    A part of a gang would only hold room while it waits for the others.
+    A part of a gang would only block capacity while it waits for the others.
     """
     if any(task.state is not book.TaskState.WAITING for task in step.tasks):
         return []
@@ -135,15 +138,15 @@
     step: book.OpenStep, candidates: Sequence[rooms.Instance]
 ) -> Chosen:
     chosen: Chosen = []
-    taken = _Tentative()
+    reservations = _TentativeReservations()
     for task in step.tasks:
         instance = _best(step, task, candidates)
         if instance is None:
-            taken.undo()
+            reservations.undo()
             return []
-        taken.add(step, task, instance)
+        reservations.add(step, task, instance)
         chosen.append((task, instance))
-    taken.undo()
+    reservations.undo()
     return chosen
 
 
@@ -152,21 +155,25 @@
     task: book.Task,
     candidates: Sequence[rooms.Instance],
 ) -> rooms.Instance | None:
-    wanted = book.need(step.step)
-    apart = step.step.anti_affinity
-    near = step.step.affinity
+    need = book.need(step.step)
+    max_per_instance = step.step.anti_affinity
+    preferred_rack = step.step.affinity
     best: rooms.Instance | None = None
     best_rank: tuple[bool, bool, bool, int, str] | None = None
     for instance in candidates:
-        if not instance.fits(wanted):
+        if not instance.fits(need):
             continue
-        if apart and instance.count_of(task.name) >= apart:
+        if (
+            max_per_instance
+            and instance.count_of(task.name) >= max_per_instance
+        ):
             continue
         rank = (
             instance.name in task.avoid or instance.slow,
-            # A lasting task would soon have to leave it again.
+            # A wave would soon evict a long-running task from it.
             step.step.long_running and instance.due,
-            bool(near) and near not in instance.registration.labels,
+            bool(preferred_rack)
+            and preferred_rack not in instance.registration.labels,
             instance.free_cpu,
             instance.name,
         )
--- a/src/vanillaswitch/coordination/fleet/queue/planning.py
+++ b/src/vanillaswitch/coordination/fleet/queue/planning.py
@@ -1,4 +1,4 @@
-"""Assigns waiting tasks to instances with room."""
+"""Assigns waiting tasks to instances with enough unreserved capacity."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -19,28 +19,29 @@
 
 
 class Planning(orders.Orders):
-    """Decides what starts where."""
+    """Decides which tasks start on which instances."""
 
     def least_instances(self) -> dict[str, int]:
-        """Returns how many instances the lasting tasks of each pool need.
+        """Returns how many instances long-running tasks need, by pool.
 
-        Tasks that may not share an instance need one each, whatever the load.
-        Pools without such tasks are left out.
+        Anti-affinity limits how many tasks of a step share an instance, so such
+        tasks need a minimum of instances whatever their load. Pools without
+        them are left out.
         """
-        least: dict[str, int] = {}
+        minimums: dict[str, int] = {}
         for entry in self.book.live.values():
             for step in entry.open.values():
-                apart = step.step.anti_affinity
-                if step.step.long_running and apart:
+                max_per_instance = step.step.anti_affinity
+                if step.step.long_running and max_per_instance:
                     service = self.service_of(entry)
-                    count = -(-step.step.count // apart)
-                    least[service] = max(least.get(service, 1), count)
-        return least
+                    count = -(-step.step.count // max_per_instance)
+                    minimums[service] = max(minimums.get(service, 1), count)
+        return minimums
 
     def ready_steps(
         self, moment: queue_order.Moment
     ) -> dict[str, list[books.OpenStep]]:
-        """Returns open steps with waiting tasks, by pool, in order."""
+        """Returns open steps with waiting tasks, by pool, in queue order."""
         steps: dict[str, list[tuple[queue_order.Key, books.OpenStep]]] = {}
         for entry in self.book.live.values():
             queue = self.queues.get(entry.job.queue)
@@ -55,7 +56,7 @@
         }
 
     def plan(self, now: float, wall_ms: float) -> None:
-        """Assigns waiting tasks to instances with room.
+        """Assigns waiting tasks to instances with enough unreserved capacity.
 
         Args:
             now: monotonic seconds.
@@ -80,29 +81,34 @@
                 for instance in pools.get(service, [])
                 if instance.usable(now)
             ]
-            widest = placement.Widest(instances)
+            max_free = placement.MaxFree(instances)
             for step in steps:
                 if step.entry.spec is None:
                     continue
-                if step.crashed or self._doubts(step, now):
-                    all_of_pool = pools.get(service, [])
-                    instances = self._place_apart(
-                        step, instances, all_of_pool, now
+                if step.crashed or self._suspect_by_image(step, now):
+                    pool = pools.get(service, [])
+                    instances = self._place_in_isolation(
+                        step, instances, pool, now
                     )
-                    widest = placement.Widest(instances)
-                if widest.admits(books.need(step.step)) and self._place(
+                    max_free = placement.MaxFree(instances)
+                if max_free.may_fit(books.need(step.step)) and self._place(
                     step, instances, now
                 ):
-                    widest = placement.Widest(instances)
-                held = self._held_for(step, instances, now)
-                if held is not None:
-                    instances = [item for item in instances if item is not held]
-                    widest = placement.Widest(instances)
+                    max_free = placement.MaxFree(instances)
+                reserved = self._reserve_for(step, instances, now)
+                if reserved is not None:
+                    instances = [
+                        item for item in instances if item is not reserved
+                    ]
+                    max_free = placement.MaxFree(instances)
 
-    def _doubts(self, step: books.OpenStep, now: float) -> bool:
-        """Whether a step runs what has crashed instances of late.
+    def _suspect_by_image(self, step: books.OpenStep, now: float) -> bool:
+        """Marks a step as suspect if its image has recently crashed instances.
 
-        Its first task is tried apart then, before the others start.
+        Its first task is then tried in isolation before the others start.
+
+        Returns:
+            Whether the step was marked.
         """
         image = step.step.image
         if now >= self._doubted_images.get(image, 0.0) or step.works:
@@ -111,29 +117,35 @@
         step.tasks[0].suspect = True
         return True
 
-    def _place_apart(
+    def _place_in_isolation(
         self,
         step: books.OpenStep,
         instances: list[rooms.Instance],
         pool: Sequence[rooms.Instance],
         now: float,
     ) -> list[rooms.Instance]:
-        """Starts suspected tasks of a step where a crash harms least.
+        """Starts suspect tasks of a step where a crash does least harm.
+
+        Args:
+            step: a step with waiting tasks.
+            instances: the instances that are available for this step.
+            pool: all instances of the step's pool.
+            now: monotonic seconds.
 
         Returns:
-            The instances that are left for other tasks.
+            The instances that stay available for other tasks.
         """
         suspects = [task for task in step.suspects if now >= task.judged_at]
         if not step.works:
-            judged = len(suspects) == len(step.suspects)
-            idle = judged and not self._is_tried(step)
-            suspects = suspects[:1] if idle else []
+            all_startable = len(suspects) == len(step.suspects)
+            may_try = all_startable and not self._has_trial(step)
+            suspects = suspects[:1] if may_try else []
         if not suspects:
             return instances
         tickets = self.tickets_for(step, now)
         if step.step.gang:
-            quiet = [item for item in instances if not item.unproven]
-            self._place(step, quiet, now, apart=True)
+            proven = [item for item in instances if not item.unproven]
+            self._place(step, proven, now, apart=True)
             return [item for item in instances if not item.apart]
         for task in suspects:
             eligible = placement.eligible(step, instances, now, tickets)
@@ -142,8 +154,8 @@
                 break
             instances = [item for item in instances if item is not found]
             if not suspicion.is_free_for(step, task, found):
-                # Nothing more starts there until what is new has worked for
-                # a while, and there is room.
+                # Reserved: nothing else starts there until its new runs are
+                # proven and the task fits.
                 step.held = found.name
                 break
             ticket = tickets.get(found.name, "") if tickets else ""
@@ -154,11 +166,11 @@
             self.book.touch(step.entry)
         return instances
 
-    def _is_tried(self, step: books.OpenStep) -> bool:
-        """Whether a suspected task of a step runs, and what comes of it tells.
+    def _has_trial(self, step: books.OpenStep) -> bool:
+        """Whether a run of a suspect task is under way that will give evidence.
 
-        A run that is to be stopped tells nothing. Its stop may wait for other
-        tasks of its step to be at work, so they can't wait for it.
+        A run that is to be stopped gives none. Its stop may have to wait until
+        other tasks of its step are at work, so they must not wait for it.
         """
         trials = [
             self._run(task.instance, (task.name, task.run))
@@ -167,17 +179,18 @@
         ]
         return any(run is not None and run.stopping is None for run in trials)
 
-    def _held_for(
+    def _reserve_for(
         self,
         step: books.OpenStep,
         instances: Iterable[rooms.Instance],
         now: float,
     ) -> rooms.Instance | None:
-        """Returns an instance that gets nothing until a lasting task fits.
+        """Returns an instance to reserve until a long-running task fits on it.
 
-        In a full pool each gap is taken at once by a task that is smaller, so
-        a larger one that lasts would wait for as long as small ones come; the
-        instance with the most room is free enough within one short task.
+        In a full pool smaller tasks fill each gap at once, so a larger,
+        long-running task would starve while small ones arrive. The instance
+        with the most unreserved capacity has enough of it after the duration of
+        one short task.
         """
         if not step.step.long_running:
             return None
@@ -185,19 +198,19 @@
         if not waiting:
             return None
         need = books.need(step.step)
-        held = max(
+        reserved = max(
             (
                 instance
                 for instance in instances
                 if instance.makes_room(step.step, waiting[0].name, need, now)
             ),
-            # The same one as long as no other has more: two that are held by
-            # turns would both be filled again.
+            # Keep the same one unless another has more free capacity: if the
+            # reservation alternated, small tasks would fill both of them.
             key=lambda item: (item.free_share(need), item.name == step.held),
             default=None,
         )
-        step.held = held.name if held else ""
-        return held
+        step.held = reserved.name if reserved else ""
+        return reserved
 
     def _place(
         self,
@@ -207,10 +220,16 @@
         *,
         apart: bool = False,
     ) -> bool:
-        """Assigns tasks of a step, or a gang that is tried apart.
+        """Assigns tasks of a step.
+
+        Args:
+            step: a step with waiting tasks.
+            instances: the instances to choose from.
+            now: monotonic seconds.
+            apart: whether to start a gang in isolation.
 
         Returns:
-            Whether any was.
+            Whether any task was assigned.
         """
         tickets = self.tickets_for(step, now)
         if tickets is not None and not tickets:
@@ -218,7 +237,7 @@
         candidates = placement.eligible(step, instances, now, tickets)
         if not candidates:
             return False
-        choose = placement.gang if apart else placement.choose
+        choose = placement.place_gang if apart else placement.choose
         chosen = choose(step, candidates)
         if not chosen:
             return False
@@ -244,7 +263,9 @@
     ) -> None:
         spec = step.entry.spec
         if spec is None:
-            raise errors.InvariantError("a task starts without its job's spec")
+            raise errors.InvariantError(
+                "a task was assigned before its spec was read"
+            )
         task.state = books.TaskState.ASSIGNED
         task.run = number
         task.instance = instance.name
@@ -280,7 +301,7 @@
     def tickets_for(
         self, step: books.OpenStep, now: float
     ) -> Mapping[str, str] | None:
-        """Returns the tickets of a step, None where it needs none."""
+        """Returns a step's valid tickets by instance, None if it needs none."""
         queue = self.queues.get(step.entry.job.queue)
         if queue is None or queue.advice is None:
             return None
@@ -295,7 +316,13 @@
         tickets: Mapping[str, str],
         until: float,
     ) -> None:
-        """Takes note of a step's tickets, good until a monotonic second."""
+        """Stores the tickets of a step.
+
+        Args:
+            step: the step.
+            tickets: tickets by instance.
+            until: monotonic seconds until which the tickets are valid.
+        """
         key = (step.entry.job.job_id, step.occurrence, step.number)
         self.tickets[key] = tickets
         self._ticket_until[key] = until
@@ -303,7 +330,12 @@
 
 
 def _waiting(steps: Iterable[books.OpenStep]) -> tuple[int, fleet.Load]:
-    """Returns what waits in all, and the load of what ends by itself."""
+    """Returns the backlog of some steps.
+
+    Returns:
+        Thousandths of a core that all waiting tasks need, and the load of those
+        that end by themselves.
+    """
     cpu, load = 0, fleet.Load()
     for step in steps:
         count = len(step.waiting)
@@ -316,13 +348,13 @@
 def _without_spec(
     ready: Mapping[str, list[books.OpenStep]],
 ) -> tuple[str, ...]:
-    """Returns jobs that wait for their spec, by turns from each pool."""
+    """Returns ids of jobs without a spec, one of each pool at a time."""
     waiting = [
         [step.entry.job.job_id for step in steps if step.entry.spec is None]
         for steps in ready.values()
     ]
-    turns = itertools.chain.from_iterable(itertools.zip_longest(*waiting))
-    return tuple(dict.fromkeys(job_id for job_id in turns if job_id))
+    interleaved = itertools.chain.from_iterable(itertools.zip_longest(*waiting))
+    return tuple(dict.fromkeys(job_id for job_id in interleaved if job_id))
 
 
 def _by_key(
--- a/src/vanillaswitch/coordination/fleet/queue/progress.py
+++ b/src/vanillaswitch/coordination/fleet/queue/progress.py
@@ -1,9 +1,9 @@
-"""Finds tasks that stand still, and instances that are slow.
+"""Detects stalled tasks and slow instances.
 
-Load pattern: some instances take several times as long for everything, or
-let what they run stand still, while they answer as ever. What waits there is
-late, although others have room. Estimates of single tasks are off by half and
-more, so the speed of an instance is judged over all it runs, and against its
+Load pattern: some instances take several times as long for everything, or stall
+their tasks, while they answer as usual. Their tasks end late, although other
+instances have capacity. Estimates of single tasks are off by half and more, so
+the speed of an instance is measured over all its tasks and compared with its
 pool.
 """
 
@@ -13,42 +13,51 @@
 from vanillaswitch.coordination.fleet.queue import rooms
 
 STALL_S = 2.2
-"""A task whose progress stayed the same for so long, over two accounts of its
-instance or more, stands still."""
+"""A task is stalled when its progress has not changed for this long, over two
+or more status reports of its instance."""
 
-GAP_S = 1.5
-"""Accounts that are further apart tell nothing of the time between them. An
-instance with work answers within 1.0 s; longer ones are its own silence, a
-pause of the owner or a change of owner. Judged across such a gap, all that ran
-was stopped as standing still in the moment an owner went on after a pause."""
+MAX_REPORT_GAP_S = 1.5
+"""Longest time between two status reports that counts towards a stall. An
+instance with work reports within 1.0 s. A longer gap means that the instance
+did not answer, that the owner was paused or that the owner changed. If such
+gaps counted, an owner that resumes after a pause would stop all running tasks
+as stalled."""
 
 SMOOTHING = 0.3
-"""Weight of a new sample of an instance's speed; about three samples tell a
-change."""
+"""Weight of a new sample in the moving average of an instance's speed. About
+three samples show a change."""
 
 MIN_SAMPLES = 3
-"""Fewer samples than this say nothing of an instance."""
+"""Samples below which the speed of an instance is unknown, and instances with a
+known speed below which a pool has no median."""
 
 SLOW_SHARE = 0.4
-"""An instance is slow below this share of its pool's median speed: a sound
-one strays by about half, a slow one takes four times as long and more."""
+"""An instance is slow below this share of its pool's median speed. A healthy
+one deviates by about half, a slow one takes four times as long and more."""
 
 MIN_INTERVAL_S = 0.2
-"""Shorter intervals give no sample: progress is listed in whole percent."""
+"""Shorter intervals give no sample: progress is reported in whole percent."""
 
 
 def observe(
     instance: rooms.Instance, run: rooms.Run, percent: float, now: float
 ) -> None:
-    """Takes note of the progress of a run as its instance lists it."""
+    """Records the progress of a run from a status report.
+
+    Args:
+        instance: the instance that reports it.
+        run: the run.
+        percent: reported progress.
+        now: monotonic seconds.
+    """
     if percent != run.percent:
         _sample(instance, run, percent, now)
-        run.percent, run.percent_at = percent, now
-        run.still_s = 0.0
-    elif now - run.listed_at <= GAP_S:
-        run.still_s += now - run.listed_at
+        run.percent, run.progress_at = percent, now
+        run.stalled_s = 0.0
+    elif now - run.listed_at <= MAX_REPORT_GAP_S:
+        run.stalled_s += now - run.listed_at
     else:
-        run.still_s = 0.0
+        run.stalled_s = 0.0
     run.listed_at = now
 
 
@@ -56,7 +65,7 @@
     instance: rooms.Instance, run: rooms.Run, percent: float, now: float
 ) -> None:
     step = run.step
-    interval_s = now - run.percent_at
+    interval_s = now - run.progress_at
     if step.long_running or not step.estimate_ms:
         return
     if interval_s < MIN_INTERVAL_S or percent <= run.percent:
@@ -68,21 +77,21 @@
 
 
 def stalled(run: rooms.Run, now: float) -> bool:
-    """Whether a run stands still, by accounts that came without a gap."""
-    unheard_s = now - run.listed_at
+    """Whether a run is stalled, from consecutive reports without a gap."""
+    unreported_s = now - run.listed_at
     return (
         run.confirmed
         and run.stopping is None
         and not run.step.long_running
         and run.pace == rooms.FULL_PACE
-        and unheard_s <= GAP_S
-        and run.still_s > 0
-        and run.still_s + unheard_s >= STALL_S
+        and unreported_s <= MAX_REPORT_GAP_S
+        and run.stalled_s > 0
+        and run.stalled_s + unreported_s >= STALL_S
     )
 
 
 def mark_slow(instances: Iterable[rooms.Instance]) -> None:
-    """Marks the instances of one pool that are slow among their like."""
+    """Marks the instances of one pool that are slow compared with it."""
     known = [
         instance
         for instance in instances
--- a/src/vanillaswitch/coordination/fleet/queue/queue_order.py
+++ b/src/vanillaswitch/coordination/fleet/queue/queue_order.py
@@ -1,17 +1,17 @@
-"""The order in which open steps get room.
-
-Load pattern: a queue asks several times its mean for some seconds, more than
-its pool holds, and little in between. A job is worth most until its
-objective, a fraction of that until three times the objective, and nothing
-afterwards. So what can still meet its objective goes first, and what can't any
-more uses what is left over. Tasks that last come before all: they are few, and
-serve their own users all the time.
-
-The least slack first is best while there is room for all. While there is not,
-it spends the room on jobs that have just enough time left and miss it by what
-nobody foresaw, and those behind them are no better off by then. So a job that
-has not begun goes before others only while its slack is a good part of the
-work that is left.
+"""The order in which open steps get capacity.
+
+Load pattern: for some seconds a queue demands several times its mean, more than
+its pool can hold, and little in between. A job has its full value until its
+objective, a fraction of it until three times the objective, and none
+afterwards. So jobs that can still meet their objective go first, and late jobs
+use what is left over. Long-running tasks go before all others: they are few,
+and serve their own users all the time.
+
+Least slack first is the best order while there is capacity for all jobs. While
+there is not, it spends the capacity on jobs that have just enough time left and
+miss their objective by some unforeseen delay, and by then the jobs behind them
+have no more slack either. So a job that has not started goes before others only
+while its slack is a good part of its remaining work.
 """
 
 from collections.abc import Callable
@@ -27,12 +27,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Moment:
-    """When an order is asked for.
+    """The time of a plan on two clocks.
 
     Attributes:
-        now: monotonic seconds, by which jobs without times are waited for.
-        wall_ms: time of day in milliseconds since 1970, at which occurrences
-            are due.
+        now: monotonic seconds; gives the age of jobs without a schedule.
+        wall_ms: time of day in milliseconds since 1970; gives the age of
+            scheduled occurrences.
     """
 
     now: float
@@ -45,160 +45,168 @@
 DEFAULT_ORDER = "headroom"
 
 LATE_FACTOR = 3.0
-"""Past so many objectives a job is worth nothing (the users' rule)."""
+"""A job has no value after this multiple of its objective (a rule of the
+users)."""
 
 HEADROOM = 0.3
-"""A job that has not begun needs slack of so many times the work that is left:
-estimates are off by half, and a start takes its time. In replays of turns that
-ask for more than there is, 0.2 and 0.4 earn up to 0.03 less of the credit."""
+"""Slack that a job without a start needs to go before others, as a share of its
+remaining work: estimates are off by half, and a start takes time. In replays of
+bursts beyond the capacity, 0.2 and 0.4 earn up to 0.03 less of the credit."""
 
-_LASTING, _IN_TIME, _LATE, _PAST_USE = 0, 1, 2, 3
-_BEGUN, _ROOMY, _TIGHT = 0, 1, 2
+_LONG_RUNNING, _IN_TIME, _LATE, _WORTHLESS = 0, 1, 2, 3
+_STARTED, _AMPLE_SLACK, _LITTLE_SLACK = 0, 1, 2
 
 
-def chain_ms(job: jobs.Job, done: Callable[[int], bool]) -> float:
-    """Returns the longest chain of work that is left, as estimated."""
-    longest: list[float] = []
+def critical_path_ms(job: jobs.Job, done: Callable[[int], bool]) -> float:
+    """Returns the estimated critical path of the remaining steps.
+
+    Args:
+        job: the job.
+        done: tells for the number of a step whether the step is done.
+    """
+    ends_ms: list[float] = []
     for number, step in enumerate(job.steps):
-        before = max((longest[first] for first in step.after), default=0.0)
+        before = max((ends_ms[first] for first in step.after), default=0.0)
         own = 0.0 if done(number) else step.estimate_ms
-        longest.append(before + own)
-    return max(longest)
+        ends_ms.append(before + own)
+    return max(ends_ms)
 
 
-def objective_ms(chain: float, queue: fleet.Queue | None) -> float:
-    """Returns within which time a job, or one occurrence, should end.
+def objective_ms(path_ms: float, queue: fleet.Queue | None) -> float:
+    """Returns the time within which a job, or one occurrence, should end.
 
     Args:
-        chain: its longest chain of work, in milliseconds.
-        queue: its job's queue as configured now.
+        path_ms: critical path of the whole job in milliseconds.
+        queue: the job's queue as configured now; None if it was removed.
     """
     if queue is None:
-        return chain
-    return queue.stretch * chain + queue.target_ms
+        return path_ms
+    return queue.stretch * path_ms + queue.target_ms
 
 
-def _whole_ms(entry: book.Entry) -> float:
-    """Returns a job's longest chain of work."""
-    if entry.whole_ms is None:
-        entry.whole_ms = chain_ms(entry.job, lambda _: False)
-    return entry.whole_ms
+def _critical_path_ms(entry: book.Entry) -> float:
+    """Returns the critical path of a whole job."""
+    if entry.critical_path_ms is None:
+        entry.critical_path_ms = critical_path_ms(entry.job, lambda _: False)
+    return entry.critical_path_ms
 
 
-def _left_ms(step: book.OpenStep) -> float:
-    """Returns the longest chain of work that is left of an occurrence.
+def _remaining_path_ms(step: book.OpenStep) -> float:
+    """Returns the remaining critical path of an occurrence.
 
-    Kept until a step is done: worked out anew for each open step in each plan,
-    it took a third of a plan of 400 waiting jobs.
+    The value is cached until a step is done. Computing it for each open step in
+    each plan took a third of a plan with 400 waiting jobs.
     """
     entry = step.entry
-    if step.occurrence not in entry.left_ms:
-        entry.left_ms[step.occurrence] = chain_ms(
+    if step.occurrence not in entry.remaining_path_ms:
+        entry.remaining_path_ms[step.occurrence] = critical_path_ms(
             entry.job, lambda number: entry.is_done(step.occurrence, number)
         )
-    return entry.left_ms[step.occurrence]
+    return entry.remaining_path_ms[step.occurrence]
 
 
 def _age_ms(step: book.OpenStep, moment: Moment) -> float:
     due_ms = step.entry.job.due_ms(step.occurrence)
     if due_ms:
         return max(0.0, moment.wall_ms - due_ms)
-    return (moment.now - step.entry.handed_in_at) * 1000
+    return (moment.now - step.entry.submitted_at) * 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Standing:
-    """How the job of an open step stands.
+class _Urgency:
+    """How urgent the job of an open step is.
 
     Attributes:
-        group: whether it can still be in time; the lowest goes first.
+        group: whether it can still be in time; the lowest group goes first.
         priority: of its queue; 0 goes first.
-        left_ms: longest chain of work that is left.
+        remaining_ms: remaining critical path.
         slack_ms: time to spare until its objective.
-        age_ms: time since it was handed in or due.
+        age_ms: time since it was submitted or due.
     """
 
     group: int
     priority: int
-    left_ms: float
+    remaining_ms: float
     slack_ms: float
     age_ms: float
 
 
-def _standing(
+def _urgency(
     step: book.OpenStep, queue: fleet.Queue | None, moment: Moment
-) -> _Standing:
+) -> _Urgency:
     entry = step.entry
-    left = _left_ms(step)
+    remaining = _remaining_path_ms(step)
     age = _age_ms(step, moment)
-    objective = objective_ms(_whole_ms(entry), queue)
-    slack_ms = objective - age - left
+    objective = objective_ms(_critical_path_ms(entry), queue)
+    slack_ms = objective - age - remaining
     if step.step.long_running:
-        group = _LASTING
+        group = _LONG_RUNNING
     elif slack_ms >= 0:
         group = _IN_TIME
-    elif age + left <= LATE_FACTOR * objective:
+    elif age + remaining <= LATE_FACTOR * objective:
         group = _LATE
     else:
-        group = _PAST_USE
-    return _Standing(group, queue.priority if queue else 0, left, slack_ms, age)
+        group = _WORTHLESS
+    return _Urgency(
+        group, queue.priority if queue else 0, remaining, slack_ms, age
+    )
 
 
 @ORDERS.register("headroom")
 def headroom(
     step: book.OpenStep, queue: fleet.Queue | None, moment: Moment
 ) -> Key:
-    """Begun jobs first, then those with slack to spare, then tight ones.
+    """Started jobs first, then those with ample slack, then the others.
 
-    Against the least slack first, replays of turns with a tenth, a quarter and
-    two fifths less room than is asked for earn 0.81 instead of 0.70, 0.71
-    instead of 0.50, and 0.61 instead of 0.34 of their credit (four seeds
-    each); with room for all the two are alike.
+    In replays of bursts with a tenth, a quarter and two fifths less capacity
+    than demand, this order earns 0.81, 0.71 and 0.61 of the credit, where least
+    slack first earns 0.70, 0.50 and 0.34 (four seeds each). With capacity for
+    all jobs, both orders earn the same.
 
     Args:
         step: an open step.
         queue: its job's queue as configured now.
-        moment: when it is asked for.
+        moment: the time of the plan.
     """
-    standing = _standing(step, queue, moment)
-    if standing.group != _IN_TIME:
-        return _by_group(standing)
-    slack_ms = standing.slack_ms
-    if _begun(step):
-        rank = (_BEGUN, slack_ms)
-    elif slack_ms >= HEADROOM * standing.left_ms:
-        rank = (_ROOMY, slack_ms)
+    urgency = _urgency(step, queue, moment)
+    if urgency.group != _IN_TIME:
+        return _by_group(urgency)
+    slack_ms = urgency.slack_ms
+    if _has_started(step):
+        rank = (_STARTED, slack_ms)
+    elif slack_ms >= HEADROOM * urgency.remaining_ms:
+        rank = (_AMPLE_SLACK, slack_ms)
     else:
-        # The one that is most likely to be in time after all.
-        rank = (_TIGHT, -slack_ms)
-    return (_IN_TIME, standing.priority, *rank)
+        # The most slack first: that job is the likeliest one to be in time.
+        rank = (_LITTLE_SLACK, -slack_ms)
+    return (_IN_TIME, urgency.priority, *rank)
 
 
-def _begun(step: book.OpenStep) -> bool:
-    """Whether work was put into this occurrence of the job before."""
+def _has_started(step: book.OpenStep) -> bool:
+    """Whether a task of this occurrence of the job was ever assigned."""
     return step.number > 0 or any(task.run for task in step.tasks)
 
 
-def _by_group(standing: _Standing) -> Key:
-    if standing.group == _LASTING:
-        return (_LASTING, 0.0)
-    if standing.group == _PAST_USE:
-        return (_PAST_USE, standing.priority, standing.age_ms)
-    return (standing.group, standing.priority, standing.slack_ms)
+def _by_group(urgency: _Urgency) -> Key:
+    if urgency.group == _LONG_RUNNING:
+        return (_LONG_RUNNING, 0.0)
+    if urgency.group == _WORTHLESS:
+        return (_WORTHLESS, urgency.priority, urgency.age_ms)
+    return (urgency.group, urgency.priority, urgency.slack_ms)
 
 
 @ORDERS.register("slack")
 def slack(
     step: book.OpenStep, queue: fleet.Queue | None, moment: Moment
 ) -> Key:
-    """Least slack first among jobs that can still meet their objective."""
-    return _by_group(_standing(step, queue, moment))
+    """Jobs that can still meet their objective first, by least slack."""
+    return _by_group(_urgency(step, queue, moment))
 
 
 @ORDERS.register("arrival")
 def arrival(
     step: book.OpenStep, queue: fleet.Queue | None, moment: Moment
 ) -> Key:
-    """First come, first served; what a comparison starts from."""
+    """First come, first served; the baseline for comparisons."""
     del queue
     return (0.0 if step.step.long_running else 1.0, -_age_ms(step, moment))
--- a/src/vanillaswitch/coordination/fleet/queue/sharing.py
+++ b/src/vanillaswitch/coordination/fleet/queue/sharing.py
@@ -1,10 +1,10 @@
-"""Paces tasks that fill so that tasks beside them serve their users in time.
+"""Paces filler tasks so that serving tasks beside them meet their targets.
 
-Load pattern: tasks that fill use what others leave of an instance and disturb
-those that serve users, by amounts that differ by image and change within
-seconds. What is listed is a rough figure over the last half second. A fill
-is slowed at once and by half, since users wait, and speeded up again in small
-steps once there has been room for a while.
+Load pattern: filler tasks use the processors that others leave unused, and
+slow down serving tasks on the same instance, by amounts that differ by image
+and change within seconds. The reported tail latency is a rough figure over the
+last half second. Fillers are slowed down at once and by half, since users wait.
+They are sped up again in small steps after a while of low latency.
 """
 
 from collections.abc import Callable
@@ -14,83 +14,88 @@
 from vanillaswitch.coordination.fleet.queue import rooms
 
 HIGH_SHARE = 0.85
-"""Fills are slowed when a tail exceeds this share of its target: the figure
-is rough, and it takes most of a second until a pace shows in it."""
+"""Fillers are slowed down when a tail latency exceeds this share of its target:
+the figure is rough, and shows a new pace only after most of a second."""
 
 LOW_SHARE = 0.6
-"""They are speeded up when all tails are below this share."""
+"""Fillers are sped up when all tail latencies are below this share."""
 
-CHANGE_S = 0.8
-"""Pause between two changes: the window of the figure and the time until a
-pace takes effect."""
+MIN_CHANGE_INTERVAL_S = 0.8
+"""Pause between two changes of pace: the window of the reported latency plus
+the time until a pace takes effect."""
 
-CALM_S = 1.6
-"""So long all tails have to be low before fills are speeded up."""
+MIN_LOW_LATENCY_S = 1.6
+"""How long all tail latencies must be low before fillers are sped up."""
 
-RAISE = 20
-"""Percent by which a fill is speeded up at once."""
+STEP_UP = 20
+"""Percentage points of one step up."""
 
-LEAST = 10
-"""Below so many percent a fill is halted."""
+MIN_PACE = 10
+"""Lowest pace in percent. A filler that would need a lower one is halted."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Pace:
-    """A run is to work at a share of its speed, in percent."""
+    """The decision to let a run work at a share of its speed, in percent."""
 
     run: rooms.Run
     percent: int
 
 
 def plan(instance: rooms.Instance, now: float) -> list[Pace]:
-    """Returns the paces to order on one instance."""
-    serving = [run for run in instance.runs.values() if _serves(run)]
-    fills = [run for run in instance.runs.values() if _fills(run)]
-    if not fills or now - instance.paced_at < CHANGE_S:
+    """Returns the paces to order on one instance.
+
+    Args:
+        instance: the instance.
+        now: monotonic seconds.
+    """
+    serving = [run for run in instance.runs.values() if _is_serving(run)]
+    fillers = [run for run in instance.runs.values() if _is_filler(run)]
+    if not fillers or now - instance.last_paced_at < MIN_CHANGE_INTERVAL_S:
         return []
-    worst = max((_strain(run) for run in serving), default=0.0)
+    worst = max((_target_share(run) for run in serving), default=0.0)
     if worst >= LOW_SHARE:
-        instance.calm_since = now
+        instance.below_target_since = now
     if worst > HIGH_SHARE:
-        return _changed(instance, fills, _slower, now)
-    if now - instance.calm_since >= CALM_S:
-        return _changed(instance, fills, _faster, now)
+        return _change_paces(instance, fillers, _slowed, now)
+    if now - instance.below_target_since >= MIN_LOW_LATENCY_S:
+        return _change_paces(instance, fillers, _sped_up, now)
     return []
 
 
-def _serves(run: rooms.Run) -> bool:
+def _is_serving(run: rooms.Run) -> bool:
     return run.confirmed and run.step.target_ms > 0 and not run.step.fills
 
 
-def _fills(run: rooms.Run) -> bool:
+def _is_filler(run: rooms.Run) -> bool:
     return run.confirmed and run.step.fills and run.stopping is None
 
 
-def _strain(run: rooms.Run) -> float:
-    """Returns a task's tail as a share of its target."""
+def _target_share(run: rooms.Run) -> float:
+    """Returns the tail latency of a task as a share of its target."""
     return run.gauge / run.step.target_ms
 
 
-def _slower(percent: int) -> int:
+def _slowed(percent: int) -> int:
     half = percent // 2
-    return half if half >= LEAST else 0
+    return half if half >= MIN_PACE else 0
 
 
-def _faster(percent: int) -> int:
-    return min(rooms.FULL_PACE, percent + RAISE)
+def _sped_up(percent: int) -> int:
+    return min(rooms.FULL_PACE, percent + STEP_UP)
 
 
-def _changed(
+def _change_paces(
     instance: rooms.Instance,
-    fills: Iterable[rooms.Run],
+    fillers: Iterable[rooms.Run],
     change: Callable[[int], int],
     now: float,
 ) -> list[Pace]:
     paces = [
         Pace(run, change(run.pace))
-        for run in fills
+        for run in fillers
         if change(run.pace) != run.pace
     ]
     if paces:
-        instance.paced_at = now
+        instance.last_paced_at = now
     return paces
--- a/tests/cover/test_planning_cost.py
+++ b/tests/cover/test_planning_cost.py
@@ -1,4 +1,4 @@
-"""What a plan costs when far more waits than there is room for."""
+"""Cost of a plan when demand is far beyond the capacity."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -13,12 +13,12 @@
 WAITING = 200
 
 
-def test_steps_that_wait_for_a_full_pool_look_at_no_instance(monkeypatch):
-    """Each start waits for seconds in a turn that asks for too much.
+def test_steps_that_wait_for_a_full_pool_check_no_instance(monkeypatch):
+    """Guards against starts that are seconds late in a burst.
 
-    Hundreds of steps waited for a pool without room, and each plan, made at
-    every end, let each of them look at every instance: 72 ms a plan with 276
-    instances and 300 jobs waiting, 6 ms now.
+    A plan is made at the end of every task. When each of hundreds of waiting
+    steps checked every instance of a full pool, a plan with 276 instances and
+    300 waiting jobs took 72 ms instead of 6 ms.
     """
     core = fleets.new_core()
     names = [f"i-{number}" for number in range(INSTANCES)]
@@ -27,26 +27,26 @@
     for number in range(WAITING + INSTANCES // 2):
         core.job_added(fleets.job(number, (step,)), 0.0)
     assert len(fleets.plan(core).starts) == 2 * INSTANCES
-    looked = []
+    checked = []
     fits = rooms.Instance.fits
 
-    def counted(instance, need):
-        looked.append(instance)
+    def recording_fits(instance, need):
+        checked.append(instance)
         return fits(instance, need)
 
-    monkeypatch.setattr(rooms.Instance, "fits", counted)
+    monkeypatch.setattr(rooms.Instance, "fits", recording_fits)
     assert not fleets.plan(core).starts
-    assert not looked
+    assert not checked
 
 
-_ROOM = st.integers(0, 4)
+_AMOUNT = st.integers(0, 4)
 
 
 @given(
-    st.lists(st.tuples(_ROOM, _ROOM, _ROOM), max_size=4),
-    st.tuples(_ROOM, _ROOM, _ROOM),
+    st.lists(st.tuples(_AMOUNT, _AMOUNT, _AMOUNT), max_size=4),
+    st.tuples(_AMOUNT, _AMOUNT, _AMOUNT),
 )
-def test_what_fits_somewhere_is_always_admitted(free, need):
+def test_a_need_that_fits_on_some_instance_may_fit(free, need):
     instances = []
     for number, capacity in enumerate(free):
         registration = fleets.registration(f"i-{number}")
@@ -55,8 +55,8 @@
         instances.append(instance)
     wanted = fleet.Resources(*need)
     if any(instance.fits(wanted) for instance in instances):
-        assert placement.Widest(instances).admits(wanted)
+        assert placement.MaxFree(instances).may_fit(wanted)
 
 
-def test_a_pool_without_instances_admits_nothing():
-    assert not placement.Widest([]).admits(fleet.Resources(0, 0))
+def test_nothing_may_fit_in_a_pool_without_instances():
+    assert not placement.MaxFree([]).may_fit(fleet.Resources(0, 0))
--- a/tests/cover/test_progress.py
+++ b/tests/cover/test_progress.py
@@ -1,4 +1,4 @@
-"""Tasks that stand still and instances that are slow are found."""
+"""Stalled tasks and slow instances are detected."""
 
 from tests.common import fleets
 from vanillaswitch.coordination.fleet.queue import progress
@@ -17,8 +17,8 @@
     return run
 
 
-def _work(instance, speed):
-    """Lets tasks of 1 s run at a speed, as their instance lists them."""
+def _report_progress(instance, speed):
+    """Reports progress of tasks of 1 s that run at a given speed."""
     for number in range(4):
         run = _run(instance, number)
         for tick in range(1, 4):
@@ -26,30 +26,30 @@
             progress.observe(instance, run, min(99.0, now * speed * 100), now)
 
 
-def test_an_instance_that_takes_many_times_as_long_is_slow():
+def test_an_instance_that_takes_several_times_as_long_is_slow():
     instances = [
         rooms.Instance(fleets.registration(f"i-{number}"), 0.0)
         for number in range(4)
     ]
     for instance in instances[1:]:
-        _work(instance, 1.0)
-    _work(instances[0], 0.15)
+        _report_progress(instance, 1.0)
+    _report_progress(instances[0], 0.15)
     progress.mark_slow(instances)
     assert [instance.slow for instance in instances] == [True] + 3 * [False]
 
 
-def test_estimates_that_are_off_for_all_make_nobody_slow():
+def test_estimates_that_are_off_everywhere_make_no_instance_slow():
     instances = [
         rooms.Instance(fleets.registration(f"i-{number}"), 0.0)
         for number in range(4)
     ]
     for instance in instances:
-        _work(instance, 0.3)
+        _report_progress(instance, 0.3)
     progress.mark_slow(instances)
     assert not any(instance.slow for instance in instances)
 
 
-def test_a_task_without_progress_stands_still_and_a_paced_one_does_not():
+def test_a_task_without_progress_is_stalled_unless_it_is_paced():
     instance = rooms.Instance(fleets.registration("i-1"), 0.0)
     run = _run(instance)
     for now in (1.0, 2.0, 3.0):
@@ -60,21 +60,21 @@
     assert not progress.stalled(run, 3.3)
 
 
-def _list_again(core, batch):
-    """Lets instances list what runs, without progress, until 5.0 s."""
+def _report_no_progress(core, batch):
+    """Sends status reports without progress until 5.0 s."""
     for now in (3.0, 4.0, 5.0):
         for start in batch.starts:
             row = fleet.Running(start.task, start.run, "", 0.0)
             fleets.show(core, {start.instance: [row]}, now)
 
 
-def test_a_task_that_stands_still_goes_on_elsewhere():
+def test_a_stalled_task_starts_again_on_another_instance():
     core = fleets.new_core()
     fleets.adopt(core, "i-1", "i-2")
     core.job_added(fleets.job(steps=(_STEP,)), 0.0)
     batch = fleets.plan(core)
     fleets.run_all(core, batch)
-    _list_again(core, batch)
+    _report_no_progress(core, batch)
     core.stop_stalled(5.0)
     stop = core.take_stops()[0]
     end = fleet.End(1, stop.task, stop.run, fleet.How.STOPPED, "")
@@ -83,12 +83,12 @@
     assert again.instance != stop.instance
 
 
-def test_the_only_instance_keeps_a_task_that_stands_still():
+def test_a_stalled_task_stays_on_the_only_instance():
     core = fleets.new_core()
     fleets.adopt(core, "i-1")
     core.job_added(fleets.job(steps=(_STEP,)), 0.0)
     batch = fleets.plan(core)
     fleets.run_all(core, batch)
-    _list_again(core, batch)
+    _report_no_progress(core, batch)
     core.stop_stalled(5.0)
     assert not core.take_stops()
--- a/tests/cover/test_sharing.py
+++ b/tests/cover/test_sharing.py
@@ -1,4 +1,4 @@
-"""Fills make way for tasks that serve users."""
+"""Filler tasks are slowed down for tasks that serve users."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -10,14 +10,14 @@
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 
-_SERVES = jobs.Step(count=1, long_running=True, target_ms=50.0)
-_FILLS = jobs.Step(count=1, fills=True)
+_SERVING = jobs.Step(count=1, long_running=True, target_ms=50.0)
+_FILLER = jobs.Step(count=1, fills=True)
 
 
 def _instance():
     instance = rooms.Instance(fleets.registration("i-1"), 0.0)
     runs = []
-    for number, step in enumerate((_SERVES, _FILLS)):
+    for number, step in enumerate((_SERVING, _FILLER)):
         name = jobs.TaskName("ab" * 8, 0, number, 0)
         run = rooms.Run(name, 1, step, fleet.Resources(0, 0), 0.0)
         run.confirmed = True
@@ -26,38 +26,38 @@
     return instance, *runs
 
 
-def test_a_fill_is_slowed_when_a_tail_comes_near_its_target():
-    instance, serving, fill = _instance()
+def test_a_filler_is_slowed_down_when_a_tail_latency_nears_its_target():
+    instance, serving, filler = _instance()
     serving.gauge = 49.0
     paces = sharing.plan(instance, 1.0)
-    assert paces == [sharing.Pace(fill, 50)]
+    assert paces == [sharing.Pace(filler, 50)]
     assert not sharing.plan(instance, 1.1)
 
 
-def test_a_fill_alone_is_left_at_full_speed():
+def test_a_filler_without_serving_tasks_keeps_its_full_pace():
     instance, serving, _ = _instance()
     instance.remove(serving.key)
     assert not sharing.plan(instance, 5.0)
 
 
-def test_a_fill_comes_back_only_after_a_calm_while():
-    instance, serving, fill = _instance()
-    serving.gauge, fill.pace = 20.0, 50
-    instance.calm_since = 10.0
+def test_a_filler_is_sped_up_only_after_a_while_of_low_latency():
+    instance, serving, filler = _instance()
+    serving.gauge, filler.pace = 20.0, 50
+    instance.below_target_since = 10.0
     assert not sharing.plan(instance, 11.0)
-    assert sharing.plan(instance, 11.7) == [sharing.Pace(fill, 70)]
+    assert sharing.plan(instance, 11.7) == [sharing.Pace(filler, 70)]
 
 
 @properties.steady
 @hypothesis.given(effect=st.floats(0.3, 4.0), own=st.floats(5.0, 35.0))
-def test_no_tail_stays_over_its_target_for_long(effect, own):
-    """The tail grows with the pace; within 4 s it is under its target."""
-    instance, serving, fill = _instance()
+def test_no_tail_latency_stays_over_its_target_for_4_s(effect, own):
+    """The tail latency grows with the pace of the filler."""
+    instance, serving, filler = _instance()
     over_since = None
     for tick in range(200):
         now = tick * 0.1
-        serving.gauge = own + effect * fill.pace
-        if serving.gauge > _SERVES.target_ms:
+        serving.gauge = own + effect * filler.pace
+        if serving.gauge > _SERVING.target_ms:
             over_since = now if over_since is None else over_since
             assert now - over_since < 4.0
         else:
--- a/tests/failures/test_pending_is_true.py
+++ b/tests/failures/test_pending_is_true.py
@@ -1,4 +1,4 @@
-"""What a queue's length says while its owner is in trouble."""
+"""The count of pending jobs stays true while the owner can't send starts."""
 
 from tests.common import fleets
 from vanillaswitch.protocol import fleet
@@ -12,11 +12,12 @@
     return core, fleets.plan(core).starts
 
 
-def test_a_job_waits_until_a_task_of_it_has_begun():
-    """A queue is said to be empty while thirteen jobs wait in it for 5 s.
+def test_a_job_is_pending_until_an_instance_confirms_a_start():
+    """Guards against a queue that looks empty while jobs wait in it.
 
-    Its owner had given their tasks to instances, and could not write or send
-    the starts; what was decided counted as begun.
+    An owner that has assigned tasks but can't write or send their starts counts
+    the jobs as started. In one case 13 jobs waited 5 s in a queue that looked
+    empty.
     """
     core, starts = _with_three_jobs()
     assert starts
@@ -27,8 +28,8 @@
     assert core.book.pending("quotes") == 2
 
 
-def test_what_an_instance_lists_has_begun():
-    """A new owner counts jobs as waiting whose tasks run."""
+def test_a_job_with_a_reported_run_is_not_pending():
+    """Guards against a new owner that counts running jobs as pending."""
     core, starts = _with_three_jobs()
     running = tuple(
         fleet.Running(start.task, start.run, "", 5.0) for start in starts
@@ -37,8 +38,8 @@
     assert core.book.pending("quotes") == 0
 
 
-def test_what_ended_before_it_was_listed_has_begun():
-    """Jobs that fail at once count as waiting although they were tried."""
+def test_a_job_with_a_reported_end_is_not_pending():
+    """Guards against jobs that fail at once and are counted as pending."""
     core, starts = _with_three_jobs()
     ends = tuple(
         fleet.End(number, start.task, start.run, fleet.How.STOPPED, "")
--- a/tests/failures/test_slow_processor.py
+++ b/tests/failures/test_slow_processor.py
@@ -1,4 +1,4 @@
-"""An owner whose processor is too slow for all that it would like to do."""
+"""An owner whose processor is too slow for all its work."""
 
 from standins import table as tables
 from tests.common import clocks as manual
@@ -8,13 +8,13 @@
 from vanillaswitch.protocol import feeds
 
 _PLAN_S = 0.11
-"""What a plan of 400 waiting jobs took on a core of 0.12."""
+"""Duration of a plan with 400 waiting jobs on 0.12 of a core."""
 
 _PLANS = 20
 
 
 class _Feed:
-    """Tables without rows."""
+    """A feed of tables without rows."""
 
     def snapshot(self, table, parts=()):
         del table, parts
@@ -22,12 +22,12 @@
 
 
 def test_plans_leave_an_owner_time_for_its_starts_and_renewals():
-    """What was accepted never runs, and owners follow each other.
+    """Guards against jobs that never run and owners that keep changing.
 
-    Hundreds of jobs wait for a slow owner, and each end of a task asks for a
-    new plan. Made one after the other, plans took most of its processor: its
-    timers were late by 0.15 to 0.3 s, its renewals by over a second, and the
-    next owner went the same way.
+    Hundreds of jobs wait for a slow owner, and each end of a task requests a
+    new plan. Back-to-back plans take most of the processor: timers are 0.15 to
+    0.3 s late and lease renewals over a second, so the owner loses the fleet,
+    and the next owner fails in the same way.
     """
     clock = manual.ManualClock()
     owner = terms.begin(tables.MemoryTable(), _Feed(), clock)
@@ -46,28 +46,29 @@
     owner._wake.set()
     began = clock.monotonic()
     owner._plan_all()
-    whole_s = clock.monotonic() - began
-    assert whole_s / 4 >= _PLANS * _PLAN_S
+    total_s = clock.monotonic() - began
+    assert total_s / 4 >= _PLANS * _PLAN_S
 
 
-def test_a_plan_works_out_only_what_has_changed(monkeypatch):
-    """A plan of 400 jobs that wait for a full pool took 14 ms, now 4 ms.
+def test_a_plan_recomputes_only_what_has_changed(monkeypatch):
+    """Guards against plans that walk over the steps of jobs without changes.
 
-    For each open step it walked over all steps of its job three times, to see
-    what may open and how much work is left, though no step had ended.
+    To find steps to open and the remaining work, a plan went through all steps
+    of the job three times for each open step. With 400 jobs that waited for a
+    full pool it took 14 ms instead of 4 ms.
     """
     core = fleets.new_core()
     fleets.adopt(core, "i-1")
     for number in range(50):
         core.job_added(fleets.job(number), 0.0)
     fleets.plan(core)
-    worked_out = []
-    chain_ms = queue_order.chain_ms
+    computed = []
+    critical_path_ms = queue_order.critical_path_ms
 
-    def counted(job, done):
-        worked_out.append(job)
-        return chain_ms(job, done)
+    def recording(job, done):
+        computed.append(job)
+        return critical_path_ms(job, done)
 
-    monkeypatch.setattr(queue_order, "chain_ms", counted)
+    monkeypatch.setattr(queue_order, "critical_path_ms", recording)
     fleets.plan(core)
-    assert not worked_out
+    assert not computed
