--- a/tests/common/owner_histories.py
+++ b/tests/common/owner_histories.py
@@ -1,9 +1,9 @@
-"""Owners of a fleet in any order of events, against a model of instances.
+"""State machine of fleet owners and a model of instances, for random events.
 
-Two or three processes believe in turn, and for a while together, that they own
-the fleet. Orders are delayed, lost, carried out late and after newer ones;
-instances crash, fall silent and come back; rows are written under the owner's
-condition. What must never happen is checked after each event.
+Up to three processes act as the owner of the fleet, one after another and for a
+while at the same time. Orders are delayed, lost, executed late and executed
+after newer ones. Instances crash, stop answering and come back. Only the newest
+owner can write rows. Safety properties are checked after each event.
 """
 
 import collections
@@ -34,16 +34,16 @@
 )
 CHOICE = st.integers(0, 1_000_000)
 
-MOST_CRASHES = 3
-MOST_STARTS_AFTERWARDS = 2
-"""After so many crashes under it a task is started so often more at most."""
+CRASH_LIMIT = 3
+MAX_STARTS_AFTER_LIMIT = 2
+"""Starts that a task may get after ``CRASH_LIMIT`` crashes during its runs."""
 
-ROOM = fleet.Resources(4000, 32_000)
-"""Room of an instance that has not shrunk."""
+FULL_CAPACITY = fleet.Resources(4000, 32_000)
+"""Capacity of an instance that has not shrunk."""
 
 
 class Term:
-    """One process's belief that it owns the fleet."""
+    """A process that acts as the owner of the fleet under one token."""
 
     def __init__(self, core: cores.Core, token: int):
         self.core = core
@@ -51,35 +51,35 @@
         self.orders: list[term_state.StartOrder] = []
         self.stops: list[term_state.StopOrder] = []
         self.recorded: dict[str, tuple[int, int]] = {}
-        self.broken_calls: set[str] = set()
-        self.tried: set[rooms.RunKey] = set()
+        self.disconnected: set[str] = set()
+        self.send_attempted: set[rooms.RunKey] = set()
         self.unanswered: set[rooms.RunKey] = set()
         self.unread: set[str] = set()
 
 
-class Owners(stateful.RuleBasedStateMachine):
-    """Drives terms, instances and rows."""
+class OwnershipMachine(stateful.RuleBasedStateMachine):
+    """State machine of owner terms, instances and stored rows."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1.0
         self.token = 0
-        self.lives = 0
+        self.boots = 0
         self.terms: list[Term] = []
         self.jobs: dict[str, jobs.Job] = {}
         self.cancelled: set[str] = set()
         self.rows: dict[str, dict[str, object]] = {}
         self.instances: dict[str, leased_instance.LeasedInstance] = {}
         self.done: set[jobs.TaskName] = set()
-        self.late: list[tuple[str, fleet.Start]] = []
-        self.born_at: dict[str, float] = {}
+        self.late_starts: list[tuple[str, fleet.Start]] = []
+        self.restarted_at: dict[str, float] = {}
         self.sent_at: dict[int, float] = {}
-        self.heard: set[str] = set()
-        self.settled: set[str] = set()
-        self.cut: set[str] = set()
+        self.reported_to_newest: set[str] = set()
+        self.restart_handled: set[str] = set()
+        self.unreachable: set[str] = set()
         self.crashing: set[str] = set()
         self.crashes: collections.Counter[jobs.TaskName] = collections.Counter()
-        self.starts_afterwards: collections.Counter[jobs.TaskName] = (
+        self.starts_after_limit: collections.Counter[jobs.TaskName] = (
             collections.Counter()
         )
         for _ in range(INSTANCES):
@@ -87,12 +87,12 @@
         self.take_over()
 
     def _boot(self) -> None:
-        self.lives += 1
-        name = f"i-{self.lives}"
+        self.boots += 1
+        name = f"i-{self.boots}"
         self.instances[name] = leased_instance.LeasedInstance(
             dataclasses.replace(
-                fleets.registration(name, rack=f"r{self.lives % 2}"),
-                born_ms=self.lives,
+                fleets.registration(name, rack=f"r{self.boots % 2}"),
+                born_ms=self.boots,
             )
         )
 
@@ -106,18 +106,18 @@
 
     @stateful.rule()
     def take_over(self) -> None:
-        """Another process becomes the owner and reads what was written."""
+        """Another process becomes the owner and reads the stored rows."""
         self._take_over(set())
 
     @stateful.rule(part=st.integers(0, 2))
-    def take_over_in_part(self, part: int) -> None:
-        """The same, while a part of the table of jobs is away."""
+    def take_over_with_unread_jobs(self, part: int) -> None:
+        """Another process takes over while a part of the jobs is unreadable."""
         numbered = enumerate(sorted(self.jobs))
         self._take_over({job for at, job in numbered if at % 3 == part})
 
     @stateful.rule()
-    def part_is_back(self) -> None:
-        """The owner reads the jobs that it could not read before."""
+    def read_unread_jobs(self) -> None:
+        """The owner reads the jobs that were unreadable before."""
         term = self.terms[-1]
         while term.unread:
             job_id = min(term.unread)
@@ -131,7 +131,7 @@
             term.core.restore_late(job, row, 1, self.now, lapses_at)
 
     def _unread_with_rows(self, term: Term) -> set[str]:
-        """Returns jobs of which the owner knows progress and no more."""
+        """Returns unread jobs whose progress row the owner can read."""
         return {
             job_id
             for job_id in term.unread
@@ -161,27 +161,28 @@
 
     @stateful.rule(kind=st.integers(0, len(STEPS) - 1))
     def submit(self, kind: int) -> None:
-        """A client hands in a job; only the owner hears of it in time."""
+        """A client submits a job; only the newest owner receives it."""
         if len(self.jobs) >= 6:
             return
         job = fleets.job(len(self.jobs) + 1, STEPS[kind])
         self.jobs[job.job_id] = job
         self.terms[-1].core.job_added(job, self.now)
 
-    # Tasks that crash instances, and rooms that shrink: no rules, see restarts.
+    # Crashing tasks and changed capacities are no rules, since drawn histories
+    # contain too few of them. Random histories with weighted events use them.
 
     def submit_crashing(self, kind: int) -> None:
-        """A client hands in a job all tasks of which crash instances."""
+        """A client submits a job whose tasks all crash their instances."""
         before = set(self.jobs)
         self.submit(kind)
         self.crashing.update(self.jobs.keys() - before)
 
-    def resize(self, choice: int, cpu: int) -> None:
-        """The room of an instance changes, and its entry tells at once."""
+    def change_capacity(self, choice: int, cpu: int) -> None:
+        """The capacity of an instance changes; its registration shows it."""
         model = self._pick(self._up(), choice)
-        room = dataclasses.replace(ROOM, cpu=cpu)
+        capacity = dataclasses.replace(FULL_CAPACITY, cpu=cpu)
         model.registration = dataclasses.replace(
-            model.registration, capacity=room
+            model.registration, capacity=capacity
         )
         for term in self.terms:
             term.core.registered(model.registration, self.now)
@@ -196,7 +197,7 @@
 
     @stateful.rule(choice=CHOICE)
     def plan_and_write(self, choice: int) -> None:
-        """A process plans and writes; one that lost the fleet can't."""
+        """A process plans and writes; a former owner can't write and ends."""
         term = self._pick(self.terms, choice)
         term.core.plan(self.now, fleets.WALL_MS + self.now * 1000)
         batch = term.core.take_batch(2)
@@ -215,7 +216,7 @@
 
     @stateful.rule(choice=CHOICE, fate=st.integers(0, 3))
     def send_start(self, choice: int, fate: int) -> None:
-        """A start is sent; it may be lost, or answered by nobody."""
+        """A start is sent; it may be lost, or get no answer."""
         term = self._pick(self.terms, choice)
         order = self._pick(term.orders, choice)
         if order is None:
@@ -225,9 +226,11 @@
             return
         known = term.core.instances.get(order.instance)
         model = self.instances[order.instance]
-        if term is not self.terms[-1] and self._is_unsettled(order.instance):
-            # Nobody can know of an order of an earlier owner that arrives
-            # between such a start and the first call of the newest one.
+        if term is not self.terms[-1] and self._is_restart_unhandled(
+            order.instance
+        ):
+            # An order of an earlier owner that arrives between the restart of
+            # an instance and the newest owner's first call can't be detected.
             term.orders.remove(order)
             return
         deadline = known.clock_now_ms(self.now) + lease_times.HOLD_S * 1000
@@ -236,19 +239,19 @@
             order.task, order.run, "", "", term.token, int(deadline)
         )
         key = (order.task, order.run)
-        # A copy that was sent before may still be carried out.
+        # A copy that was sent before may still be executed.
         sent = key in term.unanswered
-        held_back = key in term.tried and term.core.holds_back(order)
-        term.tried.add(key)
-        if held_back or order.instance in self.cut:
+        held_back = key in term.send_attempted and term.core.holds_back(order)
+        term.send_attempted.add(key)
+        if held_back or order.instance in self.unreachable:
             if not term.core.start_unanswered(
                 order.instance, key, sent, self.now
             ):
                 term.orders.remove(order)
             return
         if fate == 0 or not model.up:
-            # Nobody answers; a copy may be carried out later.
-            self.late.append((order.instance, start))
+            # The start gets no answer; a copy may be executed later.
+            self.late_starts.append((order.instance, start))
             self.sent_at[id(start)] = self.now
             term.unanswered.add(key)
             if not term.core.start_unanswered(
@@ -259,14 +262,14 @@
         if fate == 1:
             outcome = fleet.Refused(fleet.Reason.UNHEALTHY)
         else:
-            outcome = self._carry_out(order.instance, start)
+            outcome = self._execute_start(order.instance, start)
             if model.up and model.started[-1:] == [key]:
-                room = model.registration.capacity
-                assert model.used.cpu <= room.cpu, f"{key} does not fit"
+                capacity = model.registration.capacity
+                assert model.used.cpu <= capacity.cpu, f"{key} does not fit"
         term.orders.remove(order)
-        self._tell(term, order, outcome)
+        self._deliver_answer(term, order, outcome)
 
-    def _tell(
+    def _deliver_answer(
         self, term: Term, order: term_state.StartOrder, outcome: object
     ) -> None:
         key = (order.task, order.run)
@@ -282,7 +285,7 @@
             order.instance, key, outcome.reason, not sent, self.now
         )
 
-    def _carry_out(self, name: str, start: fleet.Start) -> object:
+    def _execute_start(self, name: str, start: fleet.Start) -> object:
         model = self.instances[name]
         job = self.jobs[start.task.job_id]
         need = books.need(job.steps[start.task.step])
@@ -291,55 +294,59 @@
         if len(model.started) > before:
             self._check_start(model, start)
             if start.task.job_id in self.crashing:
-                self._crash_under(model, start.task)
+                self._crash_by_task(model, start.task)
         return outcome
 
-    def _crash_under(
+    def _crash_by_task(
         self, model: leased_instance.LeasedInstance, task: jobs.TaskName
     ) -> None:
         """A task crashes the instance that has just started it."""
-        if self.crashes[task] >= MOST_CRASHES:
-            self.starts_afterwards[task] += 1
-        assert self.starts_afterwards[task] <= MOST_STARTS_AFTERWARDS, task
+        if self.crashes[task] >= CRASH_LIMIT:
+            self.starts_after_limit[task] += 1
+        assert self.starts_after_limit[task] <= MAX_STARTS_AFTER_LIMIT, task
         self.crashes[task] += 1
-        if self.lives % 2:
-            self._restart(model, entry_first=False)
+        if self.boots % 2:
+            self._restart(model, registration_first=False)
         else:
             self._crash(model)
 
     @stateful.rule(choice=CHOICE)
-    def carry_out_late(self, choice: int) -> None:
-        """A start that was given up is carried out.
+    def execute_late_start(self, choice: int) -> None:
+        """An unanswered start is executed late.
 
-        Sent before its instance started again, it waits for what the newest
-        owner does about it: carried out between the start and the first call
-        of that owner, nobody could have known of it.
+        If it was sent before its instance restarted, it is not executed before
+        the newest owner has handled the restart: execution between the restart
+        and the owner's first call can't be detected.
         """
-        found = self._pick(self.late, choice)
+        found = self._pick(self.late_starts, choice)
         if found is None:
             return
         name, start = found
         sent_at = self.sent_at[id(start)]
         if self.now - sent_at > rooms.LATE_S:
-            self.late.remove(found)
+            self.late_starts.remove(found)
             return
-        of_before = sent_at <= self.born_at.get(name, 0.0)
-        if not of_before or not self._is_unsettled(name):
-            self.late.remove(found)
+        sent_before_restart = sent_at <= self.restarted_at.get(name, 0.0)
+        if not sent_before_restart or not self._is_restart_unhandled(name):
+            self.late_starts.remove(found)
             if self.instances[found[0]].up:
-                self._carry_out(*found)
+                self._execute_start(*found)
 
     @stateful.rule(choice=CHOICE)
     def send_stops(self, choice: int) -> None:
-        """A process sends its stops."""
+        """A process sends its stop orders."""
         term = self._pick(self.terms, choice)
         term.core.stop_again(self.now)
         term.stops.extend(term.core.take_stops())
         if term is self.terms[-1]:
-            self.settled |= self.heard - self.cut
+            self.restart_handled |= self.reported_to_newest - self.unreachable
         for stop in term.stops:
             model = self.instances.get(stop.instance)
-            if model is None or not model.up or stop.instance in self.cut:
+            if (
+                model is None
+                or not model.up
+                or stop.instance in self.unreachable
+            ):
                 continue
             outcome = model.stop(stop.task, stop.run, term.token)
             if isinstance(outcome, fleet.Accepted):
@@ -349,14 +356,14 @@
 
     @stateful.rule(choice=CHOICE, instance=CHOICE)
     def hold(self, choice: int, instance: int) -> None:
-        """A process holds an instance and hears its account."""
+        """A process renews the lease of an instance and reads its report."""
         term = self._pick(self.terms, choice)
         name = self._pick(sorted(self.instances), instance)
         model = self.instances[name]
         known = term.core.instances.get(name)
         if known is None:
             return
-        if not model.up or name in self.cut:
+        if not model.up or name in self.unreachable:
             term.core.silent(name, self.now)
             return
         deadline = None
@@ -368,14 +375,14 @@
                 known.lapses_at, lease_times.lapses_at(self.now)
             )
         life, seen = term.recorded.get(name, (0, 0))
-        if known.life != life or name in term.broken_calls:
+        if known.life != life or name in term.disconnected:
             seen = 0
-        term.broken_calls.discard(name)
+        term.disconnected.discard(name)
         outcome = model.hold(term.token, seen, deadline)
         if isinstance(outcome, fleet.Held):
             term.core.held(name, outcome, self.now, self.now)
             if term is self.terms[-1]:
-                self.heard.add(name)
+                self.reported_to_newest.add(name)
         elif term is not self.terms[-1]:
             self.terms.remove(term)
 
@@ -383,7 +390,7 @@
 
     @stateful.rule(choice=CHOICE, how=st.sampled_from(["done", "failed"]))
     def task_ends(self, choice: int, how: str) -> None:
-        """A task ends by itself; a gang ends together."""
+        """A task ends by itself; all tasks of a gang end together."""
         running = [
             (model, task)
             for model in self._up()
@@ -418,52 +425,55 @@
 
     @stateful.rule(choice=CHOICE)
     def crash(self, choice: int) -> None:
-        """An instance crashes; the list of machines shows it later."""
+        """An instance crashes; the machine list shows it later."""
         up = self._up()
         if len(up) > 1:
             self._crash(self._pick(up, choice))
 
     def _crash(self, model: leased_instance.LeasedInstance) -> None:
-        """An instance is over; another one comes in its place."""
+        """An instance is lost, and a new one replaces it."""
         model.crash()
         self._boot()
         newest = list(self.instances.values())[-1]
         for term in self.terms:
             term.core.registered(newest.registration, self.now)
 
-    # Restarts: no rule either, for the same reason as entries of others.
+    # Restarts are no rule, for the same reason as crashing tasks.
 
-    def restart(self, choice: int, entry_first: bool) -> None:
-        """An instance crashes and starts again under its id."""
-        self._restart(self._pick(self._up(), choice), entry_first=entry_first)
+    def restart(self, choice: int, registration_first: bool) -> None:
+        """An instance crashes and restarts under the same id."""
+        self._restart(
+            self._pick(self._up(), choice),
+            registration_first=registration_first,
+        )
 
     def _restart(
-        self, model: leased_instance.LeasedInstance, *, entry_first: bool
+        self, model: leased_instance.LeasedInstance, *, registration_first: bool
     ) -> None:
         name = model.registration.instance
-        self.lives += 1
-        model.restart(self.lives)
-        self.heard.discard(name)
-        self.settled.discard(name)
-        self.born_at[name] = self.now
+        self.boots += 1
+        model.restart(self.boots)
+        self.reported_to_newest.discard(name)
+        self.restart_handled.discard(name)
+        self.restarted_at[name] = self.now
         for term in self.terms:
-            term.broken_calls.add(name)
-            if entry_first:
+            term.disconnected.add(name)
+            if registration_first:
                 term.core.registered(model.registration, self.now)
 
-    def _is_unsettled(self, name: str) -> bool:
-        """Whether the newest owner has not heard of a restart yet."""
-        return name in self.born_at and name not in self.settled
+    def _is_restart_unhandled(self, name: str) -> bool:
+        """Whether the newest owner has not handled a restart yet."""
+        return name in self.restarted_at and name not in self.restart_handled
 
     @stateful.rule(choice=CHOICE)
-    def cut_or_mend(self, choice: int) -> None:
-        """An instance can't be reached and runs on, or can be again."""
+    def toggle_reachability(self, choice: int) -> None:
+        """An instance becomes unreachable while it runs, or reachable again."""
         name = self._pick(sorted(self.instances), choice)
-        self.cut.symmetric_difference_update({name})
+        self.unreachable.symmetric_difference_update({name})
 
     @stateful.rule()
     def read_machines(self) -> None:
-        """The owner learns which instances are over."""
+        """The owner learns from the machine list which instances are gone."""
         core = self.terms[-1].core
         for name in list(core.instances):
             if not self.instances[name].up:
@@ -471,7 +481,7 @@
 
     @stateful.rule(seconds=st.sampled_from([0.05, 0.3, 1.0, 3.0]))
     def time_passes(self, seconds: float) -> None:
-        """Time passes everywhere; some clocks are slow."""
+        """Time passes; the clocks of some instances are slow."""
         self.now += seconds
         for number, model in enumerate(self._up()):
             slow = 0.98 if number % 2 else 1.0
@@ -479,21 +489,21 @@
         for term in self.terms:
             term.core.lapse(self.now)
 
-    # Entries of others: no rule, since a drawn history is short of them.
+    # Overwritten registrations are no rule, for the same reason.
 
-    def entry_written_over(self, choice: int) -> None:
-        """Another writer writes over the entry of an instance."""
+    def registration_overwritten(self, choice: int) -> None:
+        """Another writer overwrites the registration of an instance."""
         name = self._pick(sorted(self.instances), choice)
         for term in self.terms:
             term.core.distrusted(name, "its bytes can't be read", self.now)
 
-    def entry_written_again(self, choice: int) -> None:
-        """An instance that lives writes its own entry."""
+    def registration_rewritten(self, choice: int) -> None:
+        """A running instance writes its own registration again."""
         model = self._pick(self._up(), choice)
         for term in self.terms:
             term.core.registered(model.registration, self.now)
 
-    # What must hold.
+    # Safety properties.
 
     def _check_start(
         self, model: leased_instance.LeasedInstance, start: fleet.Start
@@ -505,7 +515,7 @@
             if item is not model and task in item.running
         ]
         assert not others, f"{task} runs twice at once"
-        assert task not in self._noted_done(), f"{task} was noted as done"
+        assert task not in self._recorded_done(), f"{task} is recorded as done"
         job = self.jobs[task.job_id]
         for before in job.steps[task.step].after:
             for index in range(job.steps[before].count):
@@ -518,26 +528,26 @@
                 for name in model.running
                 if (name.job_id, name.step) == (task.job_id, task.step)
             ]
-            assert len(same) <= apart, f"{task} is not apart"
+            assert len(same) <= apart, f"{task} breaks its anti-affinity"
 
-    def _noted_done(self) -> set[jobs.TaskName]:
-        return {name for name in self.done if self._row_says_done(name)}
+    def _recorded_done(self) -> set[jobs.TaskName]:
+        return {name for name in self.done if self._is_recorded_done(name)}
 
-    def _row_says_done(self, name: jobs.TaskName) -> bool:
+    def _is_recorded_done(self, name: jobs.TaskName) -> bool:
         row = self.rows.get(name.job_id)
         if row is None:
             return False
         return [0, name.step] in row["done"]
 
     @stateful.invariant()
-    def notes_ends(self) -> None:
-        """Remembers which tasks were listed as done."""
+    def record_done_tasks(self) -> None:
+        """Records which tasks were reported as done."""
         for model in self.instances.values():
             for end in model._ended:
                 if end.how is fleet.How.DONE:
-                    self._note(end.task)
+                    self._record_done(end.task)
 
-    def _note(self, task: jobs.TaskName) -> None:
+    def _record_done(self, task: jobs.TaskName) -> None:
         step = self.jobs[task.job_id].steps[task.step]
         self.done.add(task)
         if step.gang:
@@ -545,14 +555,14 @@
                 self.done.add(jobs.TaskName(task.job_id, 0, task.step, index))
 
     @stateful.invariant()
-    def room_is_kept(self) -> None:
-        """No instance runs more than it has room for in full."""
+    def capacity_is_kept(self) -> None:
+        """No instance runs more than its full capacity."""
         for model in self._up():
-            assert model.used.cpu <= ROOM.cpu
+            assert model.used.cpu <= FULL_CAPACITY.cpu
 
     @stateful.invariant()
-    def completed_is_true(self) -> None:
-        """A job that is recorded as completed has all tasks done."""
+    def completed_jobs_are_done(self) -> None:
+        """All tasks of a job that is recorded as completed are done."""
         for job_id, row in self.rows.items():
             if row["ended"] != jobs.JobState.COMPLETED.value:
                 continue
@@ -563,15 +573,15 @@
 
 
 def busy_events(
-    machine: Owners, chooser: random.Random
+    machine: OwnershipMachine, chooser: random.Random
 ) -> dict[Callable[[], None], float]:
-    """Returns events with weights, as often as they come in a busy fleet."""
+    """Returns events with weights like their frequency in a busy fleet."""
 
     def number() -> int:
         return chooser.randrange(1_000_000)
 
-    def cycle() -> None:
-        """What an owner does in a moment without trouble."""
+    def owner_round() -> None:
+        """One round of an owner without any fault."""
         newest = len(machine.terms) - 1
         machine.plan_and_write(newest)
         for _ in range(4):
@@ -581,7 +591,7 @@
             machine.hold(newest, instance)
 
     return {
-        cycle: 10,
+        owner_round: 10,
         lambda: machine.submit(chooser.randrange(len(STEPS))): 3,
         lambda: machine.plan_and_write(number()): 4,
         lambda: machine.send_start(number(), chooser.randrange(4)): 6,
@@ -591,10 +601,10 @@
             number(), chooser.choice(["done", "done", "failed"])
         ): 4,
         lambda: machine.time_passes(chooser.choice([0.05, 0.3, 1.0, 3.0])): 4,
-        lambda: machine.carry_out_late(number()): 2,
+        lambda: machine.execute_late_start(number()): 2,
         lambda: machine.cancel(number()): 0.1,
         lambda: machine.crash(number()): 0.3,
-        lambda: machine.cut_or_mend(number()): 0.6,
+        lambda: machine.toggle_reachability(number()): 0.6,
         machine.read_machines: 1,
         machine.take_over: 0.6,
     }
--- a/tests/cover/test_fleet_core.py
+++ b/tests/cover/test_fleet_core.py
@@ -1,4 +1,4 @@
-"""What the owner decides, event by event."""
+"""Decisions of the owner after single events."""
 
 import pytest
 
@@ -47,14 +47,14 @@
     assert entry.state is jobs.JobState.COMPLETED
 
 
-def test_a_full_instance_gets_nothing_more():
+def test_a_full_instance_gets_no_more_tasks():
     core = fleets.new_core()
     fleets.adopt(core, "i-1", cpu=1500)
     core.job_added(fleets.job(), 0.0)
     assert len(fleets.plan(core).starts) == 1
 
 
-def test_tasks_that_fill_take_memory_and_no_processors():
+def test_filler_tasks_reserve_memory_and_no_processors():
     core = fleets.new_core()
     fleets.adopt(core, "i-1", cpu=1500)
     steps = (jobs.Step(count=3, cpu=1000, mem_mb=15_000, fills=True),)
@@ -62,11 +62,11 @@
     assert len(fleets.plan(core).starts) == 2
 
 
-def test_small_tasks_do_not_keep_a_lasting_one_from_its_room():
-    """A reminder waits for as long as quotes come.
+def test_small_tasks_do_not_starve_a_long_running_one():
+    """Guards against a long-running task that waits while small tasks arrive.
 
-    The pool is full of small tasks; each gap that one leaves was taken by the
-    next of them, and the reminder needs two such gaps on one instance.
+    The pool is full of small tasks, and each gap that one leaves is filled by
+    the next one. The long-running task needs two such gaps on one instance.
     """
     core = fleets.new_core()
     fleets.adopt(core, "i-1", "i-2")
@@ -74,8 +74,8 @@
     core.job_added(fleets.job(1, steps=small), 0.0)
     first = fleets.plan(core)
     assert len(first.starts) == 8
-    lasting = (jobs.Step(count=1, cpu=2000, long_running=True),)
-    core.job_added(fleets.job(2, steps=lasting), 1.0)
+    long_running = (jobs.Step(count=1, cpu=2000, long_running=True),)
+    core.job_added(fleets.job(2, steps=long_running), 1.0)
     core.job_added(fleets.job(3, steps=small), 1.0)
     started = []
     for number, index in enumerate((0, 4, 1), 1):
@@ -86,28 +86,30 @@
     assert any(start.task.job_id == fleets.job(3).job_id for start in started)
 
 
-def test_room_that_short_tasks_leave_counts_lasting_ones_by_their_need():
+def test_capacity_without_short_tasks_counts_needs_of_long_running_ones():
     core = fleets.new_core()
     fleets.adopt(core, "i-1", cpu=4000)
-    lasting = jobs.Step(count=1, cpu=3000, long_running=True)
+    long_running = jobs.Step(count=1, cpu=3000, long_running=True)
     short = jobs.Step(count=1, cpu=1000)
-    core.job_added(fleets.job(1, steps=(lasting,)), 0.0)
+    core.job_added(fleets.job(1, steps=(long_running,)), 0.0)
     core.job_added(fleets.job(2, steps=(short,)), 0.0)
     fleets.plan(core)
     instance = core.instances["i-1"]
     other = jobs.TaskName(fleets.job(3).job_id, 0, 0, 0)
 
-    def has_room(step):
+    def could_fit(step):
         return instance.makes_room(step, other, books.need(step), 1.0)
 
     assert not instance.free_cpu
-    assert has_room(jobs.Step(count=1, cpu=1000, long_running=True))
-    assert not has_room(jobs.Step(count=1, cpu=1001, long_running=True))
-    # What fills takes no processors, whatever it asks for.
-    assert has_room(jobs.Step(count=1, cpu=3000, long_running=True, fills=True))
+    assert could_fit(jobs.Step(count=1, cpu=1000, long_running=True))
+    assert not could_fit(jobs.Step(count=1, cpu=1001, long_running=True))
+    # Filler tasks reserve no processors, whatever they request.
+    assert could_fit(
+        jobs.Step(count=1, cpu=3000, long_running=True, fills=True)
+    )
 
 
-def test_a_gang_starts_whole_or_not_at_all():
+def test_a_gang_starts_as_a_whole_or_not_at_all():
     core = fleets.new_core()
     fleets.adopt(core, "i-1", cpu=1500)
     steps = (jobs.Step(count=2, cpu=1000, gang=True),)
@@ -119,7 +121,7 @@
     assert {start.run for start in started} == {1}
 
 
-def test_the_end_of_one_member_stands_for_its_gang():
+def test_a_gang_is_done_when_one_member_is_done():
     core = fleets.new_core()
     fleets.adopt(core, "i-1")
     steps = (jobs.Step(count=2, cpu=1000, gang=True),)
@@ -155,7 +157,7 @@
     assert second.starts[0].run == 2
 
 
-def test_tasks_that_last_run_again_however_they_end():
+def test_long_running_tasks_run_again_however_they_end():
     core = fleets.new_core(attempts=1)
     fleets.adopt(core, "i-1")
     steps = (jobs.Step(count=1, long_running=True),)
@@ -166,7 +168,7 @@
         _finish(core, batch, how)
 
 
-def test_a_stopped_task_goes_on_from_its_checkpoint():
+def test_a_stopped_task_resumes_from_its_checkpoint():
     core = fleets.new_core()
     fleets.adopt(core, "i-1")
     steps = (jobs.Step(count=1, checkpointable=True),)
@@ -177,7 +179,7 @@
     assert fleets.plan(core).starts[0].saved == "abc"
 
 
-def test_an_occurrence_waits_for_its_time():
+def test_an_occurrence_waits_for_its_due_time():
     core = fleets.new_core()
     fleets.adopt(core, "i-1")
     job = fleets.job(
@@ -204,7 +206,7 @@
     assert not fleets.plan(core).starts
 
 
-def test_an_instance_on_which_job_after_job_fails_is_suspended():
+def test_an_instance_on_which_several_jobs_fail_in_a_row_is_suspended():
     core = fleets.new_core(attempts=9)
     fleets.adopt(core, "i-1", "i-2")
     for number in range(1, 4):
@@ -222,7 +224,7 @@
     assert instance.usable(60.0)
 
 
-def test_a_single_job_that_can_never_be_done_suspends_nobody():
+def test_a_single_job_that_always_fails_suspends_no_instance():
     core = fleets.new_core(attempts=99)
     fleets.adopt(core, "i-1")
     core.job_added(fleets.job(steps=(jobs.Step(count=1),)), 0.0)
@@ -243,30 +245,30 @@
     assert (start.instance, start.ticket) == ("i-2", "ticket")
 
 
-def test_a_queue_that_moved_runs_on_its_new_pool():
+def test_jobs_of_a_queue_that_moved_run_in_its_new_pool():
     core = fleets.new_core()
     fleets.adopt(core, "i-1")
     core.job_added(fleets.job(service="elsewhere"), 0.0)
     assert len(fleets.plan(core).starts) == 2
 
 
-def test_pending_counts_jobs_that_have_started_nothing():
+def test_pending_counts_jobs_without_any_started_task():
     core = fleets.new_core()
     fleets.adopt(core, "i-1", cpu=2000)
     core.job_added(fleets.job(1), 0.0)
     core.job_added(fleets.job(2), 0.5)
-    timed = fleets.job(3, repeat_count=1, first_run_ms=fleets.WALL_MS * 2)
-    core.job_added(timed, 0.5)
-    decided = fleets.plan(core)
+    scheduled = fleets.job(3, repeat_count=1, first_run_ms=fleets.WALL_MS * 2)
+    core.job_added(scheduled, 0.5)
+    batch = fleets.plan(core)
     assert core.book.pending("quotes") == 2
-    fleets.run_all(core, decided)
+    fleets.run_all(core, batch)
     assert core.book.pending("quotes") == 1
 
 
 @pytest.mark.parametrize("order", queue_order.ORDERS.names)
-def test_every_order_puts_lasting_tasks_first(order):
+def test_every_order_puts_long_running_tasks_first(order):
     rank = queue_order.ORDERS.get(order)
-    lasting = books.Entry(
+    long_running = books.Entry(
         fleets.job(1, (jobs.Step(count=1, long_running=True),)), 0.0
     )
     short = books.Entry(fleets.job(2), 0.0)
@@ -277,12 +279,12 @@
             queue,
             fleets.moment(),
         )
-        for entry in (lasting, short)
+        for entry in (long_running, short)
     ]
     assert keys[0] < keys[1]
 
 
-def test_what_can_meet_its_objective_goes_before_what_can_not():
+def test_jobs_that_can_meet_their_objective_go_before_others():
     rank = queue_order.ORDERS.get("slack")
     queue = fleets.config().queues[0]
     steps = (jobs.Step(count=1, estimate_ms=1000),)
@@ -296,7 +298,7 @@
     assert keys[1] < keys[0]
 
 
-def test_a_row_restores_what_it_was_packed_from():
+def test_unpack_restores_the_state_that_pack_returned():
     core = fleets.new_core()
     fleets.adopt(core, "i-1")
     steps = (jobs.Step(count=3, cpu=1000), jobs.Step(count=1, after=(0,)))
@@ -304,7 +306,7 @@
     batch = fleets.plan(core)
     core.held("i-1", fleets.held((_end(batch, 0, fleet.How.DONE),)), 3.0, 3.0)
     entry = core.book.get(fleets.job().job_id)
-    again = books.Entry(entry.job, 0.0)
-    again.unpack(entry.pack())
-    assert again.pack() == entry.pack()
-    assert again.state is entry.state
+    restored = books.Entry(entry.job, 0.0)
+    restored.unpack(entry.pack())
+    assert restored.pack() == entry.pack()
+    assert restored.state is entry.state
--- a/tests/cover/test_fleet_owners.py
+++ b/tests/cover/test_fleet_owners.py
@@ -1,4 +1,4 @@
-"""Owners of a fleet in any order of events keep their rules."""
+"""Owners of a fleet keep the safety properties in any order of events."""
 
 import random
 
@@ -7,7 +7,7 @@
 
 from tests.common import owner_histories
 
-TestOwners = owner_histories.Owners.TestCase
+TestOwners = owner_histories.OwnershipMachine.TestCase
 TestOwners.settings = hypothesis.settings(
     max_examples=150,
     stateful_step_count=60,
@@ -18,69 +18,75 @@
 
 
 def _play(machine, events, chooser):
-    """Lets events come as they are drawn, and looks at the rules each time."""
+    """Plays 300 weighted random events and checks the properties after each."""
     for _ in range(300):
         chooser.choices(list(events), list(events.values()))[0]()
-        machine.notes_ends()
-        machine.room_is_kept()
-        machine.completed_is_true()
+        machine.record_done_tasks()
+        machine.capacity_is_kept()
+        machine.completed_jobs_are_done()
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_busy_random_history_keeps_the_rules(seed):
+def test_a_busy_random_history_keeps_the_safety_properties(seed):
     chooser = random.Random(seed)
-    machine = owner_histories.Owners()
+    machine = owner_histories.OwnershipMachine()
     events = owner_histories.busy_events(machine, chooser)
     _play(machine, events, chooser)
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_history_with_parts_away_keeps_the_rules(seed):
-    """A job runs twice, or its end is forgotten, after a change of owner.
+def test_a_history_with_unreadable_jobs_keeps_the_safety_properties(seed):
+    """Guards against a job that runs twice, or whose end is lost.
 
-    The new owner can read what runs where, but not the job's own row: a part
-    of the store is away. It must neither stop nor start those tasks, nor
-    acknowledge their ends, until the part is back.
+    After a change of owner, the new owner can read which runs are where, but
+    not the job's own row, as a part of the store is unavailable. It must not
+    start or stop those tasks, nor acknowledge their ends, until it can read
+    the row.
     """
     chooser = random.Random(seed)
-    machine = owner_histories.Owners()
+    machine = owner_histories.OwnershipMachine()
     events = owner_histories.busy_events(machine, chooser)
-    events[lambda: machine.take_over_in_part(chooser.randrange(3))] = 1.0
-    events[machine.part_is_back] = 1.0
+    events[lambda: machine.take_over_with_unread_jobs(chooser.randrange(3))] = (
+        1.0
+    )
+    events[machine.read_unread_jobs] = 1.0
     _play(machine, events, chooser)
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_history_with_entries_written_over_keeps_the_rules(seed):
-    """A task runs twice while its instance's entry can't be read.
+def test_a_history_with_overwritten_registrations_keeps_the_properties(seed):
+    """Guards against a task that runs twice with an unreadable registration.
 
-    The entry is written over by somebody else, and again by the instance, in
-    any order with crashes, cuts and changes of owner.
+    The registration of its instance is overwritten by another writer, and
+    written again by the instance, in any order with crashes, unreachable
+    instances and changes of owner.
     """
     chooser = random.Random(seed)
-    machine = owner_histories.Owners()
+    machine = owner_histories.OwnershipMachine()
     events = owner_histories.busy_events(machine, chooser)
     number = chooser.randrange
-    events[lambda: machine.entry_written_over(number(1_000_000))] = 1.0
-    events[lambda: machine.entry_written_again(number(1_000_000))] = 2.0
+    events[lambda: machine.registration_overwritten(number(1_000_000))] = 1.0
+    events[lambda: machine.registration_rewritten(number(1_000_000))] = 2.0
     _play(machine, events, chooser)
 
 
-_BROKE_WITH_RESTARTS = (1050, 1090, 1171, 1605, 1624, 1783, 2038, 2369, 2791)
+_FAILED_WITH_RESTARTS = (1050, 1090, 1171, 1605, 1624, 1783, 2038, 2369, 2791)
 """Seeds of histories in which a task ran twice, or after it was done: a gang
-whose start the new life had accepted, and copies of starts that came late."""
+whose start the new incarnation had accepted, and late copies of starts."""
 
 
-@pytest.mark.parametrize("parts_away", [False, True])
-@pytest.mark.parametrize("seed", [*range(30), *_BROKE_WITH_RESTARTS])
-def test_a_history_with_restarts_keeps_the_rules(seed, parts_away):
-    """A task runs twice after its instance started again under its id.
+@pytest.mark.parametrize("jobs_unreadable", [False, True])
+@pytest.mark.parametrize("seed", [*range(30), *_FAILED_WITH_RESTARTS])
+def test_a_history_with_restarts_keeps_the_safety_properties(
+    seed, jobs_unreadable
+):
+    """Guards against a task that runs twice after its instance restarts.
 
-    The new life knows no token and no run, and the entry may tell of it before
-    or after its first account.
+    The new incarnation has the same id and knows no token and no run. Its
+    registration may arrive before or after its first status report.
     """
     chooser = random.Random(seed)
-    machine = owner_histories.Owners()
+    machine = owner_histories.OwnershipMachine()
     events = owner_histories.busy_events(machine, chooser)
 
     def restart():
@@ -88,24 +94,27 @@
         machine.restart(choice, chooser.random() < 0.5)
 
     events[restart] = 1.0
-    if parts_away:
-        events[lambda: machine.take_over_in_part(chooser.randrange(3))] = 1.0
-        events[machine.part_is_back] = 1.0
+    if jobs_unreadable:
+        events[
+            lambda: machine.take_over_with_unread_jobs(chooser.randrange(3))
+        ] = 1.0
+        events[machine.read_unread_jobs] = 1.0
     _play(machine, events, chooser)
 
 
-_BROKE_WITH_SMALL_ROOMS = (255,)
-"""Seeds in which a start did not fit beside a run of unknown need."""
+_FAILED_WITH_SMALL_CAPACITIES = (255,)
+"""Seeds of histories in which a start did not fit beside a run of unknown
+need."""
 
 
-@pytest.mark.parametrize("parts_away", [False, True])
-@pytest.mark.parametrize("seed", [*range(30), *_BROKE_WITH_SMALL_ROOMS])
-def test_a_history_with_crashing_tasks_and_small_rooms_keeps_the_rules(
-    seed, parts_away
+@pytest.mark.parametrize("jobs_unreadable", [False, True])
+@pytest.mark.parametrize("seed", [*range(30), *_FAILED_WITH_SMALL_CAPACITIES])
+def test_a_history_with_crashes_and_small_capacities_keeps_the_properties(
+    seed, jobs_unreadable
 ):
-    """Tasks crash instances without end, or start where they do not fit."""
+    """Guards against endless crashes and against starts that do not fit."""
     chooser = random.Random(seed)
-    machine = owner_histories.Owners()
+    machine = owner_histories.OwnershipMachine()
     events = owner_histories.busy_events(machine, chooser)
 
     def number():
@@ -113,24 +122,30 @@
 
     kinds = len(owner_histories.STEPS)
     events[lambda: machine.submit_crashing(chooser.randrange(kinds))] = 1.0
-    rooms = (1000, 2000, 4000)
-    events[lambda: machine.resize(number(), chooser.choice(rooms))] = 2.0
-    if parts_away:
+    capacities_cpu = (1000, 2000, 4000)
+    events[
+        lambda: machine.change_capacity(
+            number(), chooser.choice(capacities_cpu)
+        )
+    ] = 2.0
+    if jobs_unreadable:
         events[lambda: machine.restart(number(), chooser.random() < 0.5)] = 0.5
-        events[lambda: machine.take_over_in_part(chooser.randrange(3))] = 1.0
-        events[machine.part_is_back] = 1.0
+        events[
+            lambda: machine.take_over_with_unread_jobs(chooser.randrange(3))
+        ] = 1.0
+        events[machine.read_unread_jobs] = 1.0
     _play(machine, events, chooser)
 
 
-def test_histories_complete_jobs_too():
+def test_busy_random_histories_complete_jobs():
     completed = 0
     for seed in range(10):
         chooser = random.Random(seed)
-        machine = owner_histories.Owners()
+        machine = owner_histories.OwnershipMachine()
         events = owner_histories.busy_events(machine, chooser)
         for _ in range(300):
             chooser.choices(list(events), list(events.values()))[0]()
-            machine.notes_ends()
+            machine.record_done_tasks()
         completed += sum(
             row["ended"] == "completed" for row in machine.rows.values()
         )
