--- a/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
+++ b/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
@@ -43,7 +43,7 @@
 
 FULLY_CLEARED_S = 10.0
 """Run time after which a task is cleared of all crashes. A task that crashes
-its instances as it starts is already found within ``MOST_PROOF_S``."""
+its instances as it starts is already found after ``MOST_PROOF_S``."""
 
 MAX_SOLE_CAUSE_CRASHES = 2
 MAX_NEW_RUN_CRASHES = 3
--- a/src/vanillaswitch/coordination/fleet/queue/known_room.py
+++ b/src/vanillaswitch/coordination/fleet/queue/known_room.py
@@ -51,7 +51,7 @@
             Whether this changed ``current``.
         """
         # The list is read four times a second, and a line that did not change
-        # has the same object as its capacity.
+        # keeps the same capacity object.
         if capacity is self._listed or capacity == UNKNOWN:
             return False
         self._listed = capacity
--- a/src/vanillaswitch/coordination/fleet/queue/planning.py
+++ b/src/vanillaswitch/coordination/fleet/queue/planning.py
@@ -51,7 +51,7 @@
                     key = self._order(step, queue, moment)
                     steps.setdefault(service, []).append((key, step))
         return {
-            service: [step for _, step in sorted(found, key=_by_key)]
+            service: [step for _, step in sorted(found, key=_sort_key)]
             for service, found in steps.items()
         }
 
@@ -67,7 +67,7 @@
         ready = self.ready_steps(queue_order.Moment(now, wall_ms))
         self.without_spec = _without_spec(ready)
         self._plan_steps(ready, now)
-        waiting = {service: _waiting(steps) for service, steps in ready.items()}
+        waiting = {service: _backlog(steps) for service, steps in ready.items()}
         self.waiting_cpu = {name: cpu for name, (cpu, _) in waiting.items()}
         self.waiting_load = {name: load for name, (_, load) in waiting.items()}
 
@@ -329,8 +329,8 @@
         self._changed = True
 
 
-def _waiting(steps: Iterable[books.OpenStep]) -> tuple[int, fleet.Load]:
-    """Returns the backlog of some steps.
+def _backlog(steps: Iterable[books.OpenStep]) -> tuple[int, fleet.Load]:
+    """Sums up the waiting tasks of some steps.
 
     Returns:
         Thousandths of a core that all waiting tasks need, and the load of those
@@ -357,7 +357,7 @@
     return tuple(dict.fromkeys(job_id for job_id in interleaved if job_id))
 
 
-def _by_key(
+def _sort_key(
     item: tuple[queue_order.Key, books.OpenStep],
 ) -> tuple[queue_order.Key, float]:
     return item[0], item[1].entry.heard_at
