--- a/src/vanillaswitch/coordination/fleet/intake/errands.py
+++ b/src/vanillaswitch/coordination/fleet/intake/errands.py
@@ -114,11 +114,11 @@
         return _verdict_of(done)
 
     def cancel(
-        self, job_id: str, known: bool, deadline: float
+        self, job_id: str, known_accepted: bool, deadline: float
     ) -> intakes.Verdict:
         """Forwards the cancellation of a job; NOT_DONE if none can help."""
         done = self._forward(
-            peers.ErrandKind.CANCEL, job_id, b"", known, deadline
+            peers.ErrandKind.CANCEL, job_id, b"", known_accepted, deadline
         )
         return _verdict_of(done)
 
@@ -143,7 +143,7 @@
         kind: peers.ErrandKind,
         job_id: str,
         document: bytes,
-        known: bool,
+        known_accepted: bool,
         deadline: float,
     ) -> peers.ErrandDone | intakes.Verdict:
         helper = self._find_helper()
@@ -153,7 +153,7 @@
         done = self._calls.ask(
             helper,
             lambda question_id: peers.Errand(
-                question_id, kind, job_id, document, known, patience_s
+                question_id, kind, job_id, document, known_accepted, patience_s
             ),
             patience_s,
         )
--- a/src/vanillaswitch/coordination/fleet/intake/helped_intake.py
+++ b/src/vanillaswitch/coordination/fleet/intake/helped_intake.py
@@ -43,21 +43,22 @@
         return _combine(local, self._forwarder.submit(job, deadline))
 
     def cancel(
-        self, job_id: str, known: bool, deadline: float
+        self, job_id: str, known_accepted: bool, deadline: float
     ) -> intakes.Verdict:
         """Cancels a job.
 
         Args:
             job_id: the job.
-            known: whether the job is known to be accepted.
+            known_accepted: whether the job is known to be accepted.
+                False if that is not known.
             deadline: monotonic seconds after which the client stops waiting.
         """
         local = self._local.cancel(
-            job_id, known, self._local_deadline(deadline)
+            job_id, known_accepted, self._local_deadline(deadline)
         )
         if _is_final(local):
             return local
-        forwarded = self._forwarder.cancel(job_id, known, deadline)
+        forwarded = self._forwarder.cancel(job_id, known_accepted, deadline)
         return _combine(local, forwarded)
 
     def state(
--- a/src/vanillaswitch/coordination/fleet/intake/intake.py
+++ b/src/vanillaswitch/coordination/fleet/intake/intake.py
@@ -119,17 +119,20 @@
             return Verdict.ACCEPTED if same else Verdict.DIFFERENT
         return _unsettled_verdict(outcome)
 
-    def cancel(self, job_id: str, known: bool, deadline: float) -> Verdict:
+    def cancel(
+        self, job_id: str, known_accepted: bool, deadline: float
+    ) -> Verdict:
         """Cancels a job.
 
         Args:
             job_id: the job.
-            known: whether the job is known to be accepted.
+            known_accepted: whether the job is known to be accepted.
+                False if that is not known.
             deadline: monotonic seconds after which the client stops waiting.
         """
         if self._is_store_silent():
             return Verdict.NOT_DONE
-        if not known:
+        if not known_accepted:
             read = self._table.read([f"{recorders.JOB_TABLE}/{job_id}"])
             if isinstance(read, platform.Unavailable):
                 return Verdict.NOT_DONE
--- a/src/vanillaswitch/coordination/fleet/machines/mover.py
+++ b/src/vanillaswitch/coordination/fleet/machines/mover.py
@@ -35,8 +35,7 @@
 again."""
 
 RETRY_DELAY_S = 0.4
-"""Pause of all orders after one that got no answer or was turned away with an
-error status."""
+"""Pause of all orders after one that failed or got no answer."""
 
 MAINTENANCE_SURGE = 3
 """Additional machines of a pool while machines of it are due for maintenance.
@@ -404,7 +403,7 @@
             self._drop_order(move, outcome, instance)
 
     def _back_off(self, now: float) -> None:
-        """Pauses all orders after one that got no answer.
+        """Pauses all orders after one that failed or got no answer.
 
         Without the pause each plan would resend dozens of orders to a failing
         platform, and each of them counts against its rate limit.
--- a/tests/common/upkeep.py
+++ b/tests/common/upkeep.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep for tests: who orders them, and what the platform lists."""
+"""Test doubles for maintenance waves: the wave store and the platform."""
 
 from collections.abc import Iterable
 
@@ -13,21 +13,21 @@
 
 
 class Recorder:
-    """An owner whose term is certain."""
+    """Recorder of an owner whose term is confirmed."""
 
     deposed = False
     newest = 9
 
     def may_order(self) -> bool:
-        """Whether machines may be ordered now."""
+        """Whether orders for machines may be sent now."""
         return True
 
 
 class Board:
-    """One wave, one machine at a time.
+    """Store of one wave with one machine at a time.
 
     Attributes:
-        reports: what was told of it, and whether it was completed.
+        reports: the reported states: the wave and whether it was completed.
     """
 
     def __init__(self, *machines: str):
@@ -35,32 +35,32 @@
         self.reports: list[tuple[str, bool]] = []
 
     def orders(self) -> tuple[fleet.WaveOrder, ...]:
-        """Returns the waves that are ordered."""
+        """Returns the waves that operators have ordered."""
         return (self._order,)
 
     def begin(self, wave: str) -> wave_driver.WaveRecord:
-        """Returns what is recorded of a wave."""
+        """Returns the stored state of a wave: nothing is finished."""
         del wave
         return wave_driver.WaveRecord((), 0.0)
 
     def save_finished(self, wave: str, machines: Iterable[str]) -> bool:
-        """Records machines as finished."""
+        """Accepts finished machines and drops them."""
         del wave, machines
         return True
 
     def report(self, wave: str, completed: bool) -> bool:
-        """Tells the operators."""
+        """Adds a status to ``reports``."""
         self.reports.append((wave, completed))
         return True
 
 
 class Machines:
-    """Machines that are up, each with the instance of its number.
+    """Platform whose machines are all up; ``m-1`` runs instance ``i-1``.
 
     Attributes:
-        names: those that are listed.
-        ordered: those whose upkeep was ordered, in order.
-        lost: so many orders are not carried out and get no answer.
+        names: names of the listed machines.
+        ordered: machines whose maintenance was ordered, in order.
+        lost: how many of the first orders get no answer.
     """
 
     def __init__(self, names: Iterable[str]):
@@ -69,7 +69,7 @@
         self.lost = 0
 
     def list(self) -> list[fleet.Machine]:
-        """Reads the list."""
+        """Returns the list of machines."""
         return [
             fleet.Machine(
                 name,
@@ -83,14 +83,14 @@
         ]
 
     def move(self, machine: str, pool: str, token: int) -> fleet.Busy:
-        """Refuses to move a machine."""
+        """Rejects a move as busy."""
         del machine, pool, token
         return fleet.Busy()
 
     def maintain(
         self, machine: str, wave: int, token: int
     ) -> fleet.Accepted | fleet.NoAnswer:
-        """Takes an order."""
+        """Records a maintenance order."""
         del wave, token
         self.ordered.append(machine)
         if len(self.ordered) <= self.lost:
@@ -101,7 +101,7 @@
 def task(
     core: cores.Core, machines: Machines, board: Board, clock: clocks.Clock
 ) -> machine_task.MachineTask:
-    """Returns the owner's task for machines."""
+    """Returns a machine task with a confirmed term."""
     return machine_task.MachineTask(
         core,
         machines,
--- a/tests/cover/test_capacity.py
+++ b/tests/cover/test_capacity.py
@@ -54,7 +54,7 @@
 
 
 def test_a_large_burst_leaves_other_pools_the_few_machines_they_need():
-    """Long-running tasks wait 13 s for a machine during another pool's burst.
+    """Otherwise long-running tasks wait 13 s during a burst of another pool.
 
     Their pool needs one machine, for tasks that leave machines due for
     maintenance. The pool "spike" needs more machines than exist and
@@ -88,10 +88,10 @@
 
 
 def test_a_pool_with_machines_due_for_maintenance_gets_surge_machines():
-    """Waves end late where long-running tasks may not share an instance.
+    """Otherwise waves end late where tasks may not share an instance.
 
-    If the pool has only as many machines as such tasks, none can be drained
-    before the wave is behind schedule.
+    If the pool has only as many machines as long-running tasks that need one
+    each, none can be drained before the wave is behind schedule.
     """
     planner = capacity.CapacityPlanner()
     spare = _load("spare", 0, 5, [f"s{n}" for n in range(5)], standby=True)
@@ -180,7 +180,7 @@
     """Replays a burst of long tasks; returns waiting core-seconds.
 
     A pool of two machines gets 40 tasks of one core every quarter of a second.
-    Each runs for ``task_s``; the planner is told ``reported_task_s``. Standby
+    Each runs for ``task_s``; the planner gets ``reported_task_s``. Standby
     has enough machines.
     """
     planner = capacity.CapacityPlanner()
@@ -206,7 +206,7 @@
 
 
 def test_a_burst_of_long_tasks_gets_its_machines_in_time():
-    """Long tasks wait for a whole burst although machines are on standby.
+    """Otherwise long tasks wait a whole burst although machines are on standby.
 
     Each second of the burst needs 11 more machines. If growth is extrapolated
     over only half of the time that a machine takes to arrive, too few come.
@@ -216,7 +216,7 @@
 
 
 def test_a_new_owner_that_sees_work_soon_sends_machines_to_standby():
-    """Each change of owner keeps every machine in its pool for 15 s.
+    """Otherwise each change of owner keeps every machine in its pool for 15 s.
 
     On a day with three owners no machine would go to standby: 32 stay in pools
     all day with a third of them in use.
@@ -233,10 +233,10 @@
 
 
 def test_one_large_job_is_not_treated_as_a_burst():
-    """A pool has seven machines too many for seconds after a large job.
+    """Otherwise a large job leaves a pool with seven machines too many.
 
-    The demand jumps by 104 cores at once. Extrapolated over two seconds, this
-    growth requires 52 machines where 15 are needed.
+    They stay for seconds. The demand jumps by 104 cores at once. Extrapolated
+    over two seconds, this growth requires 52 machines where 15 are needed.
     """
     wanted = []
     for arriving in (None, 30 * CORE):
--- a/tests/cover/test_fleet_waves.py
+++ b/tests/cover/test_fleet_waves.py
@@ -96,7 +96,7 @@
 
 
 def test_a_moving_machine_is_not_chosen():
-    """The platform rejects dozens of maintenance orders in a row as busy.
+    """Otherwise the platform rejects dozens of maintenance orders as busy.
 
     The list still shows machines as up that were just ordered to move.
     """
--- a/tests/cover/test_mover.py
+++ b/tests/cover/test_mover.py
@@ -97,7 +97,7 @@
 
 
 def test_orders_of_a_burst_are_sent_concurrently():
-    """The machines for a burst of 8 s arrive over 5 s of it.
+    """Otherwise the machines for a burst of 8 s arrive over 5 s of it.
 
     This happens if each order, which takes 16 ms, waits for the previous one.
     """
@@ -137,7 +137,7 @@
 
 
 def test_an_unanswered_order_is_repeated_although_a_later_copy_was_not_sent():
-    """Tasks are killed on a machine that moves after its order was dropped.
+    """Otherwise tasks are killed by a move whose order was dropped.
 
     The first copy of the order gets no answer and the second can't be sent.
     If the order is dropped then, the machine gets work while the first copy
@@ -174,7 +174,7 @@
 
 
 def test_a_starting_fleet_takes_no_machine_from_standby():
-    """A pool keeps a machine from standby that it never needs.
+    """Otherwise a pool keeps a machine from standby that it never needs.
 
     All instances start at once and register over some seconds. If unregistered
     ones do not count, their pool seems empty and takes a machine from standby.
@@ -211,7 +211,7 @@
 
 @pytest.mark.parametrize("listed_cpu", [2000, 16_000])
 def test_a_pool_gets_machines_to_replace_lost_capacity(listed_cpu):
-    """Jobs wait although machines are idle: theirs lost 7/8 of its capacity."""
+    """Otherwise jobs wait for a machine with 1/8 of its capacity left."""
     setup = _Setup(fleet.Accepted(0.0))
     setup.core.cancelled(fleets.job().job_id, 0.0)
     step = jobs.Step(count=12, cpu=1000, long_running=True)
@@ -229,7 +229,7 @@
 
 
 def test_machines_idle_during_an_outage_do_not_go_to_standby_as_it_ends():
-    """Clients return after an outage and their pool's machines are off."""
+    """Otherwise clients that return after an outage find the machines off."""
     setup = _Setup(fleet.Accepted(0.0))
     setup.core.cancelled(fleets.job().job_id, 0.0)
     fleets.adopt(setup.core, "i-8", "i-9", cpu=16_000)
--- a/tests/failures/test_dark_rack.py
+++ b/tests/failures/test_dark_rack.py
@@ -1,4 +1,4 @@
-"""A rack of instances goes dark in the middle of a turn."""
+"""Failure of a rack of instances under load."""
 
 import types
 
@@ -24,7 +24,7 @@
 
 
 class _Machines:
-    """A list in which some machines run their instance and others are down."""
+    """Platform where the machines in ``down`` run no instance."""
 
     def __init__(self, count):
         self.count = count
@@ -34,13 +34,13 @@
         return [self._machine(f"m-{n}") for n in range(1, self.count + 1)]
 
     def _machine(self, name):
-        dark = name in self.down
+        is_down = name in self.down
         return fleet.Machine(
             name,
             "berthing",
-            fleet.MachineState.DOWN if dark else fleet.MachineState.UP,
+            fleet.MachineState.DOWN if is_down else fleet.MachineState.UP,
             "zone-1",
-            "" if dark else name.replace("m", "i"),
+            "" if is_down else name.replace("m", "i"),
             fleet.Resources(4000, 32_000),
         )
 
@@ -58,11 +58,11 @@
     )
 
 
-def test_tasks_of_a_dark_rack_start_elsewhere_within_a_second():
-    """Quotes whose tasks ran on a rack that went dark are all late.
+def test_tasks_of_a_failed_rack_start_elsewhere_within_a_second():
+    """Otherwise all jobs with tasks on a failed rack are late.
 
-    The list of machines shows it at once. It was asked only of instances that
-    had been found silent, which takes two calls of theirs, 3 s in all.
+    The list of machines shows the failure at once. If it is used only for
+    instances that two calls have found silent, detection takes 3 s.
     """
     core = fleets.new_core()
     clock = manual.ManualClock()
@@ -84,11 +84,11 @@
     assert placed == {"i-2"}
 
 
-def test_an_instance_that_is_not_listed_yet_is_not_taken_as_gone():
-    """Tasks run twice on a fleet whose list lags behind its instances.
+def test_an_instance_that_is_not_listed_yet_is_not_removed():
+    """Otherwise tasks run twice because the list lags behind the instances.
 
-    A new instance registers and is given work a moment before the list of
-    machines shows it.
+    A new instance registers and gets work shortly before the list of machines
+    shows it.
     """
     core = fleets.new_core()
     clock = manual.ManualClock()
@@ -102,8 +102,8 @@
     assert "i-1" in core.instances
 
 
-def test_an_instance_that_was_heard_of_since_is_not_taken_as_gone():
-    """Tasks run twice after one reading of the list that was old."""
+def test_an_instance_that_reported_since_is_not_removed():
+    """Otherwise tasks run twice because the list of machines is stale."""
     core = fleets.new_core()
     clock = manual.ManualClock()
     fleets.adopt(core, "i-1", now=clock.monotonic())
@@ -119,8 +119,8 @@
     assert "i-1" in core.instances
 
 
-class _Silent:
-    """Answers the first call and no other; notes how long each may take."""
+class _SilentUpstream:
+    """Answers only the first call; records the timeout of each."""
 
     def __init__(self):
         self.limits = []
@@ -134,16 +134,17 @@
         return fleet.NoAnswer(True, "no answer")
 
 
-def test_an_instance_without_an_answer_gets_no_work_until_it_is_heard_of():
-    """Tasks go to a rack for 3 s after it went dark.
+def test_an_instance_without_an_answer_gets_no_work_until_it_reports():
+    """Otherwise tasks are started on a rack for 3 s after it failed.
 
-    Each waited for the lease of its instance; the call that would have shown
-    it was a long one, and a second long one followed it.
+    Each of them waits until the lease of its instance expires. If the call
+    that detects the failure and the one after it have long timeouts, detection
+    is late.
     """
     core = fleets.new_core()
     clock = clocks.SystemClock()
     core.registered(fleets.registration("i-1"), clock.monotonic())
-    upstreams = _Silent()
+    upstreams = _SilentUpstream()
     means = instance_task.Means(
         core, upstreams, _Recorder(), clock, gevent.event.Event()
     )
--- a/tests/failures/test_emptied_machines.py
+++ b/tests/failures/test_emptied_machines.py
@@ -1,4 +1,4 @@
-"""What changes while machines of a wave are being emptied."""
+"""Changes of machines and load while machines of a wave drain."""
 
 from tests.common import clocks
 from tests.common import fleets
@@ -8,11 +8,11 @@
 from vanillaswitch.protocol import jobs
 
 
-def test_no_order_is_given_for_a_machine_that_left_while_it_was_emptied():
-    """A wave stands still after a machine was taken away for good.
+def test_no_order_is_sent_for_a_machine_removed_while_draining():
+    """Otherwise a wave stops forever after a machine was removed.
 
-    The machine was being emptied when it left the list; its upkeep was still
-    ordered, and the task that orders upkeep failed on the missing entry.
+    The machine was draining when it left the list. If its maintenance is still
+    ordered, the control loop fails on the missing entry.
     """
     core = fleets.new_core()
     fleets.adopt(core, "i-1", "i-2")
@@ -35,16 +35,16 @@
     assert board.reports[-1] == ("wave/1", True)
 
 
-def test_a_machine_that_is_being_emptied_works_on_when_its_pool_needs_it():
-    """Quotes wait beside half empty instances for 20 s.
+def test_a_draining_machine_is_uncordoned_when_its_pool_needs_it():
+    """Otherwise tasks of a burst wait 20 s beside half empty instances.
 
-    Their turn began while machines of their pool were being emptied for
-    upkeep; kept from work until the wave had to hurry, these stood idle.
+    The burst starts while machines of the pool drain for maintenance. If these
+    stay cordoned until the wave is behind schedule, their capacity is unused.
     """
     core = fleets.new_core()
     fleets.adopt(core, "i-1", "i-2")
-    apart = jobs.Step(count=2, cpu=1000, anti_affinity=1)
-    core.job_added(fleets.job(steps=(apart,)), 0.0)
+    separate = jobs.Step(count=2, cpu=1000, anti_affinity=1)
+    core.job_added(fleets.job(steps=(separate,)), 0.0)
     fleets.run_all(core, fleets.plan(core))
     clock = clocks.ManualClock()
     task = upkeep.task(
@@ -55,19 +55,19 @@
         task._apply()
         task.mover.step()
     assert any(instance.cordoned for instance in core.instances.values())
-    turn = fleets.job(2, steps=(jobs.Step(count=20, cpu=1000),))
-    core.job_added(turn, 0.1)
+    burst = fleets.job(2, steps=(jobs.Step(count=20, cpu=1000),))
+    core.job_added(burst, 0.1)
     fleets.plan(core)
     task.mover.step()
     task._apply()
     assert not any(instance.cordoned for instance in core.instances.values())
 
 
-def test_a_machine_on_its_way_to_another_pool_gets_no_work():
-    """Quotes are thrown away by a move that was ordered before they started.
+def test_a_moving_machine_gets_no_work_after_its_maintenance():
+    """Otherwise a move kills tasks that started after it was ordered.
 
-    Its upkeep was done, so with each reading of the list its instance was
-    given work again, also while an order to move it was under way.
+    The maintenance of the machine is finished. If each read of the list makes
+    its instance available again, it gets work while a move is in flight.
     """
     core = fleets.new_core()
     fleets.adopt(core, "i-1", "i-2")
@@ -77,24 +77,24 @@
     )
     assert task._read_list()
     task._apply()
-    for item in task._wave_driver._waves["wave/1"].machines.values():
-        item.phase = waves.Phase.DONE
+    for progress in task._wave_driver._waves["wave/1"].machines.values():
+        progress.phase = waves.Phase.DONE
     core.instances["i-1"].leaving = True
     assert task._read_list()
     task._apply()
     assert core.instances["i-1"].leaving
 
 
-def test_lasting_tasks_leave_machines_that_are_due_before_these_are_emptied():
-    """A wave ends 6 s late because of the tasks that last.
+def test_long_running_tasks_leave_due_machines_before_these_drain():
+    """Otherwise a wave ends 6 s late because of its long-running tasks.
 
-    Their job spares one at a time, and the machines that run most of them were
-    chosen last, when the time of the wave was nearly over.
+    Their job allows one to stop at a time. If the machines that run most of
+    them start to drain last, little time of the wave is left.
     """
-    lasting = jobs.Step(count=2, cpu=100, long_running=True, may_miss=1)
+    long_running = jobs.Step(count=2, cpu=100, long_running=True, may_miss=1)
     core = fleets.new_core()
     fleets.adopt(core, "i-1")
-    core.job_added(fleets.job(steps=(lasting,)), 0.0)
+    core.job_added(fleets.job(steps=(long_running,)), 0.0)
     fleets.run_all(core, fleets.plan(core), percent=100.0)
     core.instances["i-1"].due = True
     fleets.adopt(core, "i-2")
--- a/tests/failures/test_part_of_store_away.py
+++ b/tests/failures/test_part_of_store_away.py
@@ -1,4 +1,4 @@
-"""A store that is away in part while the fleet changes its owner."""
+"""Change of owner while a part of the store is unavailable."""
 
 from tests.common import clocks as manual
 from tests.common import fleets
@@ -15,7 +15,7 @@
 
 
 class _Table:
-    """Takes every commit."""
+    """Table that accepts every commit."""
 
     def __init__(self):
         self.commits = 0
@@ -27,11 +27,15 @@
 
 
 class _Feed:
-    """Tables in two parts; the second one of "job" may be away."""
+    """Feed of tables; the second of two parts of "job" may be unavailable.
+
+    Attributes:
+        failures_left: how many of the next reads of "job" lack that part.
+    """
 
     def __init__(self):
-        self.away = 0
-        self.readings = 0
+        self.failures_left = 0
+        self.reads = 0
         self.rows = {
             "servers": [feeds.Change("i-1", {}, 1)],
             "progress": [],
@@ -43,9 +47,9 @@
         rows = tuple(self.rows[table])
         if table != "job":
             return feeds.Snapshot(rows, 1)
-        self.readings += 1
-        if self.away:
-            self.away -= 1
+        self.reads += 1
+        if self.failures_left:
+            self.failures_left -= 1
             if parts:
                 return platform.Unavailable("status 503")
             return feeds.Snapshot(rows[:1], 1, ("second",), "status 503")
@@ -57,7 +61,7 @@
 
 
 def _assigned(job, instance):
-    """Returns the row of a job one task of which runs on an instance."""
+    """Returns the progress row of a job with a task on an instance."""
     core = fleets.new_core()
     fleets.adopt(core, instance)
     core.job_added(job, 0.0)
@@ -82,34 +86,36 @@
     return feed
 
 
-def test_a_new_owner_serves_what_it_can_read():
-    """No task starts for half a minute after a change of owner.
+def test_a_new_owner_plans_the_jobs_that_it_can_read():
+    """Otherwise no task starts for half a minute after a change of owner.
 
-    One of eight parts of the table of jobs answers 503 for seconds. Each new
-    owner gave up at once since it could not read everything, and the next one
-    began: ten terms in three seconds.
+    One of eight parts of the job table answers 503 for seconds. If each new
+    owner gives up since it can't read everything, there are ten terms in three
+    seconds.
     """
     feed = _feed_with_two_jobs()
-    feed.away = 1
+    feed.failures_left = 1
     owner = _owner(feed, clocks.SystemClock())
     assert owner.load()
     core = owner.core
     assert [entry.job.job_id for entry in core.book] == [fleets.job(2).job_id]
     running = fleet.Running(_TASK, 1, "", 40.0)
     core.held("i-1", fleets.held((), (running,)), 0.0, 0.0)
-    assert not core.take_stops(), "what runs for an unread job was stopped"
+    assert not core.take_stops(), "a run of an unread job was stopped"
     core.plan(0.0, fleets.WALL_MS)
-    assert not core.take_batch(10).starts, "its room was given away"
+    assert not core.take_batch(10).starts, (
+        "a start uses the capacity of an unread job's run"
+    )
 
 
-def test_an_end_is_kept_until_its_job_can_be_read():
-    """A quote is charged twice after a change of owner.
+def test_an_end_is_not_acknowledged_until_its_job_can_be_read():
+    """Otherwise a finished task runs again after a change of owner.
 
-    Its task ended while its job could not be read. The end was acknowledged,
-    so its instance forgot it, and the task was started again later.
+    It ended while its job could not be read. If the end is acknowledged, the
+    instance forgets it, and the task is started again later.
     """
     feed = _feed_with_two_jobs()
-    feed.away = 1
+    feed.failures_left = 1
     owner = _owner(feed, clocks.SystemClock())
     assert owner.load()
     core = owner.core
@@ -125,11 +131,11 @@
     assert _TASK not in [start.task for start in batch.starts]
 
 
-def test_a_term_outlasts_a_table_that_is_away_for_a_moment():
-    """Terms of a tenth of a second follow each other, and nothing starts.
+def test_a_term_continues_while_a_table_is_briefly_unavailable():
+    """Otherwise terms end after a tenth of a second, and no task starts.
 
-    A table of which nothing can be read for a moment ended the term that had
-    just begun; it is read again within the term, whose lease is renewed.
+    A briefly unavailable table must not end a term that has just started. It
+    is read again within the term, whose lease is renewed.
     """
     feed = _feed_with_two_jobs()
     whole = feed.snapshot
@@ -147,18 +153,18 @@
     assert len(owner.core.book) == 2
 
 
-def test_a_follower_reads_missing_parts_once_they_are_back():
-    """Jobs of one part are not heard of after the history was lost."""
+def test_a_follower_reads_missing_parts_once_they_are_available():
+    """Otherwise jobs of one part are missing after the history was lost."""
     feed = _feed_with_two_jobs()
-    feed.away = 2
-    seen, told = [], []
+    feed.failures_left = 2
+    seen, emitted = [], []
     follower = follow.Follower(
         feed,
         "job",
         manual.ManualClock(),
         lambda snapshot: seen.extend(row.key for row in snapshot.rows),
         lambda rows: seen.extend(row.key for row in rows),
-        told.append,
+        emitted.append,
     )
     follower._step()
     assert len(seen) == 1
@@ -167,16 +173,16 @@
     follower._step()
     assert len(seen) == 2
     assert follower.whole
-    assert [event.state for event in told] == ["lost in part", "back"]
+    assert [event.state for event in emitted] == ["lost in part", "back"]
 
 
-def test_a_run_of_a_job_that_is_read_late_goes_on_where_nothing_replaced_it():
-    """A service loses several of its tasks in one moment, as a part comes back.
+def test_runs_of_a_job_that_is_read_late_continue_if_nothing_replaced_them():
+    """Otherwise a job loses several tasks when a part is available again.
 
-    The owner before had taken their runs as over, and its rows say that they
-    wait. The next owner could not read the job at first, and kept the runs
-    that instances listed; read at last, each of them was stopped as not in
-    the book, without asking what the job spares.
+    The previous owner considered their runs ended, so its row says that they
+    wait. The next owner can't read the job at first and keeps the runs that
+    instances list. If it stops them as unknown once it has read the job, it
+    ignores the disruption budget.
     """
     before = fleets.new_core()
     names = ("i-1", "i-2", "i-3")
--- a/tests/failures/test_refused_path.py
+++ b/tests/failures/test_refused_path.py
@@ -24,7 +24,7 @@
 
 
 class _Table:
-    """Rows of its own; may refuse, or keep the answers to writes."""
+    """Table that may refuse all calls or withhold answers to commits."""
 
     def __init__(self, rows, refuses=False, answers=True):
         self.rows = rows
@@ -58,21 +58,21 @@
 
 @dataclasses.dataclass
 class _Process:
-    """One process: its table, its address, and what it believes."""
+    """One process: its table, its address and the owner it knows."""
 
     table: _Table
     errands: errands.Errands
-    serving: helped_intake.HelpedIntake
+    service: helped_intake.HelpedIntake
     address: str
     owner: str = ""
     silent: bool = False
-    heard: list = dataclasses.field(default_factory=list)
+    received: list = dataclasses.field(default_factory=list)
 
 
 @contextlib.contextmanager
 def _process(name, table):
     clock = clocks.SystemClock()
-    asking = questions.Questions(clock, name)
+    calls = questions.Questions(clock, name)
     local = intakes.Intake(table, clock, name, lambda: 0.0)
     process = None
 
@@ -80,31 +80,31 @@
         return -1e9 if table.refuses else clock.monotonic()
 
     def on_message(_, message, reply):
-        process.heard.append(message)
+        process.received.append(message)
         if not process.silent:
             process.errands.on_message(message, reply)
 
     with streams.run(
         "127.0.0.1:0", on_message, clock, random.Random(1)
-    ) as carried:
-        others = errands.Errands(
-            asking,
+    ) as transport:
+        forwarder = errands.Errands(
+            calls,
             local,
-            carried.address,
+            transport.address,
             lambda: process.owner,
             answered_at,
             clock,
             lambda _: None,
         )
-        serving = helped_intake.HelpedIntake(local, others, clock)
-        process = _Process(table, others, serving, carried.address)
-        asking.attach(carried)
+        service = helped_intake.HelpedIntake(local, forwarder, clock)
+        process = _Process(table, forwarder, service, transport.address)
+        calls.attach(transport)
         yield process
 
 
 @pytest.fixture
 def pair():
-    """Yields a process that is refused, and the owner, which is not."""
+    """Yields a process that the store refuses, and the owner."""
     rows = {}
     with (
         _process("cut", _Table(rows, refuses=True)) as cut,
@@ -118,116 +118,117 @@
     return clocks.SystemClock().monotonic() + _DEADLINE_S
 
 
-def test_a_job_is_taken_in_through_another_process(pair):
-    """A third of all clients are refused for as long as a fault lasts.
+def test_a_job_is_accepted_through_another_process(pair):
+    """Otherwise a third of all clients are refused while a fault lasts.
 
-    The store answers 503 to some processes and serves the others. A client
-    that meets one of them is told to come back, though the process beside it
-    could have taken its job.
+    The store answers 503 to some processes and serves the others. Clients of
+    the former are told to retry, although another process could accept the
+    job.
     """
     cut, owner = pair
     job = fleets.job()
-    assert cut.serving.submit(job, _deadline()) is intakes.Verdict.ACCEPTED
-    assert cut.serving.submit(job, _deadline()) is intakes.Verdict.ACCEPTED
+    assert cut.service.submit(job, _deadline()) is intakes.Verdict.ACCEPTED
+    assert cut.service.submit(job, _deadline()) is intakes.Verdict.ACCEPTED
     assert len(owner.table.rows) == 1
-    state = cut.serving.state(job.job_id, _deadline())
+    state = cut.service.state(job.job_id, _deadline())
     assert state is jobs.JobState.QUEUED
-    verdict = cut.serving.cancel(job.job_id, False, _deadline())
+    verdict = cut.service.cancel(job.job_id, False, _deadline())
     assert verdict is intakes.Verdict.ACCEPTED
-    assert cut.serving.state("f" * 16, _deadline()) is None
+    assert cut.service.state("f" * 16, _deadline()) is None
 
 
-def test_in_an_outage_for_all_a_client_is_refused_at_once(pair):
-    """Clients hang while processes hand their jobs to one another."""
+def test_in_a_full_outage_a_client_is_refused_at_once(pair):
+    """Otherwise clients hang while processes forward jobs to each other."""
     cut, owner = pair
     owner.table.refuses = True
     began = clocks.SystemClock().monotonic()
-    verdict = cut.serving.submit(fleets.job(), _deadline())
+    verdict = cut.service.submit(fleets.job(), _deadline())
     assert verdict is intakes.Verdict.NOT_DONE
     assert (
         clocks.SystemClock().monotonic() - began
         < 2 * errands.STORE_STATUS_TIMEOUT_S
     )
-    sent = [type(message) for message in owner.heard]
+    sent = [type(message) for message in owner.received]
     assert peers.Errand not in sent
 
 
-def test_nobody_who_listens_means_not_run(pair):
-    """A client is told "not known" though nothing of its job was sent."""
+def test_an_unreachable_helper_means_not_run(pair):
+    """Otherwise a client gets "unknown" although nothing was sent."""
     cut, _ = pair
     cut.owner = "127.0.0.1:9"
-    verdict = cut.serving.submit(fleets.job(), _deadline())
+    verdict = cut.service.submit(fleets.job(), _deadline())
     assert verdict is intakes.Verdict.NOT_DONE
 
 
-def test_an_errand_without_an_answer_is_never_called_not_run(pair):
-    """A client is told "not run" and its job runs.
+def test_a_forwarded_request_without_an_answer_has_an_unknown_outcome(pair):
+    """Otherwise a client is told "not run" and its job runs.
 
-    The errand was carried out by a process that was cut off right after; its
-    sender can't know that it was not.
+    The helper may have executed the request before it was cut off, so the
+    sender can't know the outcome.
     """
     cut, owner = pair
     assert cut.errands._can_help(owner.address)
     owner.silent = True
-    verdict = cut.serving.submit(fleets.job(), _deadline())
+    verdict = cut.service.submit(fleets.job(), _deadline())
     assert verdict is intakes.Verdict.UNKNOWN
 
 
-def test_an_own_write_in_doubt_is_not_denied_by_another_process(pair):
-    """A client is told "not run" and its job runs.
+def test_a_local_write_without_an_answer_stays_unknown_if_forwarding_fails(
+    pair,
+):
+    """Otherwise a client is told "not run" and its job runs.
 
-    This process's own write was sent and not answered, and the helper is
-    refused by the store: nobody knows whether the first write takes effect.
+    The write of this process got no answer, and the store refuses the helper.
+    The first write may still take effect.
     """
     cut, owner = pair
     owner.table.refuses = True
     cut.table.refuses = False
     cut.table.answers = False
     cut.table.read = lambda _: platform.Unavailable("silent")
-    verdict = cut.serving.submit(fleets.job(), _deadline())
+    verdict = cut.service.submit(fleets.job(), _deadline())
     assert verdict is intakes.Verdict.UNKNOWN
 
 
-def test_an_owner_that_lost_its_path_hands_over_to_its_successor(pair):
-    """The process that owned the fleet refuses all clients that it gets.
+def test_an_owner_without_the_store_forwards_to_its_successor(pair):
+    """Otherwise the process that owned the fleet refuses all its clients.
 
     Only its own path to the store is cut, so it knows no other owner than
-    itself. The process that asks for its place can reach the store.
+    itself. The process that asks to replace it can reach the store.
     """
     cut, owner = pair
     cut.owner = cut.address
     job = fleets.job()
-    verdict = cut.serving.submit(job, _deadline())
+    verdict = cut.service.submit(job, _deadline())
     assert verdict is intakes.Verdict.NOT_DONE
     question = peers.OwnerQuestion("q-1", "boot", 1.0, owner.address)
     cut.errands.on_message(question, lambda _: None)
-    assert cut.serving.submit(job, _deadline()) is intakes.Verdict.ACCEPTED
+    assert cut.service.submit(job, _deadline()) is intakes.Verdict.ACCEPTED
 
 
-def test_the_owner_before_says_who_owns_the_fleet_now(pair):
-    """A process that is cut off refuses clients since the owner changed.
+def test_the_previous_owner_tells_who_owns_the_fleet_now(pair):
+    """Otherwise a process refuses clients after a change of owner.
 
-    It read the owner's row for the last time before the change; the owner of
-    that time can't reach the store either, but knows its successor.
+    It is cut off and last read the owner's row before the change. The previous
+    owner can't reach the store either, but knows its successor.
     """
     cut, owner = pair
-    with _process("next", _Table(owner.table.rows)) as following:
+    with _process("next", _Table(owner.table.rows)) as successor:
         owner.table.refuses = True
-        owner.owner = following.address
-        verdict = cut.serving.submit(fleets.job(), _deadline())
+        owner.owner = successor.address
+        verdict = cut.service.submit(fleets.job(), _deadline())
         assert verdict is intakes.Verdict.ACCEPTED
 
 
-def test_a_job_taken_in_through_another_process_keeps_its_long_spec(pair):
-    """A job that was accepted never runs: "it is not there", says the owner.
+def test_a_forwarded_job_keeps_its_long_spec(pair):
+    """Otherwise an accepted job never runs, since its spec is missing.
 
-    Its entry had another process hand it in, and sent what it would have
-    written into the job's row. The spec, which lies in a row of its own, was
-    not among it; the owner asked for that row every 2 s.
+    A process forwards only the content of the job's row. A long spec has a
+    separate row and is lost; the owner polls for that row every 2 s.
     """
     cut, owner = pair
     job = fleets.job(spec="x" * 1000)
-    assert cut.serving.submit(job, _deadline()) is intakes.Verdict.ACCEPTED
+    assert cut.service.submit(job, _deadline()) is intakes.Verdict.ACCEPTED
     specs = [
         row.value["spec"]
         for key, row in owner.table.rows.items()
@@ -236,10 +237,10 @@
     assert specs == [job.spec]
 
 
-def test_a_job_without_its_spec_is_never_taken_in(pair):
-    """No job could ever run that was accepted from its row alone."""
+def test_a_job_without_its_spec_is_never_accepted(pair):
+    """Otherwise a job is accepted from its row alone and can never run."""
     _, owner = pair
     stored = job_rows.unpack(job_rows.pack(fleets.job(spec="x" * 1000)))
     with pytest.raises(errors.InvariantError):
-        owner.serving.submit(stored, _deadline())
+        owner.service.submit(stored, _deadline())
     assert not owner.table.rows
--- a/tests/failures/test_slow_link.py
+++ b/tests/failures/test_slow_link.py
@@ -1,4 +1,4 @@
-"""A change of owner on machines with slow links."""
+"""Change of owner on machines with slow network links."""
 
 import json
 
@@ -11,14 +11,14 @@
 from vanillaswitch.protocol import feeds
 from vanillaswitch.protocol import jobs
 
-ENDED = 400
+ENDED_JOBS = 400
 LINK_BYTES_PER_S = 2e6 / 8
 SPEC_BYTES = 3_500
-"""With its steps a job's row takes about 4 KB."""
+"""Including its steps, a job takes about 4 KB."""
 
 
 class _Feed:
-    """Tables whose rows come over one slow link; counts the time."""
+    """Feed over a slow link; adds up the transfer time in ``read_s``."""
 
     def __init__(self, rows):
         self._rows = rows
@@ -36,14 +36,15 @@
         return feeds.Changes((), after)
 
 
-def test_jobs_that_have_ended_do_not_hold_up_a_change_of_owner():
-    """What was accepted never runs: one owner follows the other.
+def test_ended_jobs_do_not_delay_a_change_of_owner():
+    """Otherwise accepted jobs never run since no owner completes its start.
 
-    A new owner reads each job of the last minutes as a whole, ended ones too.
-    On a link of 2 Mbit/s that takes longer than a term may be silent.
+    If a new owner reads all jobs of the last minutes with their specs, ended
+    ones too, this takes longer on a link of 2 Mbit/s than a term may last
+    without a renewal.
     """
     rows = {"job": [], "progress": []}
-    for number in range(ENDED):
+    for number in range(ENDED_JOBS):
         job = fleets.job(number, spec="x" * SPEC_BYTES)
         ended = {"ended": jobs.JobState.COMPLETED.value, "started": True}
         rows["job"].append(feeds.Change(job.job_id, job_rows.pack(job), number))
--- a/tests/failures/test_upkeep_weighed.py
+++ b/tests/failures/test_upkeep_weighed.py
@@ -1,4 +1,4 @@
-"""Upkeep ends what runs on a machine: what is weighed before it is ordered."""
+"""Checks of disruption budgets before maintenance, which ends all runs."""
 
 from tests.common import clocks
 from tests.common import fleets
@@ -7,15 +7,15 @@
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 
-_LASTING = jobs.Step(
+_LONG_RUNNING = jobs.Step(
     count=3, cpu=100, long_running=True, may_miss=1, anti_affinity=1
 )
 _NAMES = ("i-1", "i-2", "i-3")
 _MACHINES = ("m-1", "m-2", "m-3")
 
 
-def _go_on(task, core, clock, seconds, names=_NAMES):
-    """Lets some instances answer as at work, and the wave go on."""
+def _run_wave(task, core, clock, seconds, names=_NAMES):
+    """Runs the wave while some instances report their tasks as serving."""
     until = clock.monotonic() + seconds
     while clock.monotonic() < until:
         now = clock.monotonic()
@@ -30,12 +30,12 @@
         clock.advance(0.25)
 
 
-def test_no_upkeep_begins_where_what_runs_is_not_known():
-    """Two reminders of a job that spares one are away at the same time.
+def test_no_maintenance_starts_where_the_runs_are_unknown():
+    """Otherwise two tasks of a job that allows one to be down are down at once.
 
-    A new owner can't read the job, whose part of the store is away, and has
-    not heard of the instance yet. So it knew of nothing that runs there, took
-    the machine for empty and ordered its upkeep.
+    A new owner can't read the job, since its part of the store is unavailable,
+    and has no status report of the instance yet. It must not treat the machine
+    as empty and order its maintenance.
     """
     core = fleets.new_core()
     clock = clocks.ManualClock()
@@ -44,49 +44,49 @@
     core.unread = {fleets.job().job_id}
     machines = upkeep.Machines(_MACHINES)
     task = upkeep.task(core, machines, upkeep.Board("m-1"), clock)
-    _go_on(task, core, clock, 5.0, names=("i-2", "i-3"))
+    _run_wave(task, core, clock, 5.0, names=("i-2", "i-3"))
     assert not machines.ordered
-    _go_on(task, core, clock, 5.0)
+    _run_wave(task, core, clock, 5.0)
     assert machines.ordered == ["m-1"]
 
 
-def test_an_upkeep_without_answer_is_weighed_again_before_it_is_repeated():
-    """Two reminders of a job that spares one are away at the same time.
+def test_the_budget_is_checked_again_before_an_unanswered_order_is_repeated():
+    """Otherwise two tasks of a job that allows one to be down are down at once.
 
-    The order was not carried out and had no answer. While it was repeated,
-    the instance of another task crashed; then a copy was carried out.
+    The order got no answer and had no effect. While it is repeated, the
+    instance of another task crashes; then a copy takes effect.
     """
     core = fleets.new_core()
     clock = clocks.ManualClock()
     now = clock.monotonic()
     fleets.adopt(core, *_NAMES, now=now)
-    core.job_added(fleets.job(steps=(_LASTING,)), now)
+    core.job_added(fleets.job(steps=(_LONG_RUNNING,)), now)
     fleets.run_all(core, fleets.plan(core, now), percent=100.0)
     machines = upkeep.Machines(_MACHINES)
     machines.lost = 100
     task = upkeep.task(core, machines, upkeep.Board("m-1"), clock)
     while not machines.ordered:
-        _go_on(task, core, clock, 0.25)
+        _run_wave(task, core, clock, 0.25)
     core.gone("i-2", clock.monotonic(), "no machine runs it")
     machines.ordered.clear()
-    _go_on(task, core, clock, 3.0, names=("i-1", "i-3"))
+    _run_wave(task, core, clock, 3.0, names=("i-1", "i-3"))
     assert not machines.ordered
 
 
-def test_a_task_that_is_told_to_stop_is_weighed_until_it_has_ended():
-    """Two reminders of a job that spares one are away at the same time.
+def test_a_stopping_task_counts_against_the_budget_until_it_has_ended():
+    """Otherwise two tasks of a job that allows one to be down are down at once.
 
-    One was told to stop and the stop did not arrive; then the instance of
-    another crashed. Taken as over already, the first did not count for the
-    upkeep of its machine, which ended it.
+    The stop of one task gets lost, then the instance of another crashes. If
+    the first counts as ended already, maintenance of its machine is allowed
+    and ends it.
     """
     core = fleets.new_core()
     fleets.adopt(core, *_NAMES)
-    core.job_added(fleets.job(steps=(_LASTING,)), 0.0)
+    core.job_added(fleets.job(steps=(_LONG_RUNNING,)), 0.0)
     fleets.run_all(core, fleets.plan(core), percent=100.0)
     instance = core.instances["i-1"]
     (run,) = instance.runs.values()
-    core.stop_run(instance, run, 2.1, "its instance is emptied")
+    core.stop_run(instance, run, 2.1, "its instance is drained for maintenance")
     assert evacuation.may_end_all(core, instance, 2.2)
     core.gone("i-2", 2.5, "no machine runs it")
     assert not evacuation.may_end_all(core, instance, 2.6)
