--- a/src/vanillaswitch/coordination/fleet/operators.py
+++ b/src/vanillaswitch/coordination/fleet/operators.py
@@ -136,7 +136,7 @@
         began_ms = row.get("began_store_ms")
         if not isinstance(began_ms, int | float):
             # The start is unknown, so the age counts from now.
-            logs.warning("{}: began_store_ms is not a number", key)
+            logs.warning("{}: began_store_ms is not a number, using now", key)
             began_ms = 0
         age_s = self._time.age_s(began_ms)
         return wave_driver.WaveRecord(tuple(finished_machines(row)), age_s)
@@ -191,6 +191,6 @@
         return set()
     if not isinstance(named, list):
         # All machines are maintained again, which is safe.
-        logs.warning("machines of a wave's row is not a list")
+        logs.warning("a wave's row: machines is not a list, maintaining all")
         return set()
     return {machine for machine in named if isinstance(machine, str)}
