--- a/src/vanillaswitch/coordination/fleet/ownership/recorder.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/recorder.py
@@ -231,8 +231,7 @@
 
 
 def _applied_version(outcome: platform.CommitOutcome, token: str) -> int | None:
-    """Returns a transaction's version; None if it is not known to be
-    applied."""
+    """Returns a transaction's version; None if not known to be applied."""
     if isinstance(outcome, platform.Committed):
         return outcome.version
     if isinstance(outcome, platform.Conflict):
--- a/tests/common/terms.py
+++ b/tests/common/terms.py
@@ -1,4 +1,4 @@
-"""Terms of owning the fleet for tests, with as little outside as they need."""
+"""Terms of ownership for tests, with minimal dependencies."""
 
 from collections.abc import Mapping
 import random
@@ -16,11 +16,11 @@
 from vanillaswitch.protocol import platform
 
 STORE_MS = 500_000.0
-"""The store's steady clock as it was last heard."""
+"""The store's steady clock as last read."""
 
 
 class NoMachines:
-    """A list of machines that names none."""
+    """An empty list of machines."""
 
     def list(self) -> list[fleet.Machine]:
         """Reads the list."""
@@ -28,23 +28,23 @@
 
 
 class NoWaves:
-    """Operators who order no upkeep."""
+    """Operators who order no maintenance."""
 
     def orders(self) -> tuple[fleet.WaveOrder, ...]:
-        """Returns the waves that are ordered."""
+        """Returns the ordered waves."""
         return ()
 
 
 def decode_any_instance(
     name: str, document: Mapping[str, Any]
 ) -> fleet.Registration:
-    """Takes any row of the table of instances for a sound one."""
+    """Decodes any row of the table of instances as a valid one."""
     del document
     return fleets.registration(name)
 
 
 def synced_time(clock: clocks.Clock) -> shared_time.SharedTime:
-    """Returns a time whose store has just answered."""
+    """Returns a shared time that has just been read from the store."""
     time = shared_time.SharedTime(clock)
     time.heard(STORE_MS)
     return time
@@ -57,14 +57,14 @@
     version: int = platform.ABSENT,
     **outside: Any,
 ) -> owners.Owner:
-    """Takes the fleet over; its rows are not read yet.
+    """Takes the fleet over without loading its rows.
 
     Args:
         table: where the owner writes.
         feed: where it reads.
         clock: of its machine.
         version: of the owner's row.
-        **outside: fields of ``owners.Outside`` in place of empty ones.
+        **outside: fields of ``owners.Outside`` that replace empty ones.
     """
     me = recorders.OwnerRow("edge-1", "a:1", f"boot-{version}")
     recorder = recorders.Recorder(table, clock, me)
@@ -95,14 +95,14 @@
     ask_term_ended: members.AskTermEnded = lambda *_: False,
     probe: members.Probe = lambda _: 0,
 ) -> members.Member:
-    """Returns a process's part in owning the fleet that meets nobody else.
+    """Returns a member of an election without other processes.
 
     Args:
         table: of the store.
         clock: of the process.
-        boot: of the process.
-        ask_term_ended: what another owner answers that is asked for its term.
-        probe: what comes of a connection to another owner.
+        boot: random id of the process's start.
+        ask_term_ended: returns another owner's answer about its term.
+        probe: returns the error of a connection to another owner.
     """
     return members.Member(
         types.SimpleNamespace(table=table),  # type: ignore[arg-type]
--- a/tests/cover/test_deployment_command.py
+++ b/tests/cover/test_deployment_command.py
@@ -1,4 +1,4 @@
-"""The operators' command ``deployment``, against rows in a stand-in store."""
+"""The operators' command ``deployment``, on rows in a stand-in store."""
 
 import contextlib
 import json
@@ -19,8 +19,8 @@
 from vanillaswitch.protocol import platform
 from vanillaswitch.transport import plain_http
 
-_BAD = fleets.job(7, (jobs.Step(count=1, cpu=900),))
-_SOUND = fleets.job(
+_CRASHING = fleets.job(7, (jobs.Step(count=1, cpu=900),))
+_HEALTHY = fleets.job(
     8,
     (
         jobs.Step(count=2, cpu=100, long_running=True),
@@ -29,8 +29,8 @@
 )
 
 
-class _Desk:
-    """An operator's desk at a deployment."""
+class _Workstation:
+    """Runs the command against a deployment, and writes its rows."""
 
     def __init__(self, outside, store, settings):
         self._outside = outside
@@ -49,9 +49,9 @@
         )
         assert isinstance(self._store.commit(transaction), platform.Committed)
 
-    def put_day(self, day, *handed_in):
-        """Writes the rows of jobs as a day's owner left them."""
-        for job in handed_in:
+    def put_day(self, day, *submitted):
+        """Writes the rows of jobs as the owner of a test day left them."""
+        for job in submitted:
             self.put(f"{recorder.JOB_TABLE}/{job.job_id}", job_rows.pack(job))
             entry = day.core.book.get(job.job_id)
             self.put(f"{recorder.PROGRESS_TABLE}/{job.job_id}", entry.pack())
@@ -65,7 +65,7 @@
 
 
 @contextlib.contextmanager
-def _desk(tmp_path, instances=1):
+def _open_workstation(tmp_path, instances=1):
     outside = edge_http.EdgePlatform(instances, task_s=0.05)
     settings = tmp_path / "edge.conf"
     settings.write_text(
@@ -77,46 +77,48 @@
     clock = clocks.SystemClock()
     with outside.serving(), plain_http.open_client(clock) as client:
         store = stores.Store(client, outside.address, clock, lambda _: None)
-        yield _Desk(outside, store, str(settings))
+        yield _Workstation(outside, store, str(settings))
 
 
 def _day(seconds=10.0):
     day = crashing_days.Day()
-    day.hand_in(_SOUND)
-    day.hand_in(_BAD, bad=[(0, 0)])
+    day.hand_in(_HEALTHY)
+    day.hand_in(_CRASHING, bad=[(0, 0)])
     day.run(seconds)
     return day
 
 
 def test_a_job_that_was_given_up_is_explained_by_its_crashes(tmp_path):
     day = _day()
-    with _desk(tmp_path) as desk:
-        desk.put_day(day, _BAD)
-        code, text = desk.run("explain", f"job/{_BAD.job_id}")
+    with _open_workstation(tmp_path) as workstation:
+        workstation.put_day(day, _CRASHING)
+        code, text = workstation.run("explain", f"job/{_CRASHING.job_id}")
         assert code == 0
         first, *evidence = text.splitlines()
-        assert first == f"job {_BAD.job_id} of quotes: failed"
+        assert first == f"job {_CRASHING.job_id} of quotes: failed"
         assert len(evidence) == 2
         assert all("given up: run" in line for line in evidence)
 
 
-def test_a_suspected_task_is_shown_with_what_speaks_against_it(tmp_path):
+def test_a_suspected_task_is_shown_with_its_crashes(tmp_path):
     day = _day(0.5)
-    with _desk(tmp_path) as desk:
-        desk.put_day(day, _BAD)
-        code, text = desk.run("explain", f"job/{_BAD.job_id}", "--json")
+    with _open_workstation(tmp_path) as workstation:
+        workstation.put_day(day, _CRASHING)
+        code, text = workstation.run(
+            "explain", f"job/{_CRASHING.job_id}", "--json"
+        )
         (task,) = json.loads(text)["tasks"]
         assert code == 0
         assert task["apart"]
         assert len(task["crashes"]) == 1
 
 
-def test_a_job_at_work_is_shown_with_its_steps_and_runs(tmp_path):
+def test_a_running_job_is_shown_with_its_steps_and_runs(tmp_path):
     day = _day()
-    with _desk(tmp_path) as desk:
-        desk.put_day(day, _SOUND)
-        desk.put(f"{recorder.CANCEL_TABLE}/{_SOUND.job_id}", {})
-        code, text = desk.run("explain", f"job/{_SOUND.job_id}")
+    with _open_workstation(tmp_path) as workstation:
+        workstation.put_day(day, _HEALTHY)
+        workstation.put(f"{recorder.CANCEL_TABLE}/{_HEALTHY.job_id}", {})
+        code, text = workstation.run("explain", f"job/{_HEALTHY.job_id}")
         lines = text.splitlines()
         assert code == 0
         assert lines[0].endswith("running, cancelled by its client")
@@ -124,11 +126,11 @@
         assert all(" on i-" in line for line in lines[2:])
 
 
-def test_an_instance_is_shown_with_the_runs_that_rows_name(tmp_path):
+def test_an_instance_is_shown_with_its_recorded_runs(tmp_path):
     day = _day()
-    task = day.core.book.get(_SOUND.job_id).open[0, 0].tasks[0]
-    with _desk(tmp_path) as desk:
-        desk.put_day(day, _SOUND, _BAD)
+    task = day.core.book.get(_HEALTHY.job_id).open[0, 0].tasks[0]
+    with _open_workstation(tmp_path) as workstation:
+        workstation.put_day(day, _HEALTHY, _CRASHING)
         entry = {
             "service": "berthing",
             "address": "127.0.0.1:1",
@@ -137,46 +139,48 @@
             "capacity": {"cpu": 4000, "mem_mb": 1},
             "labels": ["k", "r1"],
         }
-        desk.rows.write("servers", task.instance, entry)
-        code, text = desk.run("explain", f"instance/{task.instance}")
+        workstation.rows.write("servers", task.instance, entry)
+        code, text = workstation.run("explain", f"instance/{task.instance}")
         assert code == 0
-        assert f"job {_SOUND.job_id} 0.0.0 run {task.run}" in text
+        assert f"job {_HEALTHY.job_id} 0.0.0 run {task.run}" in text
 
 
 def test_a_wave_is_shown_with_the_machines_that_are_left(tmp_path):
-    with _desk(tmp_path) as desk:
+    with _open_workstation(tmp_path) as workstation:
         machines = {"wave": 3, "machines": ["m-1", "m-2"], "duration_s": 60}
-        desk.rows.write("op", "wave/3", machines)
-        desk.put(f"{operators.FINISHED_TABLE}/wave/3", {"machines": ["m-1"]})
-        code, text = desk.run("explain", "wave/3")
+        workstation.rows.write("op", "wave/3", machines)
+        workstation.put(
+            f"{operators.FINISHED_TABLE}/wave/3", {"machines": ["m-1"]}
+        )
+        code, text = workstation.run("explain", "wave/3")
         assert code == 0
         assert text == "wave/3: not begun, 1 of 2 machines left: m-2\n"
 
 
 def test_the_fleet_is_counted_and_unusable_rows_are_named(tmp_path):
-    with _desk(tmp_path) as desk:
-        desk.rows.write("servers", "x-1", {"service": 7})
-        desk.rows.write("op", "config", edge_processes.config())
-        desk.put_day(_day(), _SOUND, _BAD)
+    with _open_workstation(tmp_path) as workstation:
+        workstation.rows.write("servers", "x-1", {"service": 7})
+        workstation.rows.write("op", "config", edge_processes.config())
+        workstation.put_day(_day(), _HEALTHY, _CRASHING)
         me = recorder.OwnerRow("edge-2", "10.0.0.2:1", "boot")
-        desk.put(recorder.OWNER_KEY, me.document())
-        code, text = desk.run("status")
+        workstation.put(recorder.OWNER_KEY, me.document())
+        code, text = workstation.run("status")
         assert code == 0
         assert "owner: edge-2 at 10.0.0.2:1" in text
         assert "queue quotes: 1 failed, 1 running" in text
         assert "unusable: servers/x-1: " in text
 
 
-def test_a_subject_without_rows_is_told(tmp_path):
-    with _desk(tmp_path) as desk:
-        code, text = desk.run("explain", "job/00")
+def test_a_subject_without_rows_is_reported(tmp_path):
+    with _open_workstation(tmp_path) as workstation:
+        code, text = workstation.run("explain", "job/00")
         assert (code, text) == (1, "job/00: the store has no row of it\n")
-        assert desk.run("explain", "planet/mars")[0] == 2
+        assert workstation.run("explain", "planet/mars")[0] == 2
 
 
-def test_a_store_that_is_away_is_told(tmp_path):
-    with _desk(tmp_path) as desk:
-        desk.rows.down = True
-        code, text = desk.run("status")
+def test_an_unavailable_store_is_reported(tmp_path):
+    with _open_workstation(tmp_path) as workstation:
+        workstation.rows.down = True
+        code, text = workstation.run("status")
         assert code == 3
         assert "the platform gave no answer" in text
--- a/tests/cover/test_retention.py
+++ b/tests/cover/test_retention.py
@@ -1,4 +1,4 @@
-"""Rows of jobs that ended long ago are removed, and only those."""
+"""Rows of jobs that ended long ago are removed, and no others."""
 
 from standins import table as tables
 from tests.common import fleets
@@ -20,25 +20,25 @@
     return entry
 
 
-def test_a_job_is_kept_for_as_long_as_it_may_be_asked_for():
+def test_a_job_is_kept_while_clients_may_ask_for_it():
     entry = _ended(1, DAY_MS)
     just_before = DAY_MS + (STATUS_S + retention.RETENTION_MARGIN_S) * 1000
     assert not retention.expired_jobs([entry], STATUS_S, just_before)
     assert retention.expired_jobs([entry], STATUS_S, just_before + 1) == [entry]
 
 
-def test_a_job_whose_end_is_not_recorded_or_that_runs_is_kept():
+def test_a_running_job_or_one_with_an_unrecorded_end_is_kept():
     unrecorded = _ended(1, DAY_MS, shown=jobs.JobState.RUNNING)
     running = books.Entry(fleets.job(2), 0.0)
     found = retention.expired_jobs([unrecorded, running], STATUS_S, 2 * DAY_MS)
     assert not found
 
 
-def test_the_end_survives_a_change_of_owner():
+def test_the_end_time_survives_a_change_of_owner():
     entry = _ended(1, DAY_MS)
-    again = books.Entry(entry.job, 0.0)
-    again.unpack(entry.pack(2 * DAY_MS))
-    assert again.ended_ms == DAY_MS
+    restored = books.Entry(entry.job, 0.0)
+    restored.unpack(entry.pack(2 * DAY_MS))
+    assert restored.ended_ms == DAY_MS
 
 
 def test_a_job_and_its_cancel_are_removed_together():
@@ -51,7 +51,7 @@
     assert retention.remove_job(table, "ab")
 
 
-def test_a_store_that_does_not_answer_keeps_the_job_in_the_book():
+def test_a_removal_fails_while_the_store_is_unavailable():
     table = tables.MemoryTable()
     table.faults.down = True
     assert not retention.remove_job(table, "ab")
--- a/tests/cover/test_spec_table.py
+++ b/tests/cover/test_spec_table.py
@@ -1,4 +1,4 @@
-"""Specs that lie in rows of their own."""
+"""Specs that are stored in rows of their own."""
 
 import itertools
 
@@ -31,7 +31,7 @@
 
 
 def _stored_job(table, job):
-    """Returns a job as a new owner reads it from its row."""
+    """Returns a job as a new owner decodes its row."""
     row = table.read([f"job/{job.job_id}"]).rows[0]
     return job_rows.unpack(row.value)
 
@@ -54,15 +54,15 @@
 
 
 @given(st.text(st.characters(exclude_categories=["Cs"]), max_size=400))
-def test_a_spec_is_in_one_row_and_comes_back_as_it_was(spec):
+def test_a_spec_is_stored_in_one_row_and_read_back_unchanged(spec):
     job = fleets.job(spec=spec)
-    document, apart = job_rows.pack(job), job_rows.pack_spec(job)
+    document, spec_row = job_rows.pack(job), job_rows.pack_spec(job)
     stored = job_rows.unpack(document)
-    if apart is None:
+    if spec_row is None:
         assert stored == job
     else:
         assert stored.spec == ""
-        assert job_rows.unpack_spec(apart) == spec
+        assert job_rows.unpack_spec(spec_row) == spec
         assert stored.spec_digest == jobs.digest(spec)
 
 
@@ -78,7 +78,7 @@
     assert [start.spec for start in starts] == [_LONG_SPEC, _LONG_SPEC]
 
 
-def test_a_job_handed_in_twice_is_one_and_another_under_its_id_is_refused():
+def test_a_job_may_be_submitted_twice_but_its_id_not_reused():
     table = tables.MemoryTable()
     job = fleets.job(spec=_LONG_SPEC)
     assert _submit(table, job) is intakes.Verdict.ACCEPTED
@@ -87,11 +87,11 @@
     assert _submit(table, other) is intakes.Verdict.DIFFERENT
 
 
-def test_a_spec_written_over_by_another_writer_starts_nothing():
-    """An instance is told to do what no client asked for.
+def test_an_overwritten_spec_starts_nothing():
+    """Guards against running a spec that no client submitted.
 
-    Another writer puts a text of its own over the spec of a waiting job, and
-    the next owner reads that one.
+    Another writer overwrites the spec of a waiting job, and the next owner
+    reads the new text.
     """
     table, core, emitted = tables.MemoryTable(), fleets.new_core(), []
     job = fleets.job(spec=_LONG_SPEC)
@@ -107,7 +107,7 @@
     assert not specs._next_to_read()
 
 
-def test_a_spec_that_is_heard_of_before_its_job_is_kept_for_it():
+def test_a_spec_that_arrives_before_its_job_is_kept():
     table, core = tables.MemoryTable(), fleets.new_core()
     job = fleets.job(spec=_LONG_SPEC)
     _submit(table, job)
@@ -119,10 +119,10 @@
     assert fleets.plan(core).starts
 
 
-def test_few_specs_are_read_at_once():
-    """Renewals wait behind the specs of all jobs that wait.
+def test_only_a_few_specs_are_read_at_once():
+    """Guards against renewals that queue behind the specs of all waiting jobs.
 
-    A new owner on a slow link that read them all would lose the fleet again.
+    A new owner on a slow link that reads all specs at once loses the fleet.
     """
     table, core = tables.MemoryTable(), fleets.new_core()
     for number in range(100):
@@ -136,11 +136,12 @@
     )
 
 
-def test_specs_in_a_part_that_is_away_are_asked_for_at_intervals(monkeypatch):
-    """A part of the store that is away gets 80 calls a second more.
+def test_specs_in_an_unavailable_part_are_retried_at_intervals(monkeypatch):
+    """Guards against overloading the store and the log.
 
-    Each job whose spec lies there was asked for again after 50 ms, and each
-    time two lines told that the table was lost and back.
+    Each job whose spec is in an unavailable part was read again every 50 ms,
+    80 calls per second in total, and every read logged that the table was lost
+    and back.
     """
     table, core, emitted = tables.MemoryTable(), fleets.new_core(), []
     job = fleets.job(spec=_LONG_SPEC)
@@ -148,8 +149,8 @@
     core.job_added(_stored_job(table, job), 0.0)
     fleets.plan(core)
     specs = _spec_table(core, table, emitted)
-    away = platform.Unavailable("status 503")
-    monkeypatch.setattr(table, "read", lambda _: away)
+    unavailable = platform.Unavailable("status 503")
+    monkeypatch.setattr(table, "read", lambda _: unavailable)
     _read_next(specs)
     assert not specs._next_to_read()
     specs._clock.advance(follow.RETRY_S)
@@ -158,7 +159,7 @@
     assert [event.state for event in emitted] == ["lost"]
 
 
-def test_jobs_of_all_pools_get_their_specs_by_turns():
+def test_specs_are_read_for_the_pools_in_turn():
     table, core = tables.MemoryTable(), fleets.new_core()
     for number, service in enumerate(["one"] * 9 + ["two"] * 9):
         job = fleets.job(
@@ -167,16 +168,16 @@
         _submit(table, job)
         core.job_added(_stored_job(table, job), 0.0)
     fleets.plan(core)
-    wanted = _spec_table(core, table)._next_to_read()
-    queues = [core.book.get(job_id).job.queue for job_id in wanted]
+    job_ids = _spec_table(core, table)._next_to_read()
+    queues = [core.book.get(job_id).job.queue for job_id in job_ids]
     assert sorted(queues) == ["one", "one", "two", "two"]
 
 
-def test_lost_history_goes_on_from_the_newest_write():
-    """The owner asks the store without a pause while its history is short."""
+def test_lost_history_resumes_from_the_newest_write():
+    """Guards against calls without pauses after the history was lost."""
     core = fleets.new_core()
     clock = clocks.ManualClock()
-    asked = []
+    calls = []
 
     class _Stop(Exception):  # noqa: N818
         pass
@@ -184,8 +185,8 @@
     class _Feed:
         def changes(self, table, after, wait_s):
             del table, wait_s
-            asked.append((after, clock.monotonic()))
-            if len(asked) == 3:
+            calls.append((after, clock.monotonic()))
+            if len(calls) == 3:
                 raise _Stop
             return feeds.HistoryLost()
 
@@ -195,5 +196,5 @@
     specs.start_from(5)
     with pytest.raises(_Stop):
         specs.follow()
-    assert [after for after, _ in asked] == [5, 77, 77]
-    assert asked[2][1] - asked[1][1] >= follow.RETRY_S
+    assert [after for after, _ in calls] == [5, 77, 77]
+    assert calls[2][1] - calls[1][1] >= follow.RETRY_S
--- a/tests/failures/test_all_processes_lost.py
+++ b/tests/failures/test_all_processes_lost.py
@@ -1,4 +1,4 @@
-"""All processes of the system are lost and come back."""
+"""All processes are lost and start again."""
 
 import dataclasses
 import errno
@@ -16,8 +16,8 @@
 from vanillaswitch.protocol import platform
 
 
-class _Table:
-    """Holds the row of an owner, and ends the run at its first commit."""
+class _TableOfLostOwner:
+    """Holds the row of a lost owner; ends the run at the first commit."""
 
     def __init__(self, clock, weakness=0.0):
         self._clock = clock
@@ -43,11 +43,11 @@
 
 
 def _take_over_time(probe, ended=False, closed=False, **limits):
-    return _take_over(_Table, probe, ended, closed, **limits)[0]
+    return _take_over(_TableOfLostOwner, probe, ended, closed, **limits)[0]
 
 
 def _take_over(make_table, probe, ended=False, closed=False, **limits):
-    """Returns how long it took until a process took over, and its row."""
+    """Returns the time until a process took over, and the row it wrote."""
     clock = clocks.ManualClock()
     table = make_table(clock)
     member = members.Member(
@@ -62,123 +62,131 @@
         lambda address: closed and member.stream_closed(address),
         lambda _: None,
     )
-    began = clock.monotonic()
+    started_at = clock.monotonic()
     try:
         member.run()
     except _TakenOverError:
-        return table.committed_at - began, table.written
+        return table.committed_at - started_at, table.written
     raise AssertionError("nobody took over")
 
 
 def test_the_first_process_back_takes_over_at_once():
-    """Nothing starts for a second and more after all processes are back.
+    """Guards against an idle second after all processes have restarted.
 
-    The row still names an owner that ended with the others; each process
-    first waited whether that owner would write.
+    The row still names an owner that ended with the others. Each process used
+    to wait for that owner to write.
     """
-    waited = _take_over_time(lambda _: errno.ECONNREFUSED)
-    assert waited <= members.TAKE_OVER_JITTER_S
+    elapsed_s = _take_over_time(lambda _: errno.ECONNREFUSED)
+    assert elapsed_s <= members.TAKE_OVER_JITTER_S
 
 
-def test_an_owner_that_can_not_be_reached_keeps_its_term():
-    """Two processes own the fleet in turn since a new one can't reach it."""
-    waited = _take_over_time(lambda _: errno.ETIMEDOUT)
-    assert waited >= 1.6
+def test_an_unreachable_owner_keeps_its_term():
+    """Guards against two owners that alternate.
+
+    A new process can't connect to the owner, which is still alive.
+    """
+    elapsed_s = _take_over_time(lambda _: errno.ETIMEDOUT)
+    assert elapsed_s >= 1.6
 
 
-def test_an_owner_without_power_is_missed_for_little_more_than_a_second():
-    """Nothing starts for two seconds after the owner's machine lost power.
+def test_an_owner_without_power_is_replaced_within_1_4_s():
+    """Guards against two idle seconds after the owner's machine lost power.
 
-    Nothing there refuses a connection, so the others waited whether the
-    owner would write. One that lives and only can't write answers them.
+    Nothing on that machine refuses connections, so the others waited for the
+    owner to write. An owner that is alive and only can't write answers them.
     """
-    waited = _take_over_time(lambda _: errno.ETIMEDOUT, ended=None)
-    assert 1.0 <= waited <= 1.4
+    elapsed_s = _take_over_time(lambda _: errno.ETIMEDOUT, ended=None)
+    assert 1.0 <= elapsed_s <= 1.4
 
 
-def test_an_owner_that_is_killed_is_missed_at_once():
-    """Nothing starts for a second each time that the owner is killed.
+def test_a_killed_owner_is_replaced_at_once():
+    """Guards against an idle second each time that the owner is killed.
 
-    Its row had to stay the same for a while before anybody looked for it. Its
-    streams end in the moment that it is killed.
+    Its row had to stay unchanged for a while before any process checked the
+    owner. Its streams end as soon as it is killed.
     """
     answers = iter([0, errno.ECONNREFUSED])
-    waited = _take_over_time(lambda _: next(answers), closed=True)
-    assert waited <= members.HINT_POLL_S + members.TAKE_OVER_JITTER_S + 0.01
+    elapsed_s = _take_over_time(lambda _: next(answers), closed=True)
+    assert elapsed_s <= members.HINT_POLL_S + members.TAKE_OVER_JITTER_S + 0.01
 
 
-class _Unreadable(_Table):
-    """Refuses each reading; ends the run after a second's worth of them."""
+class _Unreadable(_TableOfLostOwner):
+    """Rejects every read; ends the run after the reads of one second."""
 
     def __init__(self, clock):
         super().__init__(clock)
-        self.readings = 0
+        self.reads = 0
 
     def read(self, keys):
         del keys
-        self.readings += 1
-        if self._clock.monotonic() > 1001.0 or self.readings > 50:
+        self.reads += 1
+        if self._clock.monotonic() > 1001.0 or self.reads > 50:
             raise _TakenOverError
         return platform.Unavailable("status 503")
 
 
-def test_a_store_that_refuses_is_not_read_without_a_pause():
-    """A store in trouble is pressed by every process that has just started.
+def test_failing_reads_of_the_store_are_paced():
+    """Guards against new processes that overload a store in trouble.
 
-    The owner is to be looked for as soon as its row can be read, and until
-    then each failed reading was followed by the next one at once.
+    The owner is checked as soon as its row can be read. Until then each failed
+    read used to be followed by the next one at once.
     """
     clock = clocks.ManualClock()
     table = _Unreadable(clock)
     member = terms.member(table, clock, "new")
     with pytest.raises(_TakenOverError):
         member.run()
-    assert table.readings <= 5
+    assert table.reads <= 5
 
 
 @pytest.mark.parametrize("limits", [{"cores": 0.5}, {"link_mbps": 5.0}])
-def test_a_weak_machine_leaves_the_fleet_to_a_stronger_one(limits):
-    """Quotes wait for a whole day after all processes began anew.
+def test_a_weak_machine_lets_a_stronger_one_take_over(limits):
+    """Guards against jobs that wait for a whole day after a restart.
 
-    The first to find that nobody owned the fleet was a machine with half a
-    core and a slow link, a moment before stronger ones; it could not send the
-    starts of so many tasks, and as it went on writing its row it stayed.
+    All processes had restarted. The first one to find no owner ran on half a
+    core and a slow link, a moment before stronger ones. It could not send the
+    starts of so many tasks, but kept writing its row and so stayed the owner.
     """
-    finds_out_late = succession.READ_INTERVAL_S + members.TAKE_OVER_JITTER_S
-    waited = _take_over_time(lambda _: errno.ECONNREFUSED, **limits)
-    assert waited >= finds_out_late
+    latest_discovery_s = succession.READ_INTERVAL_S + members.TAKE_OVER_JITTER_S
+    elapsed_s = _take_over_time(lambda _: errno.ECONNREFUSED, **limits)
+    assert elapsed_s >= latest_discovery_s
 
 
 def test_machines_that_are_all_weak_have_an_owner_soon():
-    waited = _take_over_time(lambda _: errno.ECONNREFUSED, cores=0.1)
-    assert waited <= members.WEAK_MACHINE_DELAY_S + members.TAKE_OVER_JITTER_S
+    elapsed_s = _take_over_time(lambda _: errno.ECONNREFUSED, cores=0.1)
+    assert (
+        elapsed_s <= members.WEAK_MACHINE_DELAY_S + members.TAKE_OVER_JITTER_S
+    )
 
 
 def test_where_all_owners_were_weak_none_waits_for_a_stronger_machine():
-    """Nothing starts for 1.4 s at each change of owner of a weak fleet."""
-    lacks = 0.9
-    waited, row = _take_over(
-        lambda clock: _Table(clock, lacks),
+    """Guards against 1.4 idle seconds at each change of owner."""
+    weakness = 0.9
+    elapsed_s, row = _take_over(
+        lambda clock: _TableOfLostOwner(clock, weakness),
         lambda _: errno.ECONNREFUSED,
-        cores=1.0 - lacks,
+        cores=1.0 - weakness,
     )
-    assert waited <= members.TAKE_OVER_JITTER_S
-    assert row.weakness == lacks
+    assert elapsed_s <= members.TAKE_OVER_JITTER_S
+    assert row.weakness == weakness
 
 
-def test_a_weak_owner_keeps_in_mind_that_there_are_stronger_machines():
-    """A weak machine keeps the fleet since another weak one had it before."""
-    lacks = 0.4
-    waited, row = _take_over(
-        lambda clock: _Table(clock, lacks),
+def test_a_weak_owner_preserves_the_weakness_of_the_strongest_one():
+    """Guards against a weak machine that succeeds another weak one.
+
+    The fleet would stay on weak machines although there are stronger ones.
+    """
+    weakness = 0.4
+    elapsed_s, row = _take_over(
+        lambda clock: _TableOfLostOwner(clock, weakness),
         lambda _: errno.ECONNREFUSED,
         cores=0.1,
     )
-    assert waited >= (0.9 - lacks) * members.WEAK_MACHINE_DELAY_S
-    assert row.weakness == lacks
+    assert elapsed_s >= (0.9 - weakness) * members.WEAK_MACHINE_DELAY_S
+    assert row.weakness == weakness
 
 
-class _AwayFirst(_Table):
+class _UnavailableAtFirst(_TableOfLostOwner):
     """Can't be read for some seconds."""
 
     def __init__(self, clock):
@@ -191,7 +199,7 @@
         return super().read(keys)
 
     def commit(self, transaction):
-        self.taken_after = self._clock.monotonic() - self._answers_from
+        self.taken_after_s = self._clock.monotonic() - self._answers_from
         super().commit(transaction)
 
 
@@ -208,12 +216,12 @@
         ),
     ],
 )
-def test_an_owner_that_is_lost_in_an_outage_is_missed_as_it_ends(
+def test_an_owner_lost_during_an_outage_is_replaced_soon_after_it(
     error, limit_s
 ):
-    """Nothing starts for two seconds after an outage that lost the owner."""
+    """Guards against two idle seconds after an outage that lost the owner."""
     clock = clocks.ManualClock()
-    table = _AwayFirst(clock)
+    table = _UnavailableAtFirst(clock)
 
     def probe(address):
         del address
@@ -226,4 +234,4 @@
     member = terms.member(table, clock, "new", ask_term_ended, probe)
     with pytest.raises(_TakenOverError):
         member.run()
-    assert table.taken_after <= limit_s
+    assert table.taken_after_s <= limit_s
--- a/tests/failures/test_clock_steps.py
+++ b/tests/failures/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Machines whose time of day jumps, ahead or back, while they own the fleet."""
+"""Owners whose time of day jumps, ahead or back."""
 
 import types
 
@@ -26,17 +26,17 @@
 
 
 class _SteppedClock(clocks.SystemClock):
-    """A machine's clocks; the time of day is off by some seconds."""
+    """A machine's clocks whose time of day is off by some seconds."""
 
-    def __init__(self, off_s=0.0):
-        self.off_s = off_s
+    def __init__(self, offset_s=0.0):
+        self.offset_s = offset_s
 
     def wall(self):
-        return super().wall() + self.off_s
+        return super().wall() + self.offset_s
 
 
 class _Feed:
-    """Shows what a table holds, once."""
+    """Reads the rows of a table once; reports no changes."""
 
     def __init__(self, table):
         self._table = table
@@ -62,13 +62,13 @@
     return terms.begin(table, _Feed(table), clock, version)
 
 
-def _accept(table, job):
+def _store_job(table, job):
     put = fleets.put(f"{recorders.JOB_TABLE}/{job.job_id}", job_rows.pack(job))
     table.commit(put)
 
 
-def _accept_and_cancel(table, job):
-    _accept(table, job)
+def _store_cancelled_job(table, job):
+    _store_job(table, job)
     key = f"{recorders.CANCEL_TABLE}/{job.job_id}"
     table.commit(fleets.put(key, {"cancelled": True}))
 
@@ -87,22 +87,22 @@
 def test_a_job_that_has_just_ended_is_kept_when_the_clock_jumps(
     monkeypatch, step_s
 ):
-    """A client asks for its job and is told that there is none.
+    """Guards against a job that its client can't find after it ended.
 
-    The job ends; then the owner's time of day jumps an hour ahead. The owner
-    took the job for one that ended an hour ago and removed its rows.
+    After the end of the job, the owner's time of day jumps an hour ahead. The
+    owner took the job for one that ended an hour ago and removed its rows.
     """
     monkeypatch.setattr(retention, "SCAN_INTERVAL_S", 0.02)
     table = tables.MemoryTable()
     job = fleets.job(1)
-    _accept_and_cancel(table, job)
+    _store_cancelled_job(table, job)
     clock = _SteppedClock()
     owner = _owner(table, clock)
     assert owner.load()
     with owner.serving():
         gevent.sleep(0.3)
         assert owner.recorded_state(job.job_id) is jobs.JobState.CANCELLED
-        clock.off_s = step_s
+        clock.offset_s = step_s
         gevent.sleep(0.3)
     assert table.read([f"{recorders.JOB_TABLE}/{job.job_id}"]).rows
 
@@ -111,25 +111,25 @@
 def test_a_job_that_has_just_ended_is_kept_by_an_owner_with_another_clock(
     monkeypatch, step_s
 ):
-    """The same after a change of owner between machines whose clocks differ.
+    """Guards against the same after a change of owner.
 
-    The first owner writes when the job ended; to the next one, whose clock
-    is an hour ahead, that seems long ago.
+    The first owner records when the job ended. The clock of the next owner is
+    an hour ahead, so that the end seems to be long ago.
     """
     monkeypatch.setattr(retention, "SCAN_INTERVAL_S", 0.02)
     table = tables.MemoryTable()
     job = fleets.job(1)
-    _accept_and_cancel(table, job)
+    _store_cancelled_job(table, job)
     _serve(_owner(table, _SteppedClock()))
     _serve(_owner(table, _SteppedClock(step_s), _version_of_owner(table)))
     assert table.read([f"{recorders.JOB_TABLE}/{job.job_id}"]).rows
 
 
-def test_a_job_that_ended_long_ago_is_removed_all_the_same(monkeypatch):
+def test_a_job_that_ended_long_ago_is_removed(monkeypatch):
     monkeypatch.setattr(retention, "SCAN_INTERVAL_S", 0.02)
     table = tables.MemoryTable()
     job = fleets.job(1)
-    _accept_and_cancel(table, job)
+    _store_cancelled_job(table, job)
     _serve(_owner(table, _SteppedClock()))
     later = _owner(table, _SteppedClock(), _version_of_owner(table))
     later._outside.time.heard(terms.STORE_MS + HOUR_S * 1000)
@@ -138,11 +138,11 @@
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_job_is_as_old_for_its_owner_as_for_its_client(step_s):
-    """Jobs that came in at some machines are started last, or never.
+def test_a_job_has_the_same_age_for_its_owner_and_its_client(step_s):
+    """Guards against jobs of some machines that start last, or never.
 
-    Their entries' time of day is behind by more than the jobs' objective, so
-    that the owner took them for too late to be of use.
+    The time of day at the machine that accepted them is behind by more than the
+    jobs' objective, so the owner took them for too late to be of use.
     """
     clock = manual.ManualClock()
     time = terms.synced_time(clock)
@@ -166,28 +166,28 @@
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_what_is_due_starts_by_the_clocks_of_most_machines(step_s):
-    """A job with a time starts an hour early, or an hour late.
+def test_due_jobs_start_by_the_clocks_of_most_machines(step_s):
+    """Guards against a job with a start time that starts an hour early or late.
 
-    The owner's time of day has jumped. Those of the machines that take in
-    jobs have not, but for a quarter of them.
+    The owner's time of day has jumped, and so have the clocks of a quarter of
+    the machines that accept jobs.
     """
     clock = manual.ManualClock()
     time = terms.synced_time(clock)
     true_ms = clock.wall() * 1000
     for number in range(20):
-        off_ms = step_s * 1000 if number % 4 == 0 else number * 10.0
-        time.handed_in(terms.STORE_MS, true_ms + off_ms)
+        offset_ms = step_s * 1000 if number % 4 == 0 else number * 10.0
+        time.handed_in(terms.STORE_MS, true_ms + offset_ms)
     clock._wall += step_s
     assert abs(time.wall_ms - true_ms) <= 250.0
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_wave_has_the_time_that_is_left_whatever_the_clock_says(step_s):
-    """Machines are taken from work in a hurry, or a wave comes to its end late.
+def test_the_remaining_time_of_a_wave_ignores_the_time_of_day(step_s):
+    """Guards against waves that drain machines too fast, or end late.
 
-    The owner that saw the wave first and the next one have other times of
-    day: to the second one the wave seemed to have begun an hour ago.
+    The clocks of the owner that first saw the wave and of the next one differ.
+    To the second one the wave seemed to have begun an hour ago.
     """
     table = tables.MemoryTable()
     form = types.SimpleNamespace()
@@ -204,7 +204,7 @@
     assert boards[1].begin("wave/1").age_s == pytest.approx(4.0)
 
 
-def test_a_slow_answer_of_the_store_does_not_turn_its_clock_back():
+def test_a_slow_answer_does_not_set_the_store_clock_back():
     clock = manual.ManualClock()
     time = terms.synced_time(clock)
     clock.advance(1.0)
@@ -217,7 +217,7 @@
     assert time.now_ms == pytest.approx(terms.STORE_MS)
 
 
-def test_ages_are_unknown_before_the_store_has_answered():
+def test_ages_are_unknown_before_the_first_answer_of_the_store():
     clock = manual.ManualClock()
     time = shared_time.SharedTime(clock)
     assert time.now_ms is None
--- a/tests/failures/test_entries_of_others.py
+++ b/tests/failures/test_entries_of_others.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's tables that another writer wrote, or wrote over."""
+"""Rows of the platform's tables that another writer wrote or overwrote."""
 
 import base64
 import json
@@ -21,8 +21,8 @@
 from vanillaswitch.protocol import minions
 from vanillaswitch.transport import plain_http
 
-SOUND = 50
-ENTRY = {
+VALID_COUNT = 50
+VALID_ENTRY = {
     "service": "berthing",
     "address": "10.0.0.1:80",
     "zone": "zone-1",
@@ -30,17 +30,17 @@
     "capacity": {"cpu": 4000, "mem_mb": 32_000, "gpu": 0},
     "labels": ["a", "r1"],
 }
-BAD = (
-    ENTRY | {"capacity": "all"},
-    ENTRY | {"labels": None},
-    ENTRY | {"state": "resting"},
-    ENTRY | {"address": 80},
-    ENTRY | {"service": ["berthing"]},
+UNUSABLE_ENTRIES = (
+    VALID_ENTRY | {"capacity": "all"},
+    VALID_ENTRY | {"labels": None},
+    VALID_ENTRY | {"state": "resting"},
+    VALID_ENTRY | {"address": 80},
+    VALID_ENTRY | {"service": ["berthing"]},
 )
 
 
 class _Feed:
-    """Tables that stay as they are but for one change of the instances."""
+    """Tables without changes, except for one change of the instances."""
 
     def __init__(self, rows, changes=()):
         self.rows = {"servers": rows, "job": (), "progress": (), "cancel": ()}
@@ -59,7 +59,7 @@
 
 
 class _Instances:
-    """Instances that run nothing and refuse nothing."""
+    """Instances that run nothing and accept everything."""
 
     def hold(self, *_):
         gevent.sleep(0.05)
@@ -77,7 +77,7 @@
     return feeds.Change(name, None, 99, "its bytes can't be read")
 
 
-def _term(feed):
+def _begin_term(feed):
     return terms.begin(
         tables.MemoryTable(),
         feed,
@@ -87,27 +87,29 @@
     )
 
 
-def test_an_owner_among_rows_of_another_writer_serves_the_others():
-    """The whole fleet stands still, with one owner after the other.
+def test_an_owner_serves_the_fleet_despite_unusable_rows():
+    """Guards against a fleet in which no owner can serve.
 
-    One row of the list of instances holds a text where a number belongs.
-    Reading it ended the owner's process; the next owner read it as well.
+    One row of the list of instances holds a string in place of a number.
+    Reading it ended the owner's process, and the next owner read it as well.
     """
-    bad = _rows(BAD[:3], first=100)
+    unusable_rows = _rows(UNUSABLE_ENTRIES[:3], first=100)
     feed = _Feed(
-        [*_rows([ENTRY] * SOUND), *bad],
-        [*_rows(BAD[3:], first=200), _damaged("i-300")],
+        [*_rows([VALID_ENTRY] * VALID_COUNT), *unusable_rows],
+        [*_rows(UNUSABLE_ENTRIES[3:], first=200), _damaged("i-300")],
     )
-    owner = _term(feed)
+    owner = _begin_term(feed)
     assert owner.load()
     with owner.serving():
         gevent.sleep(0.6)
-        named = owner.core.instances
-        assert named.keys() == {f"i-{number}" for number in range(SOUND)}
-        assert all(instance.usable(0.0) for instance in named.values())
+        instances = owner.core.instances
+        assert instances.keys() == {
+            f"i-{number}" for number in range(VALID_COUNT)
+        }
+        assert all(instance.usable(0.0) for instance in instances.values())
 
 
-def _listing(core, rows, told):
+def _listing(core, rows, emitted):
     feed = _Feed(rows)
     clock = clocks.SystemClock()
     view = listing.Listing(
@@ -116,7 +118,7 @@
         "servers",
         upstreams.registration,
         clock,
-        told.append,
+        emitted.append,
         lambda: None,
         10.0,
     )
@@ -128,20 +130,20 @@
     "row",
     [
         _damaged("i-0"),
-        feeds.Change("i-0", ENTRY | {"address": None}, 99),
+        feeds.Change("i-0", VALID_ENTRY | {"address": None}, 99),
         feeds.Change("i-0", {}, 99),
     ],
 )
-def test_what_runs_on_goes_on_when_an_entry_is_written_over(row):
-    """A charge is made twice.
+def test_runs_continue_when_the_entry_of_their_instance_is_overwritten(row):
+    """Guards against a charge that is made twice.
 
-    The entry of an instance that works is written over with bytes that can't
-    be read. It was taken as removed, the instance as gone, and its task was
-    started on another one while it ran.
+    The entry of a running instance is overwritten with bytes that can't be
+    decoded. It counted as removed and the instance as gone, and its task was
+    started on another instance while it ran.
     """
-    told = []
+    emitted = []
     core = fleets.new_core()
-    view = _listing(core, _rows([ENTRY, ENTRY]), told)
+    view = _listing(core, _rows([VALID_ENTRY, VALID_ENTRY]), emitted)
     for name in ("i-0", "i-1"):
         core.held(name, fleets.held(), 0.0, 0.0)
     core.job_added(fleets.job(1), 0.0)
@@ -158,25 +160,32 @@
     assert not instance.usable(2.0)
     assert not fleets.plan(core).starts
     assert (
-        len([one for one in told if isinstance(one, events.RowUnusable)]) == 1
+        len(
+            [
+                event
+                for event in emitted
+                if isinstance(event, events.RowUnusable)
+            ]
+        )
+        == 1
     )
-    view._on_rows(_rows([ENTRY]))
+    view._on_rows(_rows([VALID_ENTRY]))
     assert instance.usable(2.0)
 
 
-def test_instances_of_a_service_that_nobody_configured_are_not_held():
-    """Each look at an instance is priced, and such a one is none of ours."""
+def test_instances_of_an_unconfigured_service_are_not_held():
+    """Guards against status calls, which have a price, to unused instances."""
     core = fleets.new_core()
-    _listing(core, _rows([ENTRY, ENTRY | {"service": "other"}]), [])
+    _listing(core, _rows([VALID_ENTRY, VALID_ENTRY | {"service": "other"}]), [])
     assert core.holds("i-0")
     assert not core.holds("i-1")
 
 
-def test_a_job_whose_progress_was_written_over_is_left_alone():
-    """A task that has ended runs again after a change of owner.
+def test_a_job_whose_progress_was_overwritten_is_quarantined():
+    """Guards against a finished task that runs again after a change of owner.
 
-    Another writer wrote over the row of a job's progress. Without it the job
-    looked as if nothing of it had begun.
+    Another writer overwrote the row of the job's progress. Without it the job
+    looked as if nothing of it had started.
     """
     job = fleets.job(1)
     for damage in (
@@ -184,14 +193,14 @@
         feeds.Change(job.job_id, {"tasks": "all"}, 99),
         feeds.Change(job.job_id, {"ended": "so"}, 99),
     ):
-        feed = _Feed(_rows([ENTRY]))
+        feed = _Feed(_rows([VALID_ENTRY]))
         feed.rows["job"] = [
             feeds.Change(job.job_id, job_rows.pack(job), 1),
             feeds.Change("other", {"steps": 3}, 2),
             _damaged("third"),
         ]
         feed.rows["progress"] = [damage]
-        owner = _term(feed)
+        owner = _begin_term(feed)
         assert owner.load()
         core = owner.core
         core.held("i-0", fleets.held(), 0.0, 0.0)
@@ -200,22 +209,22 @@
         assert not owner._tables.take_orphans()
 
 
-def test_what_runs_for_a_job_whose_row_was_written_over_is_left_alone():
-    """A task that works is stopped after a change of owner.
+def test_runs_of_a_job_whose_row_was_overwritten_are_not_stopped():
+    """Guards against a running task that is stopped after a change of owner.
 
-    Another writer wrote over the job's own row. Its progress names the run,
-    which no job in the book accounted for.
+    Another writer overwrote the job's own row. Its progress names the run, but
+    no job in the book accounted for it.
     """
     job = fleets.job(1)
     before = fleets.new_core()
     fleets.adopt(before, "i-0")
     before.job_added(job, 0.0)
     batch = fleets.plan(before)
-    feed = _Feed(_rows([ENTRY]))
+    feed = _Feed(_rows([VALID_ENTRY]))
     feed.rows["job"] = [_damaged(job.job_id)]
     packed = batch.entries[0].pack()
     feed.rows["progress"] = [feeds.Change(job.job_id, packed, 1)]
-    owner = _term(feed)
+    owner = _begin_term(feed)
     assert owner.load()
     listed = tuple(
         fleet.Running(start.task, start.run, "", 10.0) for start in batch.starts
@@ -227,25 +236,25 @@
     assert not owner._tables.take_orphans()
 
 
-def test_a_job_that_is_known_goes_on_when_its_row_is_written_over():
-    """A job's ends are never noted, and it stays open for good."""
+def test_a_known_job_continues_when_its_row_is_overwritten():
+    """Guards against a job that stays open as its ends are not recorded."""
     job = fleets.job(1)
-    feed = _Feed(_rows([ENTRY]))
+    feed = _Feed(_rows([VALID_ENTRY]))
     feed.rows["job"] = [feeds.Change(job.job_id, job_rows.pack(job), 1)]
-    owner = _term(feed)
+    owner = _begin_term(feed)
     assert owner.load()
     owner._tables._on_jobs([_damaged(job.job_id)])
     assert job.job_id not in owner.core.unread
     assert owner.core.book.get(job.job_id) is not None
 
 
-def test_a_cancel_that_was_written_over_holds():
-    """A job runs on although its client was told that it is cancelled."""
+def test_an_overwritten_cancel_takes_effect():
+    """Guards against a job that runs on after its cancel was confirmed."""
     job = fleets.job(1)
-    feed = _Feed(_rows([ENTRY]))
+    feed = _Feed(_rows([VALID_ENTRY]))
     feed.rows["job"] = [feeds.Change(job.job_id, job_rows.pack(job), 1)]
     feed.rows["cancel"] = [_damaged(job.job_id)]
-    owner = _term(feed)
+    owner = _begin_term(feed)
     assert owner.load()
     assert owner.core.book.get(job.job_id).ended is not None
 
@@ -279,11 +288,11 @@
             gevent.sleep(0.05)
 
 
-def test_processes_serve_beside_entries_that_can_not_be_read(tmp_path):
-    """The same with real processes: none ends, and jobs are done."""
+def test_processes_serve_despite_unusable_entries(tmp_path):
+    """The same with real processes: none ends, and jobs complete."""
     outside = edge_http.EdgePlatform(2, 0.1)
     outside.rows.write("op", "config", edge_processes.config())
-    for number, document in enumerate(BAD):
+    for number, document in enumerate(UNUSABLE_ENTRIES):
         outside.rows.write("servers", f"x-{number}", document)
     _write_bytes(outside, "x-bytes", b"\xff\xfe\x00")
     _write_bytes(outside, "x-deep", b"[" * 50_000)
--- a/tests/failures/test_long_take_over.py
+++ b/tests/failures/test_long_take_over.py
@@ -10,7 +10,7 @@
 
 
 class _Table:
-    """Takes every commit."""
+    """Accepts every commit."""
 
     def __init__(self):
         self.commits = 0
@@ -21,12 +21,11 @@
         return platform.Committed(self.commits)
 
 
-def test_an_owner_that_still_reads_its_rows_does_not_yield():
-    """Nothing starts for seconds after a loss on a large site.
+def test_an_owner_that_loads_its_rows_does_not_step_down():
+    """Guards against idle seconds after a failure on a large site.
 
-    Each new owner reads thousands of rows. Asked meanwhile whether its term
-    is over it said yes, as it did not serve yet; the next one took over and
-    met the same.
+    Each new owner loads thousands of rows. Asked meanwhile whether its term is
+    over it said yes, as it did not serve yet. The next owner met the same.
     """
     clock = clocks.ManualClock()
     member = terms.member(_Table(), clock)
@@ -42,7 +41,7 @@
 
 
 class _SlowFeed:
-    """Tables without rows that take a while to be read."""
+    """Empty tables that take a while to be read."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -58,8 +57,8 @@
         return feeds.Changes((), after)
 
 
-def test_the_lease_is_renewed_while_rows_are_read():
-    """A new owner is replaced while it reads its rows, which nobody renews."""
+def test_the_lease_is_renewed_while_rows_are_loaded():
+    """Guards against an owner that is replaced while it loads its rows."""
     clock = system_clock.SystemClock()
     table = _Table()
     owner = terms.begin(table, _SlowFeed(clock), clock)
@@ -69,7 +68,7 @@
 
 
 def test_the_lease_is_renewed_as_an_owner_begins_to_serve():
-    """A weak owner is deposed at its first plan, before it starts anything."""
+    """Guards against a slow owner that is replaced during its first plan."""
     clock = system_clock.SystemClock()
     table = _Table()
     owner = terms.begin(table, _SlowFeed(clock), clock)
--- a/tests/failures/test_lost_store_answers.py
+++ b/tests/failures/test_lost_store_answers.py
@@ -1,4 +1,4 @@
-"""A store that carries writes out and loses the answers."""
+"""A store that executes writes but loses their answers."""
 
 import random
 
@@ -13,30 +13,30 @@
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import platform
 
-_CALL_LIMIT_S = 1.5
-_IDLE_S = 0.007
+_CALL_TIMEOUT_S = 1.5
+_LATENCY_S = 0.007
 
 
 class _Store:
-    """Keeps rows; answers some writes late, or not within the limit."""
+    """Keeps rows; delays the answers of some writes, or exceeds the timeout."""
 
-    def __init__(self, rng, lost=0.0, slow=1.0):
-        self.lost = lost
-        self.slow = slow
+    def __init__(self, rng, loss_rate=0.0, slowdown=1.0):
+        self.loss_rate = loss_rate
+        self.slowdown = slowdown
         self.writes = 0
         self.rows = {}
         self._rng = rng
         self._version = 0
 
     def read(self, keys):
-        gevent.sleep(_IDLE_S * self.slow)
+        gevent.sleep(_LATENCY_S * self.slowdown)
         return platform.Rows(
             tuple(self.rows[key] for key in keys if key in self.rows)
         )
 
     def commit(self, transaction):
         self.writes += 1
-        gevent.sleep(_IDLE_S * self.slow)
+        gevent.sleep(_LATENCY_S * self.slowdown)
         stale = [
             put.key
             for put in transaction.puts
@@ -51,8 +51,8 @@
             self.rows[put.key] = platform.Row(
                 put.key, self._version, put.value, transaction.token
             )
-        if self._rng.random() < self.lost:
-            gevent.sleep(_CALL_LIMIT_S)
+        if self._rng.random() < self.loss_rate:
+            gevent.sleep(_CALL_TIMEOUT_S)
             return platform.OutcomeUnknown("silent")
         return platform.Committed(self._version)
 
@@ -69,7 +69,7 @@
     return recorder
 
 
-def _longest_silence_s(recorder, clock, writes):
+def _longest_write_s(recorder, clock, writes):
     longest = 0.0
     for _ in range(writes):
         before = recorder.confirmed_at
@@ -78,57 +78,58 @@
     return longest
 
 
-def test_an_owner_whose_answers_get_lost_goes_on_to_own_the_fleet():
-    """Nothing starts for seconds while a store loses a third of its answers.
+def test_an_owner_whose_answers_get_lost_keeps_the_fleet():
+    """Guards against idle seconds while a store loses a third of its answers.
 
-    The owner's writes take effect, but each lost answer held it for the whole
-    limit of a call. The others saw no write within a term, asked it, and it
-    gave way; its successor met the same: four owners within six seconds.
+    The owner's writes took effect, but each lost answer blocked it for the
+    whole timeout of a call. The others saw no write within a term and asked it,
+    and it stepped down. Its successor met the same: four owners within six
+    seconds.
     """
     clock = clocks.SystemClock()
-    store = _Store(random.Random(5), lost=0.35)
+    store = _Store(random.Random(5), loss_rate=0.35)
     table = prompt_table.PromptTable(store, clock)
     recorder = _recorder(table, clock)
-    silence_s = _longest_silence_s(recorder, clock, 60)
-    assert silence_s < succession.SUSPECT_AFTER_S
+    longest_s = _longest_write_s(recorder, clock, 60)
+    assert longest_s < succession.SUSPECT_AFTER_S
     assert not recorder.deposed
 
 
-def test_a_slow_store_is_not_sent_every_write_several_times():
-    """A store sixty times slower gets slower still under copies.
+def test_writes_to_a_slow_store_are_rarely_sent_again():
+    """Guards against copies that slow down a store that is 60 times slower.
 
-    Each write is sent again after the time that an idle store takes. Once the
-    first answers have come, the wait follows them.
+    Each write is sent again after the time that an idle store takes. After the
+    first answers, that wait follows the measured times.
     """
     clock = clocks.SystemClock()
-    store = _Store(random.Random(1), slow=60.0)
+    store = _Store(random.Random(1), slowdown=60.0)
     recorder = _recorder(prompt_table.PromptTable(store, clock), clock)
-    _longest_silence_s(recorder, clock, 2)
+    _longest_write_s(recorder, clock, 2)
     before = store.writes
-    _longest_silence_s(recorder, clock, 4)
+    _longest_write_s(recorder, clock, 4)
     assert store.writes - before <= 5
     assert not recorder.deposed
 
 
-def test_a_client_is_told_soon_that_its_job_was_taken():
-    """A client waits for two seconds, is told "not known", and asks again.
+def test_a_client_soon_learns_that_its_job_was_accepted():
+    """Guards against a client that waits two seconds for an unknown outcome.
 
-    Its job was stored within milliseconds; only the answer was lost. The row
-    itself says so.
+    Its job was stored within milliseconds and only the answer was lost. The row
+    itself shows that it was stored.
     """
     clock = clocks.SystemClock()
-    store = _Store(random.Random(1), lost=1.0)
-    taken = intake.Intake(
+    store = _Store(random.Random(1), loss_rate=1.0)
+    intake_ = intake.Intake(
         prompt_table.PromptTable(store, clock), clock, "boot", lambda: 0.0
     )
-    began = clock.monotonic()
-    verdict = taken.submit(fleets.job(), began + 3.0)
+    started_at = clock.monotonic()
+    verdict = intake_.submit(fleets.job(), started_at + 3.0)
     assert verdict is intake.Verdict.ACCEPTED
-    assert clock.monotonic() - began < 2 * answer_times.FIRST_S
+    assert clock.monotonic() - started_at < 2 * answer_times.FIRST_S
 
 
-class _Refusing:
-    """Holds the first copy of a write, and refuses all others as not done."""
+class _RejectingCopies:
+    """Holds the first copy of a write, and rejects all others as not done."""
 
     def __init__(self):
         self.calls = 0
@@ -137,19 +138,19 @@
         del transaction
         self.calls += 1
         if self.calls == 1:
-            gevent.sleep(_CALL_LIMIT_S)
+            gevent.sleep(_CALL_TIMEOUT_S)
             return platform.OutcomeUnknown("silent")
         return platform.Unavailable("busy")
 
 
-def test_a_refused_copy_does_not_speak_for_one_that_is_under_way():
-    """A client is told "not run" and its job runs.
+def test_a_rejected_copy_does_not_settle_one_that_is_under_way():
+    """Guards against a client that is told "not run" while its job runs.
 
-    The first copy of its write is still under way and may take effect; the
-    second is refused. Only the first one could say that nothing was done.
+    The first copy of the write is still under way and may take effect; the
+    second is rejected. Only the first could show that nothing was done.
     """
     clock = clocks.SystemClock()
-    table = prompt_table.PromptTable(_Refusing(), clock)
+    table = prompt_table.PromptTable(_RejectingCopies(), clock)
     put = platform.Put("job/a", platform.ABSENT, {})
     transaction = platform.Transaction("t-1", (put,))
     outcomes = [table.commit(transaction) for _ in range(3)]
--- a/tests/failures/test_owner_gives_way.py
+++ b/tests/failures/test_owner_gives_way.py
@@ -1,4 +1,4 @@
-"""Owners that give way, and own the fleet again later."""
+"""Owners that step down and own the fleet again later."""
 
 import pytest
 
@@ -9,29 +9,29 @@
 from vanillaswitch.protocol import platform
 
 _OTHER = recorders.OwnerRow("edge-2", "10.0.0.2:1", "boot-2")
-_DAY_S = 20.0
+_RUN_S = 20.0
 
 
-class _EndOfDayError(Exception):
+class _EndOfRunError(Exception):
     pass
 
 
 class _TakenMeanwhile:
-    """Holds the row of an owner that gave way and has just begun a new term.
+    """Holds the row of an owner that stepped down and has begun a new term.
 
-    The other one is a moment faster at each attempt to take over, and writes
-    its row at each reading.
+    That owner is a moment faster at each attempt to take over, and writes its
+    row at each read.
     """
 
     def __init__(self, clock):
         self._clock = clock
-        self._ends_at = clock.monotonic() + _DAY_S
+        self._ends_at = clock.monotonic() + _RUN_S
         self._version = 7
         self.attempts = 0
 
     def read(self, keys):
         if self._clock.monotonic() > self._ends_at:
-            raise _EndOfDayError
+            raise _EndOfRunError
         if self.attempts:
             self._version += 1
         row = platform.Row(keys[0], self._version, _OTHER.document(), "t")
@@ -44,28 +44,31 @@
         del transaction
         self.attempts += 1
         if self.attempts > 50:
-            raise _EndOfDayError
+            raise _EndOfRunError
         return platform.Conflict(())
 
 
-def test_an_owner_that_gave_way_once_may_own_the_fleet_again():
-    """Two processes take the fleet from each other twice a second for good."""
+def test_an_owner_that_stepped_down_may_own_the_fleet_again():
+    """Guards against two processes that take the fleet from each other.
+
+    They did so twice a second, without end.
+    """
     clock = clocks.ManualClock()
     table = _TakenMeanwhile(clock)
     answers = iter([True])
     member = terms.member(
         table, clock, ask_term_ended=lambda *_: next(answers, False)
     )
-    with pytest.raises(_EndOfDayError):
+    with pytest.raises(_EndOfRunError):
         member.run()
     assert table.attempts == 1
 
 
-def test_a_term_that_ended_orders_no_more_machines():
-    """Machines wait for orders after an owner gave way."""
-    watch = succession.Succession()
-    watch.observed(_OTHER, 5, 0.0, 0.0)
-    watch.on_term_ended()
-    assert watch.orders_from(3.0, 0.8) == 0.8
-    watch.observed(_OTHER, 6, 1.0, 1.0)
-    assert watch.orders_from(3.0, 1.0) == 4.0
+def test_a_term_that_was_ended_delays_no_machine_operations():
+    """Guards against idle machine operations after an owner stepped down."""
+    monitor = succession.Succession()
+    monitor.observed(_OTHER, 5, 0.0, 0.0)
+    monitor.on_term_ended()
+    assert monitor.orders_from(3.0, 0.8) == 0.8
+    monitor.observed(_OTHER, 6, 1.0, 1.0)
+    assert monitor.orders_from(3.0, 1.0) == 4.0
--- a/tests/failures/test_silent_store.py
+++ b/tests/failures/test_silent_store.py
@@ -1,4 +1,4 @@
-"""A store that takes calls and answers none."""
+"""A store that accepts calls and answers none."""
 
 import gevent
 import pytest
@@ -21,7 +21,7 @@
 
 
 class _Table:
-    """Answers no commit; counts them."""
+    """Counts commits and answers none."""
 
     def __init__(self):
         self.commits = 0
@@ -39,40 +39,45 @@
         return platform.OutcomeUnknown("silent")
 
 
-def test_a_hand_in_is_refused_at_once_while_the_store_is_known_silent():
-    """Ninety clients hang for three seconds each and are not served.
+def test_a_submission_is_refused_at_once_while_the_store_is_silent():
+    """Guards against clients that hang and are not served.
 
-    The store answers nothing; each hand-in was sent to it, could then not be
-    refused any more, and hung until its client gave up. Refused before it is
-    sent, its client comes back and is served once the store is.
+    Each submission was sent to the silent store, could then not be refused any
+    more, and hung until its client gave up: ninety clients for three seconds
+    each. If it is refused before it is sent, the client retries and is served
+    as soon as the store answers.
     """
     table = _Table()
     silent_s = [5.0]
-    taken = intake.Intake(
+    intake_ = intake.Intake(
         table, manual.ManualClock(), "boot", lambda: silent_s[0]
     )
-    assert taken.submit(fleets.job(), 2000.0) is intake.Verdict.NOT_DONE
-    assert taken.cancel("ab", True, 2000.0) is intake.Verdict.NOT_DONE
-    assert isinstance(taken.state("ab"), intake.Unknown)
+    assert intake_.submit(fleets.job(), 2000.0) is intake.Verdict.NOT_DONE
+    assert intake_.cancel("ab", True, 2000.0) is intake.Verdict.NOT_DONE
+    assert isinstance(intake_.state("ab"), intake.Unknown)
     assert table.commits == 0
 
 
-def test_a_hand_in_that_was_sent_is_never_called_not_run():
-    """A client is told "not run" and its job runs.
+def test_a_submission_that_was_sent_is_never_reported_as_not_run():
+    """Guards against a client that is told "not run" while its job runs.
 
-    Its write was sent before the store was known to be silent; it may be
-    carried out later, so its outcome is not known, and that is said in time.
+    Its write was sent before the store was known to be silent. The write may
+    take effect later, so the outcome is unknown, and the client is told so in
+    time.
     """
     clock = manual.ManualClock()
-    taken = intake.Intake(_Table(), clock, "boot", lambda: 0.0)
-    began = clock.monotonic()
-    verdict = taken.submit(fleets.job(), began + 60.0)
+    intake_ = intake.Intake(_Table(), clock, "boot", lambda: 0.0)
+    started_at = clock.monotonic()
+    verdict = intake_.submit(fleets.job(), started_at + 60.0)
     assert verdict is intake.Verdict.UNKNOWN
-    assert clock.monotonic() - began <= intake.ATTEMPT_S + 0.5
+    assert clock.monotonic() - started_at <= intake.ATTEMPT_S + 0.5
 
 
-def test_a_silent_store_is_noticed_and_its_return_as_well():
-    """Hand-ins are refused for seconds after the store is back."""
+def test_silence_of_the_store_and_its_end_are_noticed():
+    """Guards against submissions that are refused after an outage.
+
+    They were refused for seconds after the store was back.
+    """
     outside = edge_http.EdgePlatform(0, 0.1)
     clock = clocks.SystemClock()
     put = platform.Put("job/a", 0, {})
@@ -89,11 +94,11 @@
         call.kill()
 
 
-_CALL_LIMIT_S = 1.5
+_CALL_TIMEOUT_S = 1.5
 
 
 class _SilentUntil:
-    """Answers no call that came before a moment, and each one after it."""
+    """Leaves calls unanswered that arrive before a given time."""
 
     def __init__(self, seconds):
         self._clock = clocks.SystemClock()
@@ -113,13 +118,13 @@
     def _call(self, outcome):
         if self._clock.monotonic() >= self.back_at:
             return outcome
-        self._clock.sleep(_CALL_LIMIT_S)
+        self._clock.sleep(_CALL_TIMEOUT_S)
         return platform.OutcomeUnknown("silent")
 
 
 @pytest.mark.parametrize("silent_s", [1.3, 1.6, 2.2])
 def test_an_owner_writes_as_soon_as_the_store_is_back(silent_s):
-    """Nothing starts for a second after an outage, and the owner is deposed."""
+    """Guards against an idle second and a lost term after an outage."""
     clock = clocks.SystemClock()
     store = _SilentUntil(silent_s)
     recorder = recorders.Recorder(
@@ -132,8 +137,8 @@
 
 
 @pytest.mark.parametrize("silent_s", [0.8, 1.3, 1.6])
-def test_a_reading_is_answered_as_soon_as_the_store_is_back(silent_s):
-    """Nobody takes over for two seconds after an outage that lost the owner."""
+def test_a_read_is_answered_as_soon_as_the_store_is_back(silent_s):
+    """Guards against a take-over two seconds late after an outage."""
     clock = clocks.SystemClock()
     store = _SilentUntil(silent_s)
     table = prompt_table.PromptTable(store, clock)
@@ -143,7 +148,7 @@
 
 
 class _Client:
-    """Answers calls with an empty table, but for those that it met silent."""
+    """Answers calls with an empty table, except those sent while silent."""
 
     def __init__(self):
         self.silent = True
@@ -166,10 +171,10 @@
     ids=["changes", "snapshot"],
 )
 def test_a_call_ends_when_another_shows_that_the_store_is_back(ask):
-    """New jobs wait for a second after an outage before anybody hears."""
+    """Guards against new jobs that are noticed a second after an outage."""
     client = _Client()
     store = stores.Store(client, "a:1", clocks.SystemClock(), lambda _: None)
-    lost = gevent.spawn(store.read, ["job/a"])
+    lost_read = gevent.spawn(store.read, ["job/a"])
     gevent.sleep(0.8)
     asked = gevent.spawn(ask, store)
     gevent.sleep(0.4)
@@ -177,14 +182,14 @@
     client.silent = False
     store.read(["job/a"])
     assert isinstance(asked.get(timeout=0.1), platform.Unavailable)
-    lost.kill()
+    lost_read.kill()
 
 
 class _ManyChanges:
-    """What changed in an outage is more than a call's limit lets through."""
+    """The changes of an outage take longer than the timeout of a call."""
 
     def __init__(self):
-        self.readings = 0
+        self.reads = 0
 
     def changes(self, table, after, wait_s):
         del table, wait_s
@@ -194,26 +199,29 @@
 
     def snapshot(self, table, parts=()):
         del table, parts
-        self.readings += 1
+        self.reads += 1
         return feeds.Snapshot((feeds.Change("config", {}, 60),), 60)
 
 
-def test_a_table_whose_changes_are_too_many_is_read_anew():
-    """Routes that were added in an outage are answered 404 for 9 s after it."""
-    heard = []
+def test_a_table_with_too_many_changes_is_read_as_a_whole():
+    """Guards against routes that were added during an outage and stay unknown.
+
+    They were answered with 404 for 9 s after the outage.
+    """
+    received = []
     feed = _ManyChanges()
     follower = follow.Follower(
         feed,
         "op",
         manual.ManualClock(),
-        lambda snapshot: heard.extend(snapshot.rows),
-        heard.extend,
+        lambda snapshot: received.extend(snapshot.rows),
+        received.extend,
         lambda _: None,
         rereads=True,
     )
     follower.start_from(feeds.Snapshot((), 1))
     for _ in range(3):
         follower._step()
-    assert [change.version for change in heard] == [60]
-    assert feed.readings == 1
+    assert [change.version for change in received] == [60]
+    assert feed.reads == 1
     assert not follower.failing
--- a/tests/failures/test_slow_writes.py
+++ b/tests/failures/test_slow_writes.py
@@ -1,4 +1,4 @@
-"""An owner whose writes are answered, late, by a store that is slow."""
+"""An owner whose writes are answered late, by a slow store."""
 
 from tests.common import clocks as manual
 from tests.common import terms
@@ -7,11 +7,11 @@
 
 _WRITE_S = 0.9
 _PATIENCE_S = 1.5
-"""What a process allows whose own reading took 0.2 s."""
+"""Allowed by a process whose own read took 0.2 s."""
 
 
 class _SlowTable:
-    """Commits all, each after a while; ``on_commit`` is called meanwhile."""
+    """Commits everything after a delay; calls ``on_commit`` meanwhile."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -37,24 +37,26 @@
 
 
 def test_an_owner_that_waits_for_a_slow_write_keeps_the_fleet():
-    """Nothing starts for 2 s, four times within a slow spell of the store.
+    """Guards against four idle spells of 2 s while the store is slow.
 
-    A process that had just started asked the owner whether it still could
-    write. The newest write whose outcome it knew had begun 1.56 s before, as
-    writes took 0.9 s each, and it gave the fleet up, though the store answered
-    it all the time.
+    A process that had just started asked the owner whether it could still
+    write. Writes took 0.9 s each, so the last one with a known outcome had been
+    sent 1.56 s before. The owner stepped down although the store kept
+    answering.
     """
     clock = manual.ManualClock()
     table = _SlowTable(clock)
     member, recorder = _owner(clock, table)
     recorder.write([])
-    yielded = []
-    table.on_commit = lambda: yielded.append(member.yield_term(_PATIENCE_S))
+    stepped_down = []
+    table.on_commit = lambda: stepped_down.append(
+        member.yield_term(_PATIENCE_S)
+    )
     recorder.write([])
-    assert yielded == [False]
+    assert stepped_down == [False]
 
 
-def test_an_owner_that_gets_no_answer_gives_the_fleet_up():
+def test_an_owner_that_gets_no_answer_steps_down():
     clock = manual.ManualClock()
     member, _ = _owner(clock, _SlowTable(clock))
     clock.advance(_PATIENCE_S)
--- a/tests/failures/test_stop_in_take_over.py
+++ b/tests/failures/test_stop_in_take_over.py
@@ -18,7 +18,7 @@
 
 
 class _SilentAfterTakeOver:
-    """Takes the first commit and answers no later one."""
+    """Accepts the first commit and answers no later one."""
 
     def __init__(self):
         self.commits = 0
@@ -32,7 +32,7 @@
 
 
 class _SilentFeed:
-    """Answers no reading."""
+    """Answers no read."""
 
     def snapshot(self, table, parts=()):
         del table, parts
@@ -46,12 +46,12 @@
     )
 
 
-def test_reading_the_rows_can_be_given_up_while_the_store_is_silent():
-    """A process that is told to stop is there until it is killed.
+def test_loading_rows_can_be_aborted_while_the_store_is_silent():
+    """Guards against a process that does not stop until it is killed.
 
-    It has just become the owner and reads the rows when the store falls
-    silent. On leaving it waited for the write that renews its lease, which is
-    tried until the store answers: the process never ended by itself.
+    It has just become the owner and loads the rows when the store falls silent.
+    On shutdown it waited for the write that renews its lease, which is retried
+    until the store answers.
     """
     loading = gevent.spawn(_loading_owner().load)
     gevent.sleep(0.2)
@@ -59,9 +59,9 @@
     assert loading.dead
 
 
-def _until(holds, edge):
+def _wait_until(condition, edge):
     deadline = time.monotonic() + _WAIT_S
-    while not holds():
+    while not condition():
         late = time.monotonic() >= deadline
         assert not late, f"{standing.describe(edge)}; {standing.machine()}"
         gevent.sleep(0.05)
@@ -72,11 +72,11 @@
     return isinstance(sent, minions.Answered) and sent.answer.status == 200
 
 
-def test_a_process_ends_in_time_although_the_store_is_silent(tmp_path):
+def test_a_process_stops_in_time_although_the_store_is_silent(tmp_path):
     """The same with a real process.
 
-    The table of jobs is away in part, so that the owner stays at reading it;
-    then the store answers nothing any more, and the process is told to stop.
+    The table of jobs is partly unavailable, so that the owner keeps loading it.
+    Then the store answers nothing any more, and the process is told to stop.
     """
     outside = edge_http.EdgePlatform(1, 0.1)
     outside.rows.write("op", "config", edge_processes.config())
@@ -89,11 +89,11 @@
             "edge-1", tmp_path, outside.address, outside.address
         )
         try:
-            _until(lambda: _is_ready(client, edge), edge)
-            _until(lambda: outside.rows.owner() == "edge-1", edge)
+            _wait_until(lambda: _is_ready(client, edge), edge)
+            _wait_until(lambda: outside.rows.owner() == "edge-1", edge)
             outside.silent = True
             edge.send(signal.SIGTERM)
-            _until(lambda: not edge.runs, edge)
+            _wait_until(lambda: not edge.runs, edge)
             assert edge.process.returncode == 0
         finally:
             edge.kill()
