--- a/tests/failures/test_long_take_over.py
+++ b/tests/failures/test_long_take_over.py
@@ -25,7 +25,7 @@
     """Guards against idle seconds after a failure on a large site.
 
     Each new owner loads thousands of rows. Asked meanwhile whether its term is
-    over it said yes, as it did not serve yet. The next owner met the same.
+    over it said yes, as it did not serve yet. The next owner did so too.
     """
     clock = clocks.ManualClock()
     member = terms.member(_Table(), clock)
--- a/tests/failures/test_lost_store_answers.py
+++ b/tests/failures/test_lost_store_answers.py
@@ -83,7 +83,7 @@
 
     The owner's writes took effect, but each lost answer blocked it for the
     whole timeout of a call. The others saw no write within a term and asked it,
-    and it stepped down. Its successor met the same: four owners within six
+    and it stepped down. The next ones did so too: four owners within six
     seconds.
     """
     clock = clocks.SystemClock()
