--- a/tests/cover/test_spec_table.py
+++ b/tests/cover/test_spec_table.py
@@ -1,4 +1,4 @@
-"""Specs that lie in rows of their own."""
+"""Specs that are stored in rows of their own."""
 
 import itertools
 
@@ -18,160 +18,166 @@
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import platform
 
-_LONG = "x" * (job_rows.INLINE_SPEC_BYTES + 1)
+_LONG_SPEC = "x" * (job_rows.INLINE_SPEC_BYTES + 1)
 
 
 _boots = itertools.count()
 
 
-def _accept(table, job):
+def _submit(table, job):
     boot = f"boot-{next(_boots)}"
     intake = intakes.Intake(table, clocks.ManualClock(), boot, lambda: 0.0)
     return intake.submit(job, 10.0)
 
 
-def _stored(table, job):
-    """Returns a job as a new owner reads it from its row."""
+def _stored_job(table, job):
+    """Returns a job as a new owner decodes its row."""
     row = table.read([f"job/{job.job_id}"]).rows[0]
     return job_rows.unpack(row.value)
 
 
-def _specs(core, table, told=None):
+def _spec_table(core, table, emitted=None):
     return spec_table.SpecTable(
         core,
         table,
         None,
         clocks.ManualClock(),
         lambda: 1,
-        (told if told is not None else []).append,
+        (emitted if emitted is not None else []).append,
         lambda: None,
     )
 
 
-def _read_wanted(specs):
-    for job_id in specs._wanted():
-        specs._read(job_id)
+def _read_next(specs):
+    for job_id in specs._next_to_read():
+        specs._read_spec(job_id)
 
 
 @given(st.text(st.characters(exclude_categories=["Cs"]), max_size=400))
-def test_a_spec_is_in_one_row_and_comes_back_as_it_was(spec):
+def test_a_spec_is_stored_in_one_row_and_read_back_unchanged(spec):
     job = fleets.job(spec=spec)
-    document, apart = job_rows.pack(job), job_rows.pack_spec(job)
+    document, spec_row = job_rows.pack(job), job_rows.pack_spec(job)
     stored = job_rows.unpack(document)
-    if apart is None:
+    if spec_row is None:
         assert stored == job
     else:
         assert stored.spec == ""
-        assert job_rows.unpack_spec(apart) == spec
+        assert job_rows.unpack_spec(spec_row) == spec
         assert stored.spec_digest == jobs.digest(spec)
 
 
 def test_a_job_restored_by_a_new_owner_starts_with_its_spec():
     table, core = tables.MemoryTable(), fleets.new_core()
-    job = fleets.job(spec=_LONG)
-    assert _accept(table, job) is intakes.Verdict.ACCEPTED
+    job = fleets.job(spec=_LONG_SPEC)
+    assert _submit(table, job) is intakes.Verdict.ACCEPTED
     fleets.adopt(core, "i-1")
-    core.job_added(_stored(table, job), 0.0)
+    core.job_added(_stored_job(table, job), 0.0)
     assert not fleets.plan(core).starts
-    _read_wanted(_specs(core, table))
+    _read_next(_spec_table(core, table))
     starts = fleets.plan(core).starts
-    assert [start.spec for start in starts] == [_LONG, _LONG]
+    assert [start.spec for start in starts] == [_LONG_SPEC, _LONG_SPEC]
 
 
-def test_a_job_handed_in_twice_is_one_and_another_under_its_id_is_refused():
+def test_a_job_may_be_submitted_twice_but_its_id_not_reused():
     table = tables.MemoryTable()
-    job = fleets.job(spec=_LONG)
-    assert _accept(table, job) is intakes.Verdict.ACCEPTED
-    assert _accept(table, job) is intakes.Verdict.ACCEPTED
-    other = fleets.job(spec=_LONG + "y")
-    assert _accept(table, other) is intakes.Verdict.DIFFERENT
+    job = fleets.job(spec=_LONG_SPEC)
+    assert _submit(table, job) is intakes.Verdict.ACCEPTED
+    assert _submit(table, job) is intakes.Verdict.ACCEPTED
+    other = fleets.job(spec=_LONG_SPEC + "y")
+    assert _submit(table, other) is intakes.Verdict.DIFFERENT
 
 
-def test_a_spec_written_over_by_another_writer_starts_nothing():
-    """An instance is told to do what no client asked for.
+def test_an_overwritten_spec_starts_nothing():
+    """Guards against running a spec that no client submitted.
 
-    Another writer puts a text of its own over the spec of a waiting job, and
-    the next owner reads that one.
+    Another writer overwrites the spec of a waiting job, and the next owner
+    reads the new text.
     """
-    table, core, told = tables.MemoryTable(), fleets.new_core(), []
-    job = fleets.job(spec=_LONG)
-    _accept(table, job)
+    table, core, emitted = tables.MemoryTable(), fleets.new_core(), []
+    job = fleets.job(spec=_LONG_SPEC)
+    _submit(table, job)
     fleets.adopt(core, "i-1")
-    core.job_added(_stored(table, job), 0.0)
+    core.job_added(_stored_job(table, job), 0.0)
     fleets.plan(core)
-    specs = _specs(core, table, told)
-    for value in ({"spec": _LONG + "y"}, {"spec": 7}, {}):
-        specs._on_change_of(feeds.Change(job.job_id, value, 2))
+    specs = _spec_table(core, table, emitted)
+    for value in ({"spec": _LONG_SPEC + "y"}, {"spec": 7}, {}):
+        specs._on_spec_change(feeds.Change(job.job_id, value, 2))
     assert not fleets.plan(core).starts
-    assert [type(event) for event in told] == [events.RowUnusable] * 3
-    assert not specs._wanted()
+    assert [type(event) for event in emitted] == [events.RowUnusable] * 3
+    assert not specs._next_to_read()
 
 
-def test_a_spec_that_is_heard_of_before_its_job_is_kept_for_it():
+def test_a_spec_that_arrives_before_its_job_is_kept():
     table, core = tables.MemoryTable(), fleets.new_core()
-    job = fleets.job(spec=_LONG)
-    _accept(table, job)
+    job = fleets.job(spec=_LONG_SPEC)
+    _submit(table, job)
     fleets.adopt(core, "i-1")
-    specs = _specs(core, table)
-    specs._on_change_of(feeds.Change(job.job_id, job_rows.pack_spec(job), 1))
-    core.job_added(_stored(table, job), 0.0)
-    specs.job_heard(job.job_id)
+    specs = _spec_table(core, table)
+    specs._on_spec_change(feeds.Change(job.job_id, job_rows.pack_spec(job), 1))
+    core.job_added(_stored_job(table, job), 0.0)
+    specs.on_job_added(job.job_id)
     assert fleets.plan(core).starts
 
 
-def test_few_specs_are_read_at_once():
-    """Renewals wait behind the specs of all jobs that wait.
+def test_only_a_few_specs_are_read_at_once():
+    """Guards against renewals that queue behind the specs of all waiting jobs.
 
-    A new owner on a slow link that read them all would lose the fleet again.
+    A new owner on a slow link that reads all specs at once loses the fleet.
     """
     table, core = tables.MemoryTable(), fleets.new_core()
     for number in range(100):
-        job = fleets.job(number, spec=_LONG)
-        _accept(table, job)
-        core.job_added(_stored(table, job), 0.0)
+        job = fleets.job(number, spec=_LONG_SPEC)
+        _submit(table, job)
+        core.job_added(_stored_job(table, job), 0.0)
     fleets.plan(core)
-    assert len(_specs(core, table)._wanted()) == spec_table.READERS
+    assert (
+        len(_spec_table(core, table)._next_to_read())
+        == spec_table.MAX_CONCURRENT_READS
+    )
 
 
-def test_specs_in_a_part_that_is_away_are_asked_for_at_intervals(monkeypatch):
-    """A part of the store that is away gets 80 calls a second more.
+def test_specs_in_an_unavailable_part_are_retried_at_intervals(monkeypatch):
+    """Guards against overloading the store and the log.
 
-    Each job whose spec lies there was asked for again after 50 ms, and each
-    time two lines told that the table was lost and back.
+    Each job whose spec is in an unavailable part was read again every 50 ms,
+    80 calls per second in total, and every read logged that the table was lost
+    and back.
     """
-    table, core, told = tables.MemoryTable(), fleets.new_core(), []
-    job = fleets.job(spec=_LONG)
-    _accept(table, job)
-    core.job_added(_stored(table, job), 0.0)
+    table, core, emitted = tables.MemoryTable(), fleets.new_core(), []
+    job = fleets.job(spec=_LONG_SPEC)
+    _submit(table, job)
+    core.job_added(_stored_job(table, job), 0.0)
     fleets.plan(core)
-    specs = _specs(core, table, told)
-    away = platform.Unavailable("status 503")
-    monkeypatch.setattr(table, "read", lambda _: away)
-    _read_wanted(specs)
-    assert not specs._wanted()
+    specs = _spec_table(core, table, emitted)
+    unavailable = platform.Unavailable("status 503")
+    monkeypatch.setattr(table, "read", lambda _: unavailable)
+    _read_next(specs)
+    assert not specs._next_to_read()
     specs._clock.advance(follow.RETRY_S)
-    assert specs._wanted() == [job.job_id]
-    _read_wanted(specs)
-    assert [event.state for event in told] == ["lost"]
+    assert specs._next_to_read() == [job.job_id]
+    _read_next(specs)
+    assert [event.state for event in emitted] == ["lost"]
 
 
-def test_jobs_of_all_pools_get_their_specs_by_turns():
+def test_specs_are_read_for_the_pools_in_turn():
     table, core = tables.MemoryTable(), fleets.new_core()
     for number, service in enumerate(["one"] * 9 + ["two"] * 9):
-        job = fleets.job(number, spec=_LONG, queue=service, service=service)
-        _accept(table, job)
-        core.job_added(_stored(table, job), 0.0)
+        job = fleets.job(
+            number, spec=_LONG_SPEC, queue=service, service=service
+        )
+        _submit(table, job)
+        core.job_added(_stored_job(table, job), 0.0)
     fleets.plan(core)
-    wanted = _specs(core, table)._wanted()
-    queues = [core.book.get(job_id).job.queue for job_id in wanted]
+    job_ids = _spec_table(core, table)._next_to_read()
+    queues = [core.book.get(job_id).job.queue for job_id in job_ids]
     assert sorted(queues) == ["one", "one", "two", "two"]
 
 
-def test_lost_history_goes_on_from_the_newest_write():
-    """The owner asks the store without a pause while its history is short."""
+def test_lost_history_resumes_from_the_newest_write():
+    """Guards against calls without pauses after the history was lost."""
     core = fleets.new_core()
     clock = clocks.ManualClock()
-    asked = []
+    calls = []
 
     class _Stop(Exception):  # noqa: N818
         pass
@@ -179,8 +185,8 @@
     class _Feed:
         def changes(self, table, after, wait_s):
             del table, wait_s
-            asked.append((after, clock.monotonic()))
-            if len(asked) == 3:
+            calls.append((after, clock.monotonic()))
+            if len(calls) == 3:
                 raise _Stop
             return feeds.HistoryLost()
 
@@ -190,5 +196,5 @@
     specs.start_from(5)
     with pytest.raises(_Stop):
         specs.follow()
-    assert [after for after, _ in asked] == [5, 77, 77]
-    assert asked[2][1] - asked[1][1] >= follow.RETRY_S
+    assert [after for after, _ in calls] == [5, 77, 77]
+    assert calls[2][1] - calls[1][1] >= follow.RETRY_S
