--- a/src/vanillaswitch/protocol/__init__.py
+++ b/src/vanillaswitch/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages, outcomes and the interfaces to outside systems."""
+"""Message types, call outcomes and interfaces to external systems."""
--- a/src/vanillaswitch/protocol/claims.py
+++ b/src/vanillaswitch/protocol/claims.py
@@ -1,4 +1,4 @@
-"""The interface to claims: a non-idempotent request runs at most once."""
+"""Interface to claims, which run a non-idempotent request at most once."""
 
 import dataclasses
 from typing import Protocol
@@ -11,7 +11,7 @@
     """The request is claimed for this process, which may send it once.
 
     Attributes:
-        ticket: names the claim in the calls that settle it.
+        ticket: identifies the claim in the call that settles it.
     """
 
     ticket: str
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Replay:
-    """The request ran before under the same key; this is its answer."""
+    """The request already ran under the same key; this is its answer."""
 
     answer: requests.Answer
 
@@ -27,22 +27,23 @@
 class ClaimService(Protocol):
     """Claims requests by their idempotency keys.
 
-    Each ``Proceed`` is settled by exactly one of the other methods.
+    The caller settles each ``Proceed`` with exactly one call of one of the
+    other methods.
     """
 
     def begin(
         self, request: requests.Request
     ) -> Proceed | Replay | requests.Refusal:
-        """Claims a request, or says what is known of its key."""
+        """Claims a request, or returns the known result for its key."""
 
     def release(self, ticket: str) -> None:
-        """Gives up a claim whose request surely never ran.
+        """Releases a claim whose request certainly never ran.
 
-        Called before "not run" is said to the caller.
+        Call it before the caller is told "not run".
         """
 
     def finish(self, ticket: str, answer: requests.Answer) -> None:
-        """Keeps the whole answer with the claim."""
+        """Stores the complete answer with the claim."""
 
     def lost(self, ticket: str) -> None:
         """Records that the request was sent and its outcome is unknown."""
--- a/src/vanillaswitch/protocol/codec.py
+++ b/src/vanillaswitch/protocol/codec.py
@@ -1,13 +1,13 @@
 """Encoding of peer messages: msgpack frames in one deflate stream.
 
-A frame is its length in four bytes, then ``[type name, {field: value}]``, or
-nil for an acknowledgement.
-Heartbeats repeat themselves; deflating each direction of a stream as a whole
-makes field names, addresses and unchanged values cost next to nothing, so no
-encoding of differences is needed.
-
-Rolling upgrades: a type, field or enumeration value that this version does
-not know is passed over, and a new field needs a default.
+A frame is a four-byte length followed by ``[type name, {field: value}]``, or
+by nil for an acknowledgement.
+Successive heartbeats are almost equal. Each direction of a stream is one
+deflate stream, so repeated field names, addresses and values take almost no
+space, and the protocol needs no delta encoding.
+
+Rolling upgrades: the decoder skips a type, field or enum value that this
+version does not know, and every new field needs a default.
 """
 
 from collections.abc import Callable
@@ -32,34 +32,34 @@
 _MEMORY_LEVEL = 3
 _SMALL_WINDOW_BITS = 9
 _SMALL_MEMORY_LEVEL = 1
-_TYPES = {kind.__name__: kind for kind in typing.get_args(peers.Message)}
+_TYPE_BY_NAME = {kind.__name__: kind for kind in typing.get_args(peers.Message)}
 _LENGTH = struct.Struct(">I")
 _ACKNOWLEDGEMENT = msgpack.packb(None)
 
 
 @dataclasses.dataclass(frozen=True)
 class TooLarge:
-    """The message was not encoded: no peer would accept it."""
+    """The message exceeds the size that peers accept and was not encoded."""
 
     size: int
 
 
 @dataclasses.dataclass(frozen=True)
 class Malformed:
-    """The bytes are not of this protocol; nothing after them can be read."""
+    """The stream violates the protocol; nothing after it can be decoded."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Decoded:
-    """What some bytes held.
+    """The result of decoding some bytes.
 
     Attributes:
-        messages: whole messages, in order.
-        passed_over: well-formed frames that this version does not know.
-        fault: set when the stream has to be closed; the messages before it
-            are good.
+        messages: complete messages, in order.
+        passed_over: number of well-formed frames that were skipped because
+            this version does not know them.
+        fault: set if the stream must be closed; ``messages`` are still valid.
     """
 
     messages: tuple[peers.Message, ...] = ()
@@ -68,22 +68,22 @@
 
 
 class _UnknownValueError(Exception):
-    """A newer version sent an enumeration value that is not known here."""
+    """A newer version sent an enum value that this version does not know."""
 
 
-def _exactly(kind: type) -> Callable[[Any, Any], Any]:
+def _check_exact_type(kind: type) -> Callable[[Any, Any], Any]:
     def check(value: Any, _: Any) -> Any:
         if type(value) is not kind:
-            raise TypeError(f"{type(value).__name__} in place of {kind}")
+            raise TypeError(f"got {type(value).__name__}, expected {kind}")
         return value
 
     return check
 
 
-def _known(kind: type[enum.StrEnum]) -> Callable[[Any, Any], Any]:
+def _check_enum_value(kind: type[enum.StrEnum]) -> Callable[[Any, Any], Any]:
     def check(value: Any, _: Any) -> Any:
         if type(value) is not str:
-            raise TypeError(f"{type(value).__name__} in place of {kind}")
+            raise TypeError(f"got {type(value).__name__}, expected {kind}")
         try:
             return kind(value)
         except ValueError:
@@ -92,9 +92,9 @@
     return check
 
 
-def _float(value: Any, _: Any) -> float:
+def _check_float(value: Any, _: Any) -> float:
     if type(value) not in (int, float):
-        raise TypeError(f"{type(value).__name__} in place of a float")
+        raise TypeError(f"got {type(value).__name__}, expected a number")
     return float(value)
 
 
@@ -102,22 +102,25 @@
 def _converter() -> cattrs.Converter:
     converter = cattrs.Converter(detailed_validation=False)
     for kind in (str, int, bool, bytes):
-        converter.register_structure_hook(kind, _exactly(kind))
-    converter.register_structure_hook(float, _float)
+        converter.register_structure_hook(kind, _check_exact_type(kind))
+    converter.register_structure_hook(float, _check_float)
     for choice in (peers.Role, peers.ClaimState, peers.ErrandKind):
-        converter.register_structure_hook(choice, _known(choice))
+        converter.register_structure_hook(choice, _check_enum_value(choice))
     return converter
 
 
 class Encoder:
-    """Encodes one direction of one stream; every encoding has to be sent."""
+    """Encodes one direction of one stream.
+
+    The bytes of every call must be sent: later bytes refer back to them.
+    """
 
     def __init__(self, small: bool = False):
-        """Makes an encoder for a new stream.
+        """Initializes an encoder for a new stream.
 
         Args:
-            small: keep 3 KB instead of 20 KB, for a direction that mostly
-                carries acknowledgements.
+            small: use 3 KB of memory instead of 20 KB, for a direction that
+                mostly carries acknowledgements.
         """
         self._deflate = zlib.compressobj(
             wbits=_SMALL_WINDOW_BITS if small else _WINDOW_BITS,
@@ -125,40 +128,40 @@
         )
 
     def encode(self, message: peers.Message) -> bytes | TooLarge:
-        """Returns the bytes that go next on the stream."""
+        """Returns the next bytes to send on the stream."""
         fields = _converter().unstructure(message)
         packed = msgpack.packb([type(message).__name__, fields])
         if len(packed) > MAX_MESSAGE_BYTES:
             return TooLarge(len(packed))
-        return self._deflated(packed)
+        return self._compress_frame(packed)
 
     def acknowledge(self) -> bytes:
-        """Returns a frame that only shows that the stream works."""
-        return self._deflated(_ACKNOWLEDGEMENT)
+        """Returns a frame that only shows the peer that the stream works."""
+        return self._compress_frame(_ACKNOWLEDGEMENT)
 
-    def _deflated(self, packed: bytes) -> bytes:
+    def _compress_frame(self, packed: bytes) -> bytes:
         frame = _LENGTH.pack(len(packed)) + packed
-        flushed = self._deflate.flush
-        return self._deflate.compress(frame) + flushed(zlib.Z_SYNC_FLUSH)
+        flush = self._deflate.flush
+        return self._deflate.compress(frame) + flush(zlib.Z_SYNC_FLUSH)
 
 
 class Decoder:
-    """Decodes one direction of one stream, however it was split."""
+    """Decodes one direction of one stream from chunks of any size."""
 
     def __init__(self) -> None:
         self._inflate = zlib.decompressobj(wbits=_WINDOW_BITS)
-        # A msgpack.Unpacker would keep 40 KB for each stream; frames with a
-        # length need only what has not arrived whole.
+        # A msgpack.Unpacker would use 40 KB per stream. With length-prefixed
+        # frames, only an incomplete frame needs a buffer.
         self._buffer = bytearray()
         self._fault: Malformed | None = None
 
     def feed(self, data: bytes) -> Decoded:
-        """Decodes the next bytes; after a fault, nothing more."""
+        """Decodes the next bytes; ignores them after an earlier fault."""
         messages: list[peers.Message] = []
         passed_over = 0
         try:
             for frame in self._frames(data):
-                message = _structured(frame)
+                message = _decode_message(frame)
                 if message is not None:
                     messages.append(message)
                 elif frame is not None:
@@ -168,28 +171,30 @@
         return Decoded(tuple(messages), passed_over, self._fault)
 
     def _frames(self, data: bytes) -> typing.Iterator[Any]:
-        """Yields whole frames.
+        """Yields complete frames.
 
-        A few bytes can inflate to gigabytes: inflating in chunks and refusing
-        a length before its bytes are kept bounds what a bad peer can make us
-        hold to one message.
+        A few bytes can inflate to gigabytes. Inflating in chunks and checking
+        a frame's length before buffering it limits the memory that a faulty
+        peer can make this process use to one message.
         """
         if self._fault is not None:
             return
         inflated = self._inflate.decompress(data, _CHUNK_BYTES)
         while inflated:
             self._buffer += inflated
-            yield from self._whole_frames()
-            rest = self._inflate.unconsumed_tail
-            inflated = self._inflate.decompress(rest, _CHUNK_BYTES)
+            yield from self._complete_frames()
+            remaining = self._inflate.unconsumed_tail
+            inflated = self._inflate.decompress(remaining, _CHUNK_BYTES)
         if self._inflate.eof:
-            raise ValueError("the deflate stream has ended")
+            raise ValueError("unexpected end of the deflate stream")
 
-    def _whole_frames(self) -> typing.Iterator[Any]:
+    def _complete_frames(self) -> typing.Iterator[Any]:
         while len(self._buffer) >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(self._buffer)
             if length > MAX_MESSAGE_BYTES:
-                raise ValueError(f"a message of {length} bytes")
+                raise ValueError(
+                    f"message of {length} bytes exceeds MAX_MESSAGE_BYTES"
+                )
             end = _LENGTH.size + length
             if len(self._buffer) < end:
                 return
@@ -200,20 +205,20 @@
             )
 
 
-def _structured(frame: Any) -> peers.Message | None:
-    """Returns the message of a frame, None for one to pass over.
+def _decode_message(frame: Any) -> peers.Message | None:
+    """Returns the message in a frame, None for a frame to skip.
 
     Raises:
-        ValueError: the frame is not one of this protocol.
+        ValueError: the frame violates the protocol.
     """
     if frame is None:
         return None
     if not isinstance(frame, list) or len(frame) < 2:
-        raise ValueError("a frame is neither a message nor nil")
-    name, fields = frame[:2]
-    if not isinstance(name, str) or not isinstance(fields, dict):
-        raise ValueError("a frame without type name and fields")
-    kind = _TYPES.get(name)
+        raise ValueError("frame is neither nil nor a list of two items or more")
+    type_name, fields = frame[:2]
+    if not isinstance(type_name, str) or not isinstance(fields, dict):
+        raise ValueError("frame does not start with a type name and a map")
+    kind = _TYPE_BY_NAME.get(type_name)
     if kind is None:
         return None
     try:
@@ -226,5 +231,5 @@
         KeyError,
         TypeError,
     ) as error:
-        raise ValueError(f"fields of {name}: {error!r}") from error
+        raise ValueError(f"invalid fields of {type_name}: {error!r}") from error
     return message
--- a/src/vanillaswitch/protocol/feeds.py
+++ b/src/vanillaswitch/protocol/feeds.py
@@ -1,4 +1,4 @@
-"""The interface to what has changed in a table."""
+"""Interface to the change feed of a table."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -10,14 +10,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Change:
-    """A row as it is now.
+    """The current state of a row.
 
     Attributes:
-        key: its name within the table.
-        value: its content; None when it was removed or can't be read.
-        version: commit that wrote or removed it.
-        damage: why its content can't be read; empty when it can. Such a row
-            is there, and what it said before holds as long as it may.
+        key: name of the row within the table.
+        value: content; None if the row was deleted or can't be read.
+        version: number of the commit that wrote or deleted the row.
+        damage: why the content can't be read; empty if it can. A damaged row
+            still exists: readers use its previous content for as long as it
+            may be used.
     """
 
     key: str
@@ -28,10 +29,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Changes:
-    """What has changed since a version, oldest first.
+    """The changes after a version, oldest first.
 
     Attributes:
-        version: where to continue from.
+        version: version to pass to the next call.
     """
 
     changes: tuple[Change, ...]
@@ -40,12 +41,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Snapshot:
-    """The rows of a table as of one version.
+    """The rows of a table.
+
+    Rows may be newer than ``version``; changes after it repeat them.
 
     Attributes:
-        missing: parts of the table that could not be read; what lies in them
-            is not among the rows.
-        reason: why the first of them could not be.
+        version: version after which to read changes.
+        missing: parts of the table that could not be read; ``rows`` has no
+            rows of these parts.
+        reason: why the first of these parts could not be read.
     """
 
     rows: tuple[Change, ...]
@@ -56,22 +60,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class HistoryLost:
-    """Changes in between are no longer known: read the table anew."""
+    """The store no longer has these changes: take a new snapshot."""
 
 
 class Feed(Protocol):
-    """Reads of whole tables and of their changes."""
+    """Reads snapshots of tables and the changes that follow."""
 
     def snapshot(
         self, table: str, parts: tuple[str, ...] = ()
     ) -> Snapshot | platform.Unavailable:
-        """Reads all rows of a table, or only those in some of its parts.
+        """Reads all rows of a table, or of some of its parts.
 
         Returns:
-            ``Unavailable`` where no part could be read.
+            ``Unavailable`` if no part could be read.
         """
 
     def changes(
         self, table: str, after: int, wait_s: float
     ) -> Changes | HistoryLost | platform.Unavailable:
-        """Waits for changes later than a version."""
+        """Waits up to ``wait_s`` for changes after a version."""
--- a/src/vanillaswitch/protocol/fleet.py
+++ b/src/vanillaswitch/protocol/fleet.py
@@ -1,4 +1,4 @@
-"""What the owner of a fleet knows of it, and the outcomes of its orders."""
+"""The fleet as its owner sees it, the orders it sends and their outcomes."""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -11,7 +11,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Resources:
-    """Room or need: thousandths of a core, megabytes, accelerators."""
+    """Capacity or demand.
+
+    Attributes:
+        cpu: thousandths of a core.
+        mem_mb: megabytes of memory.
+        gpu: number of accelerators.
+    """
 
     cpu: int
     mem_mb: int
@@ -20,11 +26,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """Tasks that end by themselves, taken together.
+    """The total load of tasks that end by themselves.
 
     Attributes:
-        cpu: thousandths of a core.
-        work: the same times the milliseconds that each is estimated to take.
+        cpu: thousandths of a core that the tasks request.
+        work: sum over the tasks of ``cpu`` times the estimated duration in
+            milliseconds.
     """
 
     cpu: int = 0
@@ -32,29 +39,33 @@
 
     @property
     def task_s(self) -> float:
-        """Mean estimate of a task in seconds, each weighted by its cpu."""
+        """Mean estimated duration of a task in seconds, weighted by cpu."""
         return self.work / self.cpu / 1000 if self.cpu > 0 else 0.0
 
     def plus(self, step: jobs.Step, count: int) -> "Load":
-        """Returns the load with some more, or fewer, tasks of a step."""
+        """Returns the load with ``count`` tasks of a step added to it.
+
+        A negative ``count`` removes tasks. Tasks that don't end by themselves
+        or use only spare processor time change nothing.
+        """
         if step.long_running or step.fills:
             return self
         cpu = step.cpu * count
         return Load(self.cpu + cpu, self.work + cpu * step.estimate_ms)
 
     def __add__(self, other: "Load") -> "Load":
-        """Returns both together."""
+        """Returns the sum of both loads."""
         return Load(self.cpu + other.cpu, self.work + other.work)
 
 
 @dataclasses.dataclass(frozen=True)
 class Advice:
-    """A queue whose steps may run on some instances only.
+    """The advisor of a queue whose steps may only run on some instances.
 
     Attributes:
-        decision_ms: time that the advising service takes for a call.
-        period_ms: time that it takes besides for each instance named.
-        validity_ms: how long a ticket is good.
+        decision_ms: time that the advisor takes for a call.
+        period_ms: additional time for each instance in the call.
+        validity_ms: how long a ticket is valid.
     """
 
     decision_ms: float
@@ -64,14 +75,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Queue:
-    """Where clients hand in jobs.
+    """A queue to which clients submit jobs.
+
+    A job should end within its objective: ``stretch`` times the estimated
+    duration of its longest chain of steps, plus ``target_ms``.
 
     Attributes:
-        prefix: what the path begins with.
+        prefix: path prefix of the queue's requests.
         service: pool of the instances that run its tasks.
-        priority: 0 comes first.
-        max_attempts: so many failed runs of one task fail the job.
-        stretch: the objective counts so many times the job's longest chain.
+        priority: lower values go first; 0 is the highest priority.
+        max_attempts: number of failed runs of one task that fails the job.
+        stretch: factor of the objective.
         target_ms: constant part of the objective.
     """
 
@@ -89,10 +103,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Pool:
-    """A service's instances.
+    """The instances of a service.
 
     Attributes:
-        guarded: its instances refuse what does not fit.
+        guarded: its instances refuse tasks that exceed their capacity.
         standby: its machines are off.
     """
 
@@ -103,7 +117,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class FleetConfig:
-    """The operators' configuration, one version of it."""
+    """One version of the operators' configuration."""
 
     version: int
     queues: tuple[Queue, ...]
@@ -113,12 +127,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class WaveOrder:
-    """Machines that are due for upkeep.
+    """A maintenance wave that the operators ordered.
 
     Attributes:
-        name: key of its row, by which its progress is reported.
-        duration_s: time from the order within which all have to be done.
-        max_count: at most so many at once.
+        name: key of the order's row; the progress is reported under it.
+        duration_s: time limit for the wave, counted from the order.
+        max_count: maximum number of machines in maintenance at a time.
     """
 
     name: str
@@ -130,16 +144,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Registration:
-    """What an instance says of itself in the platform's list.
+    """An instance's own entry in the platform's list.
 
     Attributes:
-        instance: id of this life of a machine.
+        instance: id of the instance.
         address: "ip:port".
-        draining: it takes no new work and will leave.
-        kind: its kind of machine; first label.
-        rack: its rack; second label.
-        born_ms: when it started, milliseconds since 1970; None where it does
-            not say. It may start again under its id, and then holds nothing.
+        draining: it accepts no new work and is about to leave.
+        labels: the first is the kind of machine, the last is the rack.
+        born_ms: start time in milliseconds since the Unix epoch; None if the
+            entry has none. An instance can restart under the same id; it
+            then runs none of its earlier tasks.
     """
 
     instance: str
@@ -153,12 +167,12 @@
 
     @property
     def rack(self) -> str:
-        """The rack it stands in; empty when it names none."""
+        """The rack of the instance; empty if it has fewer than two labels."""
         return self.labels[-1] if len(self.labels) > 1 else ""
 
 
 class MachineState(enum.StrEnum):
-    """Where a machine stands."""
+    """The state of a machine."""
 
     UP = "up"
     MOVING = "moving"
@@ -169,10 +183,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Machine:
-    """One machine of the platform's list.
+    """A machine in the platform's list.
 
     Attributes:
-        instance: id of the instance that runs on it; empty when none does.
+        instance: id of the instance on the machine; empty for none.
     """
 
     name: str
@@ -196,12 +210,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Running:
-    """A run on an instance.
+    """The status of a run on an instance.
 
     Attributes:
         saved: newest checkpoint; empty for none.
-        percent: how far it is; for a task that lasts, whether it is at work.
-        gauge: milliseconds of the tail for a task that serves users, else
+        percent: progress; for a long-running task, whether it is serving.
+        gauge: tail latency in milliseconds for a task that serves users, else
             thousandths of a core in use; over the last half second.
     """
 
@@ -214,10 +228,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class End:
-    """A run that ended on an instance.
+    """The end of a run on an instance.
 
     Attributes:
-        number: grows by one with each end in one life of an instance.
+        number: sequence number, which grows by one with each run that ends
+            between two starts of the instance.
         saved: newest checkpoint; empty for none.
     """
 
@@ -229,7 +244,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why an instance refused an order."""
+    """Why an order was refused."""
 
     FENCED = "fence"
     OLD = "old"
@@ -242,10 +257,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Held:
-    """An instance's account of itself.
+    """An instance's status report.
 
     Attributes:
-        clock_ms: the instance's own clock when it answered.
+        clock_ms: the instance's own clock at the time of the answer.
         born_ms: see ``Registration``.
     """
 
@@ -260,7 +275,8 @@
     """The order took effect.
 
     Attributes:
-        clock_ms: the instance's own clock when it answered, where it says so.
+        clock_ms: the instance's own clock at the time of the answer; None if
+            the answer has none.
     """
 
     clock_ms: float | None
@@ -268,7 +284,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refused:
-    """The order had no effect, and an earlier copy of it may still have."""
+    """The order had no effect; an earlier copy of it may still have one."""
 
     reason: Reason
     clock_ms: float | None = None
@@ -276,15 +292,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Replaced:
-    """Another instance answers at this address."""
+    """A different instance answers at this address."""
 
 
 @dataclasses.dataclass(frozen=True)
 class NoAnswer:
-    """Nothing came back.
+    """No usable answer arrived.
 
     Attributes:
-        sent: whether the order may have taken effect, or may yet do so.
+        sent: whether the order may have taken effect or may still do so.
     """
 
     sent: bool
@@ -292,7 +308,7 @@
 
 
 def is_fenced(outcome: object) -> bool:
-    """Whether an order was refused because a higher token was seen."""
+    """Whether an order was refused because of a higher fencing token."""
     return isinstance(outcome, Refused) and outcome.reason is Reason.FENCED
 
 
@@ -302,11 +318,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Start:
-    """The order to run a task.
+    """The order to start a run of a task.
 
     Attributes:
-        deadline_ms: time on the instance's clock until which everything on
-            it may run.
+        saved: checkpoint to resume from; empty for none.
+        token: fencing token of the sender.
+        deadline_ms: end of the lease of all runs on the instance, on the
+            instance's clock.
+        ticket: ticket of the advisor; empty for none.
     """
 
     task: jobs.TaskName
@@ -319,12 +338,12 @@
 
 
 class Upstreams(Protocol):
-    """Orders to instances, each sent once."""
+    """Sends orders to instances, each once."""
 
     def start(
         self, target: Registration, order: Start, timeout_s: float, fresh: bool
     ) -> OrderOutcome:
-        """Starts a task; a run that is there already is accepted again."""
+        """Starts a run; idempotent while the run exists."""
 
     def stop(
         self,
@@ -334,7 +353,7 @@
         token: int,
         timeout_s: float,
     ) -> OrderOutcome:
-        """Stops a run; one that is not there yet can't start any more."""
+        """Stops a run; one that has not started can no longer start."""
 
     def hold(
         self,
@@ -346,16 +365,17 @@
         timeout_s: float,
         fresh: bool = False,
     ) -> HoldOutcome:
-        """Extends the lease of all that runs and asks what runs and ended.
+        """Extends the lease of all runs and returns a status report.
 
         Args:
             target: the instance.
             token: fencing token of the sender.
-            seen: number of the last end that the sender has recorded.
-            deadline_ms: on the instance's clock; None extends nothing.
-            wait_s: how long the instance waits for a new end.
-            timeout_s: limit for the whole call.
-            fresh: on a new connection.
+            seen: number of the last end of a run that the sender recorded.
+            deadline_ms: new end of the lease on the instance's clock; None to
+                leave it unchanged.
+            wait_s: how long the instance may wait for a run to end.
+            timeout_s: time limit for the whole call.
+            fresh: use a new connection.
         """
 
     def pace(
@@ -366,43 +386,48 @@
         percent: int,
         token: int,
     ) -> OrderOutcome:
-        """Lets a task work at a share of its speed."""
+        """Limits a run to a percentage of its full speed."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Busy:
-    """The machine is not up, or is leaving."""
+    """The machine is not up or is leaving."""
 
 
 class Machines(Protocol):
-    """The platform's list of machines and its orders."""
+    """The platform's list of machines and the orders for them."""
 
     def list(self) -> Sequence[Machine] | NoAnswer:
-        """Reads the whole list."""
+        """Reads the complete list."""
 
     def move(
         self, machine: str, pool: str, token: int
     ) -> Accepted | Refused | Busy | NoAnswer:
-        """Moves a machine; everything on it ends at once."""
+        """Moves a machine to a pool; ends everything on it immediately."""
 
     def maintain(
         self, machine: str, wave: int, token: int
     ) -> Accepted | Refused | Busy | NoAnswer:
-        """Begins a machine's upkeep; everything on it ends at once."""
+        """Starts a machine's maintenance; ends everything on it immediately."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Tickets:
-    """Instances that may run a step, with the ticket that a start shows."""
+    """The instances that may run a step.
+
+    Attributes:
+        by_instance: for each instance, the ticket to send with a start.
+        validity_s: how long the tickets are valid.
+    """
 
     by_instance: Mapping[str, str]
     validity_s: float
 
 
 class Advisor(Protocol):
-    """Knows which instances may run a step of a queue."""
+    """The service that decides which instances may run a step."""
 
     def ask(
         self, step: str, instances: Sequence[str], timeout_s: float
     ) -> Tickets | NoAnswer:
-        """Asks for the tickets of a step."""
+        """Requests tickets for a step on some instances."""
--- a/src/vanillaswitch/protocol/jobs.py
+++ b/src/vanillaswitch/protocol/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of several steps, and the names of their tasks."""
+"""Jobs, their steps and the names of their tasks."""
 
 import dataclasses
 import enum
@@ -6,12 +6,12 @@
 
 
 def digest(spec: str) -> str:
-    """Returns what tells a spec from any other one."""
+    """Returns the SHA-256 digest of a spec in hexadecimal."""
     return hashlib.sha256(spec.encode()).hexdigest()
 
 
 class JobState(enum.StrEnum):
-    """What a client is told of a job."""
+    """The state of a job as clients see it."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -21,7 +21,7 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the state never changes again."""
+        """Whether the state is final."""
         return self in _ENDED
 
 
@@ -30,31 +30,31 @@
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """A number of equal tasks.
+    """A group of identical tasks of a job.
 
     Attributes:
-        count: how many tasks.
+        count: number of tasks.
         cpu: thousandths of a core that each task requests.
         mem_mb: megabytes that each task requests.
         gpu: accelerators that each task requests.
-        estimate_ms: rough duration of a task as its client guessed it.
+        estimate_ms: rough duration of a task, as estimated by the client.
         after: numbers of earlier steps that must be done first.
-        gang: the tasks only work together, all in one run.
-        same_rack: the tasks are slower when spread over several racks.
+        gang: all tasks must run at the same time, in the same run.
+        same_rack: the tasks run slower when spread over several racks.
         requires: label that the instance must have; empty for none.
         affinity: rack that holds the data; empty for none.
-        anti_affinity: at most so many tasks of the step on one instance; 0
+        anti_affinity: maximum number of tasks of the step on one instance; 0
             for no limit.
-        checkpointable: progress is saved and can be resumed.
-        speculative: copies may run in parallel.
+        checkpointable: tasks save checkpoints from which they can resume.
+        speculative: copies of a task may run in parallel.
         long_running: the tasks run until the job is cancelled.
-        image: what the tasks run; tasks of an image behave alike.
-        target_ms: bound on the tail of the response times of a task that
-            serves users; 0 for a task that serves none.
-        fills: the tasks take the processors that others leave unused, so
-            their ``cpu`` does not count against an instance.
-        may_miss: so many tasks may be down at once by our own doing; 0 when
-            the job sets no such limit.
+        image: program that the tasks run; tasks of the same image behave alike.
+        target_ms: upper bound on the tail latency of a task that serves
+            users; 0 for other tasks.
+        fills: the tasks use only processor time that others leave unused, so
+            their ``cpu`` does not count against the instance's capacity.
+        may_miss: disruption budget: how many tasks this system may take down
+            at the same time; 0 for no limit.
     """
 
     count: int
@@ -79,23 +79,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class Job:
-    """A job as it was handed in; never changes afterwards.
+    """A job as submitted; immutable.
 
     Attributes:
         job_id: 16 hexadecimal digits chosen by the client.
-        queue: name of the queue that it was handed in to.
-        service: pool that the queue had then, used when the queue is gone.
-        spec: opaque text that the instances are given.
-        submitted_ms: when its entry took it in, on the store's steady clock;
-            0 where that was not known.
-        repeat_count: how often the steps run; 0 for a job without times.
+        queue: name of the queue that it was submitted to.
+        service: pool of the queue at that time, used if the queue is removed.
+        spec: opaque text that is passed to the instances.
+        submitted_ms: when the entry accepted the job, on the store's
+            monotonic clock; 0 if unknown.
+        repeat_count: how often the steps run; 0 for an unscheduled job.
         first_run_ms: due time of the first occurrence, milliseconds since
-            1970.
+            the Unix epoch.
         interval_ms: time between the due times of two occurrences.
-        submitted_wall_ms: time of day of the entry at ``submitted_ms``,
-            milliseconds since 1970. By it processes agree on one.
-        spec_digest: of a spec that lies in a row of its own and is not here;
-            empty where ``spec`` holds it.
+        submitted_wall_ms: wall clock of the entry at ``submitted_ms``,
+            milliseconds since the Unix epoch. Processes use it to agree on
+            one wall clock.
+        spec_digest: digest of a spec that is stored in a separate row and is
+            not in ``spec``; empty if ``spec`` holds it.
     """
 
     job_id: str
@@ -112,11 +113,11 @@
 
     @property
     def occurrences(self) -> int:
-        """How often the steps run in all."""
+        """How often the steps run in total."""
         return max(1, self.repeat_count)
 
     def due_ms(self, occurrence: int) -> float:
-        """Returns when an occurrence may start, milliseconds since 1970."""
+        """Returns when an occurrence may start, ms since the Unix epoch."""
         if not self.repeat_count:
             return 0
         return self.first_run_ms + occurrence * self.interval_ms
@@ -133,5 +134,5 @@
 
     @property
     def label(self) -> str:
-        """Its place in its job: "OCCURRENCE.STEP.INDEX"."""
+        """The position within the job, "OCCURRENCE.STEP.INDEX"."""
         return f"{self.occurrence}.{self.step}.{self.index}"
--- a/src/vanillaswitch/protocol/minions.py
+++ b/src/vanillaswitch/protocol/minions.py
@@ -1,4 +1,4 @@
-"""The interface to minions: one attempt to send one request."""
+"""Interface to minions: one attempt to send one request."""
 
 import dataclasses
 from typing import Protocol
@@ -8,13 +8,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Minion:
-    """A minion that may be sent work.
+    """A minion that accepts requests.
 
     Attributes:
-        instance: its name in the platform's list.
+        instance: name in the platform's list of instances.
         address: "ip:port".
-        slots: how many requests it works on at once, from all entries.
-        connections: how many connections it accepts, from all entries.
+        slots: maximum number of concurrent requests, over all entries.
+        connections: maximum number of connections, over all entries.
     """
 
     instance: str
@@ -28,25 +28,25 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answered:
-    """The whole answer came back, its length checked."""
+    """The complete answer arrived and its length was checked."""
 
     answer: requests.Answer
 
 
 @dataclasses.dataclass(frozen=True)
 class NotSent:
-    """No byte of the request left this process: trying elsewhere is safe."""
+    """No byte of the request was sent: a retry elsewhere is safe."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Lost:
-    """Bytes were sent and no whole answer came: it may have run.
+    """Bytes were sent without a complete answer: the request may have run.
 
     Attributes:
-        silent: no byte came back at all (a connection that went silent), as
-            against a reset or an answer that was cut.
+        silent: the attempt timed out without a single byte of an answer.
+            False after a reset or a truncated answer.
     """
 
     reason: str
@@ -57,7 +57,7 @@
 
 
 class MinionClient(Protocol):
-    """Sends requests to minions; never sends one a second time by itself."""
+    """Sends requests to minions; never retries on its own."""
 
     def send(
         self,
@@ -66,11 +66,11 @@
         timeout_s: float,
         fresh: bool,
     ) -> SendOutcome:
-        """Sends one request once.
+        """Sends a request once.
 
         Args:
-            minion: where to.
-            request: what to send.
-            timeout_s: how long to wait for the whole answer.
-            fresh: use a new connection rather than a pooled one.
+            minion: the minion to send to.
+            request: the request to send.
+            timeout_s: time limit for the attempt as a whole.
+            fresh: use a new connection instead of a pooled one.
         """
--- a/src/vanillaswitch/protocol/peer_transport.py
+++ b/src/vanillaswitch/protocol/peer_transport.py
@@ -1,4 +1,4 @@
-"""The interface to whatever carries messages between processes."""
+"""Interface to the transport of messages between processes."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -9,35 +9,35 @@
 from vanillaswitch.protocol import peers
 
 Reply = Callable[[peers.Message], None]
-"""Answers on the stream that a message came on; harmless once it closed."""
+"""Answers on the stream of the message; does nothing once it is closed."""
 
 OnMessage = Callable[[str | None, peers.Message, Reply], None]
-"""Takes (sender's peer address or None while unknown, message, reply)."""
+"""Handles (peer address of the sender, None if unknown; message; reply)."""
 
 
 class PeerTransport(Protocol):
-    """Streams to and from other processes; delivers at most once."""
+    """Streams to and from other processes, with at-most-once delivery."""
 
     @property
     def address(self) -> str:
-        """The "ip:port" that it listens on."""
+        """The "ip:port" on which the transport listens."""
 
     @property
     def counters(self) -> Mapping[str, int]:
-        """Counts since the start: bytes, messages, streams, faults."""
+        """Counters since the start: bytes, messages, streams and faults."""
 
     def send(self, address: str, message: peers.Message) -> bool:
-        """Queues a message, opening a stream on first use.
+        """Queues a message; opens a stream to a new address.
 
         Returns:
-            False when the queue is full and the message was dropped.
+            False if the queue was full and the message was dropped.
         """
 
     def retain(self, addresses: Iterable[str]) -> None:
-        """Closes the outgoing streams to all other addresses."""
+        """Closes outgoing streams to all addresses except the given ones."""
 
 
 OpenTransport = Callable[
     [str, OnMessage], contextlib.AbstractContextManager[PeerTransport]
 ]
-"""Listens on an address, hands messages on, and closes all at its exit."""
+"""Opens a transport on an address; closes it when the context exits."""
--- a/src/vanillaswitch/protocol/peers.py
+++ b/src/vanillaswitch/protocol/peers.py
@@ -1,7 +1,10 @@
 """Messages between the processes of the system.
 
-They travel as msgpack on TCP streams. All of it is soft state: any message may
-be lost, doubled or late, and the table stays the only truth.
+Messages are encoded as msgpack and sent over TCP streams. They carry only soft
+state: any message may be lost, duplicated or delayed, and the table is the
+only source of truth.
+
+Class and field names are part of the wire format.
 """
 
 from collections.abc import Mapping
@@ -12,7 +15,7 @@
 
 
 class Role(enum.StrEnum):
-    """Which daemon a process is."""
+    """The kind of daemon that a process runs."""
 
     ENTRY = "entry"
     CONTROLLER = "controller"
@@ -20,19 +23,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Heartbeat:
-    """A process tells its peers that it lives.
+    """Periodic sign of life of a process to its peers.
 
     Attributes:
         process: name from its settings.
-        boot: random id of this start; a new boot is a new process.
-        address: "ip:port" of its peer port.
+        boot: random id of this start; a new boot means a new process.
+        address: "ip:port" on which it accepts peer connections.
         sequence: grows with each heartbeat of this boot.
-        config_version: the configuration in force there; 0 for none.
-        view_version: highest commit number of the drains it acts on.
+        config_version: version of its active configuration; 0 for none.
+        view_version: highest commit number of the drains that it applies.
         leaving: it is shutting down.
         loads: requests in flight by minion instance; absent means zero.
-        peers: peer addresses it knows, so that new processes are found.
-        interval_s: when the receiver may expect the next heartbeat.
+        peers: peer addresses that it knows, for discovery of new processes.
+        interval_s: time within which the receiver can expect the next
+            heartbeat.
     """
 
     process: str
@@ -51,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConfigOffer:
-    """The sender has this configuration in force."""
+    """Announces the version of the sender's active configuration."""
 
     version: int
     digest: str
@@ -59,14 +63,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConfigRequest:
-    """Please send the body of this version."""
+    """Requests the body of a configuration version."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True)
 class ConfigBody:
-    """A configuration, checked by its digest."""
+    """The body of a configuration, which the digest verifies."""
 
     version: int
     digest: str
@@ -75,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class DrainNotice:
-    """A budget row as committed: these instances get no new work.
+    """A committed budget row: these instances must not get new work.
 
     Attributes:
         version: commit number of the row; a lower one is ignored.
@@ -87,7 +91,7 @@
 
 
 class ClaimState(enum.StrEnum):
-    """How far a claimed request has come."""
+    """The state of a claimed request."""
 
     CLAIMED = "claimed"
     RELEASED = "released"
@@ -97,11 +101,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class ClaimQuery:
-    """Asks the holder of a claim how far it has come.
+    """Asks the holder of a claim for its state.
 
     Attributes:
-        boot: the boot that holds the claim; another one does not know. Empty
-            asks any entry whether it ever held the claim.
+        boot: the boot that holds the claim; no other boot knows its state.
+            If empty, the query asks any entry whether it ever held the claim.
     """
 
     query: str
@@ -112,14 +116,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class ClaimReply:
-    """The holder's word on a claim; ``answer`` only when DONE.
+    """The state of a claim; ``answer`` is set only in state DONE.
 
-    Asked without a boot, RELEASED also says that the claim was never held.
+    In reply to a query without a boot, RELEASED can also mean that the sender
+    never held the claim. Only then are the last two fields set.
 
     Attributes:
-        unbroken_s: for how long the sender has forgotten no claim of its own
-            and missed no other entry; only with such a RELEASED.
-        entries: boots of the living entries that it knows, likewise.
+        unbroken_s: how long the sender has kept all of its own claims and
+            has been in contact with all other entries.
+        entries: boots of the live entries that the sender knows.
     """
 
     query: str
@@ -134,10 +139,11 @@
     """Asks a peer to lend some of its idle slots.
 
     Attributes:
-        process: who asks.
-        ask: id that no other ask ever has.
-        slots: how many at most.
-        priority: of the most urgent request that waits; lower goes first.
+        process: name of the sender.
+        ask: unique id of this request.
+        slots: maximum number of slots.
+        priority: priority of the most urgent waiting request; lower values
+            go first.
     """
 
     process: str
@@ -149,10 +155,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class SlotGrant:
-    """Lends one slot at each instance named; none when nothing is idle.
+    """Lends one slot for each item of ``instances``; empty if none is idle.
 
-    An instance that lends several slots is named several times. The loans are
-    called "<ask>/0", "<ask>/1" and so on, in the order of the instances.
+    An instance occurs once per slot that it lends. The ids of the loans are
+    "<ask>/0", "<ask>/1" and so on, in the order of ``instances``.
     """
 
     process: str
@@ -163,7 +169,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SlotReturn:
-    """Gives loans back; one that is unknown or given back twice is nothing."""
+    """Returns loans; unknown and already returned ones are ignored."""
 
     process: str
     loans: tuple[str, ...]
@@ -174,8 +180,8 @@
     """Asks the owner of the fleet for a job's state or a queue's length.
 
     Attributes:
-        question: id by which the answer is matched.
-        job_id: the job; empty when the queue is asked for.
+        question: id that matches the answer to the question.
+        job_id: the job; empty to ask for the queue.
         queue: name of the queue.
     """
 
@@ -186,12 +192,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class JobAnswer:
-    """The owner's answer.
+    """Answers a ``JobQuestion``.
 
     Attributes:
-        owner: whether the sender owns the fleet; else nothing else counts.
-        state: a job's recorded state; empty when it is not known.
-        pending: jobs of the queue that wait for their first start.
+        owner: whether the sender owns the fleet; if not, the other fields
+            have no meaning.
+        state: the recorded state of the job; empty if unknown.
+        pending: number of jobs of the queue that wait for their first start.
     """
 
     question: str
@@ -202,14 +209,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class OwnerQuestion:
-    """Asks a process whether it still serves as the owner of the fleet.
+    """Asks a process whether it still acts as the owner of the fleet.
 
-    The asker can reach the store and sees that the owner does not write.
+    The sender can reach the store and sees that the owner does not write.
 
     Attributes:
-        boot: start of the process that the owner's row names.
-        patience_s: an owner that wrote more lately goes on.
-        asker: where the sender listens; it can reach the store.
+        boot: boot id in the owner's row.
+        patience_s: an owner whose last write is more recent than this keeps
+            its term.
+        asker: address of the sender, which can reach the store.
     """
 
     question: str
@@ -220,11 +228,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class OwnerStanding:
-    """The answer.
+    """Answers an ``OwnerQuestion``.
 
     Attributes:
-        boot: start of the process that answers.
-        ended: the term that was asked about is over, at the latest now.
+        boot: boot id of the sender.
+        ended: the term in question is over, at the latest from now on.
     """
 
     question: str
@@ -234,18 +242,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoreQuestion:
-    """Asks a process whether the store answers it."""
+    """Asks a process whether it can reach the store."""
 
     question: str
 
 
 @dataclasses.dataclass(frozen=True)
 class StoreStanding:
-    """The answer.
+    """Answers a ``StoreQuestion``.
 
     Attributes:
-        answers: the store has answered the sender lately.
-        owner: where the owner of the fleet listens, as the sender knows it.
+        answers: the store has recently answered the sender.
+        owner: address of the owner of the fleet, as far as the sender knows.
     """
 
     question: str
@@ -254,7 +262,7 @@
 
 
 class ErrandKind(enum.StrEnum):
-    """What a process has another one do at the store."""
+    """The kind of store request that a process forwards to another one."""
 
     SUBMIT = "submit"
     CANCEL = "cancel"
@@ -263,13 +271,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Errand:
-    """Asks a process to do at the store what the sender can't.
+    """Forwards a store request of a process that can't reach the store.
 
     Attributes:
-        job_id: whose row is written or read.
-        document: the job as JSON, of a hand-in; else empty.
-        known: it is certain that the job was accepted.
-        patience_s: how long the sender's client still waits.
+        job_id: the job whose row is written or read.
+        document: the job as JSON for a submission; empty otherwise.
+        known: the job is known to have been accepted.
+        patience_s: how much longer the sender's client waits.
     """
 
     question: str
@@ -282,11 +290,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class ErrandDone:
-    """What came of it.
+    """The result of an ``Errand``.
 
     Attributes:
-        verdict: as the sender would tell a client of its own.
-        state: a job's recorded state, where that was asked for.
+        verdict: the result that the sender would report to its own client.
+        state: the recorded state of the job, if it was requested.
     """
 
     question: str
--- a/src/vanillaswitch/protocol/platform.py
+++ b/src/vanillaswitch/protocol/platform.py
@@ -1,7 +1,8 @@
-"""The interface to the platform: table, objects, instances and workers.
+"""Interface to the platform: table, objects, instances and workers.
 
-Another platform is one new adapter behind these types. Outcomes are values;
-no method raises for an outage. Each method blocks its own task only.
+Support for another platform takes one adapter that implements these types.
+Methods return outcomes as values and never raise for an outage. Each method
+blocks only the task that calls it.
 """
 
 from collections.abc import Mapping
@@ -12,20 +13,20 @@
 from typing import Protocol
 
 ABSENT = 0
-"""The version of a row that does not exist (never written, or deleted)."""
+"""The version of a row that does not exist (never written or deleted)."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Row:
-    """One row of the table.
+    """A row of the table.
 
     Attributes:
         key: slash-separated name.
         version: number of the commit that wrote it. Commit numbers grow over
-            the whole table and are never reused, so a deleted and rewritten
-            row never shows an old version again.
+            the whole table and are never reused, so a row that is deleted and
+            written again never gets an old version.
         value: JSON-compatible mapping.
-        token: the token of the transaction that wrote it.
+        token: token of the transaction that wrote it.
     """
 
     key: str
@@ -36,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Check:
-    """A condition of a transaction: the row still has this version."""
+    """A precondition of a transaction: the row still has this version."""
 
     key: str
     version: int
@@ -44,12 +45,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Put:
-    """A write, which is also a check: the row still has ``version``.
+    """A write with the precondition that the row still has ``version``.
 
     Attributes:
-        key: the row.
-        version: the expected version; ``ABSENT`` inserts.
-        value: the new value, or None to delete the row.
+        key: key of the row.
+        version: expected version; ``ABSENT`` to insert a row.
+        value: new value; None to delete the row.
     """
 
     key: str
@@ -59,11 +60,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Transaction:
-    """Checks and writes that happen together or not at all.
+    """Checks and writes that are applied atomically.
 
     Attributes:
-        token: unique to this transaction; sent again only with the same
-            content, to settle an unknown outcome.
+        token: unique id of the transaction. Reuse it only to send the same
+            content again, which resolves an unknown outcome.
     """
 
     token: str
@@ -83,8 +84,8 @@
     """The transaction did not take effect.
 
     Attributes:
-        found: rows whose versions differed, as they are; a missing row is
-            given with version ``ABSENT`` and an empty value.
+        found: current state of the rows whose versions differed; a row that
+            does not exist has version ``ABSENT`` and an empty value.
     """
 
     found: tuple[Row, ...]
@@ -92,14 +93,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Unavailable:
-    """The call surely had no effect: the platform could not be asked."""
+    """The platform was unavailable; the call certainly had no effect."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True)
 class OutcomeUnknown:
-    """The call was sent and not answered: it may take effect, even later."""
+    """The call was sent without an answer: it may take effect, even later."""
 
     reason: str
 
@@ -109,7 +110,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rows:
-    """Rows that were found, by ascending key; missing ones left out."""
+    """The rows that exist, in ascending order of their keys."""
 
     rows: tuple[Row, ...]
 
@@ -121,31 +122,31 @@
     """The platform's transactional table."""
 
     def read(self, keys: Sequence[str]) -> ReadOutcome:
-        """Reads rows by name, all as of one commit."""
+        """Reads rows by key, all as of the same commit."""
 
     def scan(self, prefix: str, after: str = "", limit: int = 0) -> ReadOutcome:
-        """Reads each row whose key starts with ``prefix``, as of one commit.
+        """Reads all rows whose keys start with ``prefix``, as of one commit.
 
         Args:
-            prefix: what the keys start with.
-            after: only keys greater than this one, to read page by page.
-            limit: at most so many rows; 0 for all.
+            prefix: prefix of the keys.
+            after: return only keys greater than this one, for paging.
+            limit: maximum number of rows; 0 for all.
         """
 
     def commit(self, transaction: Transaction) -> CommitOutcome:
-        """Tries a transaction once; never sends it again by itself."""
+        """Tries a transaction once; never retries on its own."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Body:
-    """An object's content."""
+    """The content of an object."""
 
     content: bytes
 
 
 @dataclasses.dataclass(frozen=True)
 class Missing:
-    """There is no such thing."""
+    """The named object, instance, worker or task does not exist."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -154,17 +155,17 @@
 
 
 class ObjectStore(Protocol):
-    """The platform's store of immutable objects, named by SHA-256 in hex."""
+    """The platform's store of immutable objects, keyed by SHA-256 in hex."""
 
     def put(self, digest: str, content: bytes) -> Done | Unavailable:
-        """Stores an object; storing it again is harmless."""
+        """Stores an object; idempotent."""
 
     def get(self, digest: str) -> Body | Missing | Unavailable:
         """Fetches an object."""
 
 
 class InstanceKind(enum.StrEnum):
-    """What an instance is for."""
+    """The purpose of an instance."""
 
     ENTRY = "entry"
     MINION = "minion"
@@ -172,7 +173,7 @@
 
 
 class ListedState(enum.StrEnum):
-    """What the lagging list says of an instance."""
+    """The state of an instance in the list, which may be out of date."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -180,14 +181,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Listing:
-    """One line of the platform's list of instances.
+    """An entry of the platform's list of instances.
 
     Attributes:
-        instance: its name, unique over the fleet and never reused.
-        address: "ip:port"; for an entry that of its callers' port, for a
-            worker empty.
+        instance: name, unique over the fleet and never reused.
+        address: "ip:port"; for an entry, the port for callers; empty for a
+            worker.
         service: the service whose program a minion runs; empty for others.
-        cores: processors.
+        cores: number of processor cores.
         memory_mb: memory in mebibytes.
     """
 
@@ -205,13 +206,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Listings:
-    """The list, which may be seconds old."""
+    """The list of instances, which may be some seconds old."""
 
     instances: tuple[Listing, ...]
 
 
 class Phase(enum.StrEnum):
-    """Where an instance stands with respect to maintenance."""
+    """The maintenance phase of an instance."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -222,13 +223,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class InstanceStatus:
-    """What an instance says of itself right now (not lagging).
+    """The current status of an instance, as the instance itself reports it.
 
     Attributes:
-        phase: where it stands.
-        operation: id of the last drain, reboot or resume it accepted.
-        in_flight: requests or tasks still running on it.
-        boots: how often it booted, counted by the platform.
+        phase: maintenance phase.
+        operation: id of the last drain, reboot or resume that it accepted.
+        in_flight: number of requests or tasks that still run on it.
+        boots: how often it has booted, as counted by the platform.
     """
 
     instance: str
@@ -239,38 +240,38 @@
 
 
 class Instances(Protocol):
-    """Listing, draining and rebooting of instances.
+    """Lists, drains and reboots instances.
 
-    ``operation`` is an id that the caller wrote to the table first; the
-    platform does an operation once, however often it is asked for.
+    ``operation`` is an id that the caller wrote to the table beforehand. The
+    platform performs each operation once, however often it is requested.
     """
 
     def list(self) -> Listings | Unavailable:
-        """Reads the lagging list."""
+        """Reads the list, which may be out of date."""
 
     def status(
         self, names: Sequence[str]
     ) -> tuple[InstanceStatus, ...] | Unavailable:
-        """Asks instances themselves; those that do not answer are left out."""
+        """Asks the instances themselves; omits those that don't answer."""
 
     def drain(
         self, instance: str, operation: str
     ) -> Done | Missing | Unavailable | OutcomeUnknown:
-        """Takes no new work on an instance; what runs goes on."""
+        """Makes an instance refuse new work; running work continues."""
 
     def reboot(
         self, instance: str, operation: str
     ) -> Done | Missing | Unavailable | OutcomeUnknown:
-        """Reboots an instance; it comes back drained, on new software."""
+        """Reboots an instance; it returns drained and with new software."""
 
     def resume(
         self, instance: str, operation: str
     ) -> Done | Missing | Unavailable | OutcomeUnknown:
-        """Takes new work again."""
+        """Makes an instance accept new work again."""
 
 
 class TaskState(enum.StrEnum):
-    """What a worker says of a task."""
+    """The state of a task as its worker reports it."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -281,11 +282,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class TaskSpec:
-    """What a worker is asked to run.
+    """The task that a worker is asked to start.
 
     Attributes:
-        task: unique name of this task of a job.
-        operation: id of this start; a worker starts an operation once.
+        task: unique name of the task of a job.
+        operation: id of this start; a worker performs each operation once.
         checkpoint: name of the checkpoint to resume from; empty for none.
     """
 
@@ -301,7 +302,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class TaskReport:
-    """A worker's lagging report of one task."""
+    """A worker's report of a task, which may be out of date."""
 
     task: str
     operation: str
@@ -313,7 +314,7 @@
 
 
 class Workers(Protocol):
-    """Tasks under leases on workers. Every call is idempotent."""
+    """Runs tasks under leases on workers; every call is idempotent."""
 
     def start(
         self, worker: str, spec: TaskSpec
@@ -323,17 +324,17 @@
     def renew(
         self, worker: str, operations: Sequence[str], lease_s: float
     ) -> Done | Missing | Unavailable:
-        """Renews the leases of one worker's tasks in one message."""
+        """Renews the leases of several tasks of a worker in one message."""
 
     def checkpoint(
         self, worker: str, operation: str
     ) -> Done | Missing | Unavailable:
-        """Asks a task to write a checkpoint."""
+        """Requests a task to write a checkpoint."""
 
     def throttle(
         self, worker: str, operation: str, share: float
     ) -> Done | Missing | Unavailable:
-        """Limits a task to ``share`` (0 to 1) of its processors."""
+        """Limits a task to ``share`` (0 to 1) of its cores."""
 
     def stop(
         self, worker: str, operation: str
@@ -341,12 +342,12 @@
         """Stops a task."""
 
     def reports(self) -> tuple[TaskReport, ...] | Unavailable:
-        """Reads the lagging reports of every worker."""
+        """Reads the reports of all workers, which may be out of date."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Platform:
-    """All that the platform gives."""
+    """All interfaces of the platform."""
 
     table: Table
     objects: ObjectStore
--- a/src/vanillaswitch/protocol/requests.py
+++ b/src/vanillaswitch/protocol/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request and what comes of it."""
+"""Requests of callers and their results."""
 
 import dataclasses
 import enum
@@ -16,12 +16,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Incoming:
-    """A request as it came over the wire, not yet checked against anything.
+    """A request as received, not yet checked against the configuration.
 
     The transport has already checked its framing and its size.
 
     Attributes:
-        received: monotonic seconds at which its head was read.
+        received: monotonic time in seconds at which its head was read.
     """
 
     method: str
@@ -33,17 +33,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """A checked request of a caller.
+    """A validated request of a caller.
 
     Attributes:
         request_id: unique to this attempt of the caller.
-        caller: who asks; keys of different callers never meet.
+        caller: id of the caller, which is also the namespace of ``key``.
         service: name in the configuration; first segment of the path.
         request_class: name of the class in the configuration.
         target: path and query as the caller sent them.
-        headers: end-to-end headers that go on to the minion.
-        deadline: monotonic seconds on this process's clock.
-        key: idempotency key, or empty when the caller gave none.
+        headers: end-to-end headers to forward to the minion.
+        deadline: monotonic time in seconds on this process's clock.
+        key: idempotency key; empty if the caller sent none.
         issued_ms: when the caller first issued the request under ``key``,
             milliseconds since the Unix epoch; 0 without a key.
     """
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """A minion's whole answer."""
+    """The complete answer of a minion."""
 
     status: int
     headers: Headers
@@ -71,7 +71,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known of a request that got no answer of a minion."""
+    """What is known about a request without an answer of a minion."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
@@ -80,14 +80,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refusal:
-    """Our own final answer, sent as problem details (RFC 9457).
+    """A final answer of this system, sent as problem details (RFC 9457).
 
     Attributes:
-        outcome: NOT_RUN promises that no minion ran, runs or will run it.
+        outcome: NOT_RUN guarantees that no minion ran, runs or will run the
+            request.
         status: HTTP status.
         code: short stable name of the cause ("queue-full").
-        detail: one sentence for a person.
-        retry_after_s: when to come back; None when coming back is no use.
+        detail: one human-readable sentence.
+        retry_after_s: delay before a retry; None if a retry is of no use.
     """
 
     outcome: Outcome
--- a/src/vanillaswitch/protocol/unusable.py
+++ b/src/vanillaswitch/protocol/unusable.py
@@ -1,4 +1,4 @@
-"""What stands for a document or answer of others that can't be used."""
+"""The result of reading an external document or answer that is invalid."""
 
 import dataclasses
 
@@ -9,15 +9,15 @@
     TypeError,
     ValueError,
 )
-"""What reading a field ends in that is missing, or of another type or size."""
+"""Exceptions from reading a field that is missing or has a wrong value."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Unusable:
-    """It names nothing that may be acted on.
+    """The document or answer is invalid and must not be acted on.
 
     Attributes:
-        reason: which field is wrong, and how.
+        reason: which field is invalid, and why.
     """
 
     reason: str
--- a/tests/common/peer_doubles.py
+++ b/tests/common/peer_doubles.py
@@ -1,4 +1,4 @@
-"""Doubles around peer networks: time in steps and messages in memory."""
+"""Test doubles for peer networks: a manual clock and an in-memory transport."""
 
 from collections.abc import Iterator
 from collections.abc import Mapping
@@ -12,11 +12,11 @@
 from vanillaswitch.protocol import peers
 
 GUARD_S = 20.0
-"""How long a test waits for what must come; only a failure takes so long."""
+"""How long a test waits for an expected event; only a failing test does."""
 
 
 def heartbeat(process="a", sequence=1, boot="boot", **others):
-    """Returns a heartbeat of a living entry."""
+    """Returns a heartbeat of a live entry."""
     fields = {
         "role": peers.Role.ENTRY,
         "address": "127.0.0.1:7001",
@@ -33,7 +33,7 @@
 
 
 class StepClock(clocks.ManualClock):
-    """Sleepers wait until the test has moved time far enough."""
+    """A clock whose sleepers wait until the test advances it far enough."""
 
     def __init__(self):
         super().__init__()
@@ -42,7 +42,7 @@
         self._asleep = gevent.event.Event()
 
     def sleep(self, seconds):
-        """Waits for the test."""
+        """Blocks until the test has advanced the clock far enough."""
         woken = gevent.event.Event()
         self.slept.append(seconds)
         self._sleepers.append((self.monotonic() + seconds, woken))
@@ -50,7 +50,7 @@
         woken.wait()
 
     def advance(self, seconds):
-        """Moves time and wakes those whose time has come."""
+        """Advances the clock and wakes the sleepers that are due."""
         super().advance(seconds)
         now = self.monotonic()
         due = [one for one in self._sleepers if one[0] <= now]
@@ -59,19 +59,24 @@
             woken.set()
 
     def wait_for_sleeper(self):
-        """Waits until some task sleeps."""
+        """Waits until a task sleeps."""
         self._asleep.clear()
         if not self._sleepers:
-            assert self._asleep.wait(GUARD_S), "nobody sleeps"
+            assert self._asleep.wait(GUARD_S), "no task called sleep in time"
 
     def wake_next_sleeper(self):
-        """Waits until some task sleeps, then lets its time pass."""
+        """Waits until a task sleeps, then advances the clock until all wake."""
         self.wait_for_sleeper()
         self.advance(max(one[0] for one in self._sleepers) - self.monotonic())
 
 
 class Bus:
-    """Carries messages between networks in memory, except on cut ways."""
+    """Delivers messages in memory, except over links that are cut.
+
+    Attributes:
+        cut: (source, target) pairs of addresses whose messages are lost.
+        sent: (source, target, message) of all messages, lost ones included.
+    """
 
     def __init__(self):
         self.cut = set()
@@ -82,13 +87,13 @@
     def open(
         self, address: str, on_message: peer_transport.OnMessage
     ) -> Iterator["_BusTransport"]:
-        """Opens one process's transport."""
+        """Opens the transport of a process."""
         self._receivers[address] = on_message
         yield _BusTransport(self, address)
         del self._receivers[address]
 
     def carry(self, source, target, message):
-        """Delivers a message, or loses it."""
+        """Delivers a message unless the link is cut or nobody listens."""
         self.sent.append((source, target, message))
         receive = self._receivers.get(target)
         if receive is not None and (source, target) not in self.cut:
@@ -106,15 +111,15 @@
         self.counters: Mapping[str, int] = {}
 
     def send(self, address, message):
-        """Delivers at once."""
+        """Delivers a message immediately."""
         self._bus.carry(self.address, address, message)
         return True
 
     def retain(self, addresses):
-        """Keeps nothing, so has nothing to close."""
+        """Does nothing: there are no streams to close."""
 
 
 def settle():
-    """Lets every task run until it waits for something."""
+    """Lets all tasks run until they block."""
     for _ in range(20):
         gevent.sleep(0)
