--- a/src/vanillaswitch/platform/advice.py
+++ b/src/vanillaswitch/platform/advice.py
@@ -1,4 +1,4 @@
-"""The service that knows which instances may run a step."""
+"""Client of the placement advisor, which grants tickets to run a step."""
 
 from collections.abc import Sequence
 
@@ -7,7 +7,7 @@
 from vanillaswitch.transport import plain_http
 
 MAX_INSTANCES = 100
-"""Instances that one call may name."""
+"""Largest number of instances in one call."""
 
 _OK = 200
 
@@ -22,9 +22,16 @@
     def ask(
         self, step: str, instances: Sequence[str], timeout_s: float
     ) -> fleet.Tickets | fleet.NoAnswer:
-        """Asks for the tickets of a step, "ID.OCCURRENCE.STEP"."""
+        """Requests the tickets of a step.
+
+        Args:
+            step: the step as "ID.OCCURRENCE.STEP".
+            instances: candidates; only the first ``MAX_INSTANCES`` are sent.
+            timeout_s: limit for the whole call.
+        """
+        # The platform calls instances "workers".
         body = {"step": step, "workers": list(instances[:MAX_INSTANCES])}
-        reply = calls.call(
+        response = calls.call(
             self._client,
             self._address,
             "POST",
@@ -32,10 +39,12 @@
             body,
             timeout_s=timeout_s,
         )
-        if isinstance(reply, calls.NoReply):
-            return fleet.NoAnswer(reply.sent, reply.reason)
-        if reply.status != _OK:
-            return fleet.NoAnswer(False, f"status {reply.status}")
-        good = {str(row[0]): str(row[1]) for row in reply.body.get("good", ())}
-        validity_s = float(reply.body.get("validity_ms", 0.0)) / 1000
-        return fleet.Tickets(good, validity_s)
+        if isinstance(response, calls.NoResponse):
+            return fleet.NoAnswer(response.sent, response.reason)
+        if response.status != _OK:
+            return fleet.NoAnswer(False, f"status {response.status}")
+        tickets = {
+            str(row[0]): str(row[1]) for row in response.body.get("good", ())
+        }
+        validity_s = float(response.body.get("validity_ms", 0.0)) / 1000
+        return fleet.Tickets(tickets, validity_s)
--- a/src/vanillaswitch/platform/calls.py
+++ b/src/vanillaswitch/platform/calls.py
@@ -1,4 +1,4 @@
-"""One call of the platform's HTTP interfaces and its JSON answer."""
+"""HTTP calls to the platform with JSON bodies."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -12,11 +12,11 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Reply:
-    """A whole answer.
+class Response:
+    """A complete response.
 
     Attributes:
-        body: its JSON object; empty when it had none.
+        body: its JSON object; empty if the response holds none.
     """
 
     status: int
@@ -24,11 +24,11 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class NoReply:
-    """No whole answer came.
+class NoResponse:
+    """The call got no complete response.
 
     Attributes:
-        sent: whether any byte of the call left.
+        sent: whether any byte of the request left this process.
     """
 
     sent: bool
@@ -44,18 +44,35 @@
     headers: requests.Headers = (),
     timeout_s: float = 1.0,
     fresh: bool = False,
-) -> Reply | NoReply:
-    """Sends one call once and decodes what comes back."""
+) -> Response | NoResponse:
+    """Sends a request once and decodes its response.
+
+    Args:
+        client: sends the request.
+        address: "ip:port".
+        method: HTTP method.
+        target: path and query.
+        body: JSON object; None for an empty body.
+        headers: additional header fields.
+        timeout_s: limit for the whole call.
+        fresh: use a new connection instead of a kept one.
+    """
     data = b"" if body is None else json.dumps(body).encode()
-    sent = client.call(address, method, target, data, headers, timeout_s, fresh)
-    if isinstance(sent, minions.NotSent):
-        return NoReply(False, sent.reason)
-    if isinstance(sent, minions.Lost):
-        return NoReply(True, sent.reason)
+    outcome = client.call(
+        address, method, target, data, headers, timeout_s, fresh
+    )
+    if isinstance(outcome, minions.NotSent):
+        return NoResponse(False, outcome.reason)
+    if isinstance(outcome, minions.Lost):
+        return NoResponse(True, outcome.reason)
     try:
-        decoded = checked.decode(sent.answer.body) if sent.answer.body else {}
+        decoded = (
+            checked.decode_json(outcome.answer.body)
+            if outcome.answer.body
+            else {}
+        )
     except ValueError:
         decoded = {}
     if not isinstance(decoded, dict):
         decoded = {}
-    return Reply(sent.answer.status, decoded)
+    return Response(outcome.answer.status, decoded)
--- a/src/vanillaswitch/platform/checked.py
+++ b/src/vanillaswitch/platform/checked.py
@@ -1,10 +1,10 @@
-"""Documents of others, checked field by field.
+"""Validates documents from outside, field by field.
 
-Whoever may write to a table that we read may write anything there: fields that
-are missing or of another type, numbers without end, bytes that are no
-document. One such row ended each owner of the fleet in turn, since each read
-it anew. So what others wrote becomes a typed value or an ``Unusable`` that
-names the field, and never an exception.
+Other writers may put anything into the tables that this program reads: missing
+fields, fields of another type, infinite numbers, bytes that are not JSON. An
+exception from such a row would end each owner of the fleet in turn, because
+each new owner reads the row again. So a document becomes either a typed value
+or an ``Unusable`` that names the field, and reading it never raises.
 """
 
 import json
@@ -19,86 +19,95 @@
 
 _T = TypeVar("_T")
 
-MAX_WHOLE = 2**53
-"""Larger whole numbers are not the same in all JSON readers."""
+MAX_SAFE_INTEGER = 2**53
+"""JSON parsers that use doubles round larger integers."""
 
 _MAX_REASONS = 3
 
 
-def _whole(value: Any, _: type) -> int:
-    if type(value) is not int or abs(value) > MAX_WHOLE:
-        raise ValueError("give a whole number")
+def _to_int(value: Any, _: type) -> int:
+    if type(value) is not int or abs(value) > MAX_SAFE_INTEGER:
+        raise ValueError("expected an integer of at most 2**53")
     return value
 
 
-def _number(value: Any, _: type) -> float:
-    if type(value) not in (int, float) or not abs(value) <= MAX_WHOLE:
-        raise ValueError("give a finite number")
+def _to_float(value: Any, _: type) -> float:
+    if type(value) not in (int, float) or not abs(value) <= MAX_SAFE_INTEGER:
+        raise ValueError("expected a finite number of at most 2**53")
     return float(value)
 
 
-def _text(value: Any, _: type) -> str:
+def _to_str(value: Any, _: type) -> str:
     if type(value) is not str or not value.isprintable():
-        raise ValueError("give a text without control characters")
+        raise ValueError("expected a string of printable characters")
     return value
 
 
-def _flag(value: Any, _: type) -> bool:
+def _to_bool(value: Any, _: type) -> bool:
     if type(value) is not bool:
-        raise ValueError("give true or false")
+        raise ValueError("expected true or false")
     return value
 
 
-def _row(value: Any, kind: Any) -> tuple[Any, ...]:
-    """Reads a list; a text would otherwise be read letter by letter."""
+def _to_tuple(value: Any, target_type: Any) -> tuple[Any, ...]:
+    """Converts a list to a tuple; rejects a string, which is iterable too."""
     if type(value) is not list:
-        raise ValueError("give a list")
-    item = typing.get_args(kind)[0]
-    return tuple(_CONVERTER.structure(one, item) for one in value)
+        raise ValueError("expected a list")
+    element_type = typing.get_args(target_type)[0]
+    return tuple(
+        _CONVERTER.structure(element, element_type) for element in value
+    )
 
 
-def _is_tuple(kind: Any) -> bool:
-    return typing.get_origin(kind) is tuple
+def _is_tuple(target_type: Any) -> bool:
+    return typing.get_origin(target_type) is tuple
 
 
-def _converter() -> cattrs.Converter:
-    """Returns a converter that takes no value of another type for a field."""
+def _new_converter() -> cattrs.Converter:
+    """Returns a converter that checks types and coerces no value."""
     converter = cattrs.Converter()
-    converter.register_structure_hook_func(_is_tuple, _row)
-    converter.register_structure_hook(int, _whole)
-    converter.register_structure_hook(float, _number)
-    converter.register_structure_hook(str, _text)
-    converter.register_structure_hook(bool, _flag)
+    converter.register_structure_hook_func(_is_tuple, _to_tuple)
+    converter.register_structure_hook(int, _to_int)
+    converter.register_structure_hook(float, _to_float)
+    converter.register_structure_hook(str, _to_str)
+    converter.register_structure_hook(bool, _to_bool)
     return converter
 
 
-_CONVERTER = _converter()
+_CONVERTER = _new_converter()
 
 
-def read(kind: type[_T], raw: Any) -> _T | unusable.Unusable:
-    """Turns a decoded document into a frozen data class.
+def parse_document(target_type: type[_T], raw: Any) -> _T | unusable.Unusable:
+    """Converts a decoded JSON document to a frozen data class.
 
-    Fields that the class does not name are ignored: new ones may come.
+    Ignores fields that the class does not have, so that newer writers may add
+    some.
     """
     if not isinstance(raw, dict):
-        return unusable.Unusable(f"a JSON object, not {type(raw).__name__}")
+        return unusable.Unusable(
+            f"expected a JSON object, not {type(raw).__name__}"
+        )
     try:
-        return _CONVERTER.structure(raw, kind)
+        return _CONVERTER.structure(raw, target_type)
     except (cattrs.BaseValidationError, ValueError, TypeError) as error:
         reasons = cattrs.transform_error(error)
         return unusable.Unusable("; ".join(reasons[:_MAX_REASONS]))
 
 
-def decode(content: bytes | str) -> Any:
-    """Decodes JSON; whatever is wrong with it is a ``ValueError``."""
+def decode_json(content: bytes | str) -> Any:
+    """Decodes JSON.
+
+    Raises:
+        ValueError: the content is not valid JSON or is nested too deeply.
+    """
     try:
         return json.loads(content)
     except RecursionError:
-        raise ValueError("it is nested too deeply") from None
+        raise ValueError("the JSON is nested too deeply") from None
 
 
-def finite(value: Any) -> float | None:
-    """Returns a number that can be reckoned with, None for anything else."""
+def finite_float(value: Any) -> float | None:
+    """Returns a finite number as a float, and None for anything else."""
     if type(value) not in (int, float) or not math.isfinite(value):
         return None
     return float(value)
--- a/src/vanillaswitch/platform/job_body.py
+++ b/src/vanillaswitch/platform/job_body.py
@@ -1,4 +1,4 @@
-"""The bodies of the clients' calls: jobs, their states, lengths of queues."""
+"""Bodies of client requests and responses: jobs, states, queue lengths."""
 
 from collections.abc import Mapping
 import json
@@ -14,7 +14,7 @@
 
 
 class BadJobError(ValueError):
-    """The body is no job; the message names the field."""
+    """The body is not a valid job; the message names the field."""
 
 
 _COUNTS = {
@@ -33,8 +33,8 @@
     "fills": "fills",
 }
 _TEXTS = {"requires": "requires", "affinity": "affinity", "image": "image"}
-_TIMES = {"estimate_ms": "estimate_ms", "target_ms": "target_ms"}
-_STEP_FIELDS = {"count", "after", *_COUNTS, *_FLAGS, *_TEXTS, *_TIMES}
+_NUMBERS = {"estimate_ms": "estimate_ms", "target_ms": "target_ms"}
+_STEP_FIELDS = {"count", "after", *_COUNTS, *_FLAGS, *_TEXTS, *_NUMBERS}
 _JOB_FIELDS = {
     "spec",
     "steps",
@@ -52,33 +52,36 @@
     submitted_ms: int,
     submitted_wall_ms: float = 0,
 ) -> jobs.Job:
-    """Decodes a job as a client hands it in.
+    """Decodes a job that a client submits.
 
     Args:
-        body: what the client sent.
+        body: the request body.
         job_id: the job's id.
-        queue: name of its queue.
+        queue: name of the job's queue.
         service: pool of that queue.
         submitted_ms: see ``jobs.Job``.
         submitted_wall_ms: see ``jobs.Job``.
 
     Raises:
-        BadJobError: a field is unknown, missing or out of bounds.
+        BadJobError: a field is unknown, missing or out of range.
     """
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
         raise BadJobError(f"the body is not JSON: {error}") from None
-    _only(raw, _JOB_FIELDS, "the job")
+    _check_fields(raw, _JOB_FIELDS, "the job")
     spec = raw.get("spec", "")
-    if not isinstance(spec, str) or not _is_short_text(spec):
+    if not isinstance(spec, str) or not _is_valid_spec(spec):
         raise BadJobError(
             f"spec: give a text of at most {MAX_SPEC_BYTES} bytes"
         )
-    rows = raw.get("steps")
-    if not isinstance(rows, list) or not 0 < len(rows) <= MAX_STEPS:
+    raw_steps = raw.get("steps")
+    if not isinstance(raw_steps, list) or not 0 < len(raw_steps) <= MAX_STEPS:
         raise BadJobError(f"steps: give a list of 1 to {MAX_STEPS} steps")
-    steps = tuple(_step(row, number) for number, row in enumerate(rows))
+    steps = tuple(
+        _parse_step(raw_step, number)
+        for number, raw_step in enumerate(raw_steps)
+    )
     if sum(step.count for step in steps) > MAX_TASKS:
         raise BadJobError(f"steps: give at most {MAX_TASKS} tasks in all")
     return jobs.Job(
@@ -88,18 +91,19 @@
         spec=spec,
         steps=steps,
         submitted_ms=submitted_ms,
-        repeat_count=_count(raw, "repeat_count", "the job"),
-        first_run_ms=_number(raw, "first_run_ms", "the job"),
-        interval_ms=_number(raw, "interval_ms", "the job"),
+        repeat_count=_get_count(raw, "repeat_count", "the job"),
+        first_run_ms=_get_number(raw, "first_run_ms", "the job"),
+        interval_ms=_get_number(raw, "interval_ms", "the job"),
         submitted_wall_ms=submitted_wall_ms,
     )
 
 
-def _is_short_text(spec: str) -> bool:
-    """Whether a spec is at most so long, in UTF-8.
+def _is_valid_spec(spec: str) -> bool:
+    """Returns whether a spec fits into ``MAX_SPEC_BYTES`` of UTF-8.
 
-    JSON may spell half of a surrogate pair, which no UTF-8 text holds; it
-    ended the request without an answer that says so.
+    JSON can escape an unpaired surrogate, which UTF-8 can't encode. Such a
+    spec is rejected here, since the error would otherwise end the request
+    without a response that names the field.
     """
     try:
         return len(spec.encode()) <= MAX_SPEC_BYTES
@@ -107,72 +111,80 @@
         return False
 
 
-def _only(raw: Any, fields: set[str], where: str) -> None:
+def _check_fields(raw: Any, allowed: set[str], location: str) -> None:
     if not isinstance(raw, dict):
-        raise BadJobError(f"{where}: give a JSON object")
-    unknown = sorted(raw.keys() - fields)
+        raise BadJobError(f"{location}: give a JSON object")
+    unknown = sorted(raw.keys() - allowed)
     if unknown:
-        raise BadJobError(f"{where}: unknown field {unknown[0]!r}")
+        raise BadJobError(f"{location}: unknown field {unknown[0]!r}")
 
 
-def _step(raw: Any, number: int) -> jobs.Step:
-    where = f"step {number}"
-    _only(raw, _STEP_FIELDS, where)
+def _parse_step(raw: Any, number: int) -> jobs.Step:
+    location = f"step {number}"
+    _check_fields(raw, _STEP_FIELDS, location)
     values: dict[str, Any] = {}
     for name, field in _COUNTS.items():
-        values[field] = _count(raw, name, where)
-    for name, field in _TIMES.items():
-        values[field] = _number(raw, name, where)
+        values[field] = _get_count(raw, name, location)
+    for name, field in _NUMBERS.items():
+        values[field] = _get_number(raw, name, location)
     for name, field in _FLAGS.items():
-        values[field] = _typed(raw, name, where, bool, False)
+        values[field] = _get_typed(raw, name, location, bool, False)
     for name, field in _TEXTS.items():
-        values[field] = _typed(raw, name, where, str, "")
-    count = _count(raw, "count", where)
+        values[field] = _get_typed(raw, name, location, str, "")
+    count = _get_count(raw, "count", location)
     if not count:
-        raise BadJobError(f"{where}: count: give a number of at least 1")
-    return jobs.Step(count=count, after=_after(raw, number), **values)
+        raise BadJobError(f"{location}: count: give a number of at least 1")
+    return jobs.Step(count=count, after=_parse_after(raw, number), **values)
 
 
-def _after(raw: Mapping[str, Any], number: int) -> tuple[int, ...]:
-    """Reads earlier steps only, so that no cycle can be expressed."""
-    where = f"step {number}"
-    after = _typed(raw, "after", where, list, [])
+def _parse_after(raw: Mapping[str, Any], number: int) -> tuple[int, ...]:
+    """Reads a step's dependencies; only earlier steps, so no cycles."""
+    location = f"step {number}"
+    after = _get_typed(raw, "after", location, list, [])
     for entry in after:
         if type(entry) is not int or not 0 <= entry < number:
-            raise BadJobError(f"{where}: after: give numbers of earlier steps")
+            raise BadJobError(
+                f"{location}: after: give numbers of earlier steps"
+            )
     return tuple(after)
 
 
-def _typed(
-    raw: Mapping[str, Any], name: str, where: str, kind: type, default: Any
+def _get_typed(
+    raw: Mapping[str, Any],
+    name: str,
+    location: str,
+    expected_type: type,
+    default: Any,
 ) -> Any:
     value = raw.get(name, default)
     if value is None:
         return default
-    if type(value) is not kind:
-        raise BadJobError(f"{where}: {name}: give a {kind.__name__}")
+    if type(value) is not expected_type:
+        raise BadJobError(
+            f"{location}: {name}: give a {expected_type.__name__}"
+        )
     return value
 
 
-def _number(raw: Mapping[str, Any], name: str, where: str) -> float:
+def _get_number(raw: Mapping[str, Any], name: str, location: str) -> float:
     value = raw.get(name) or 0
     if type(value) not in (int, float) or not 0 <= value < 1e15:
-        raise BadJobError(f"{where}: {name}: give a number of at least 0")
+        raise BadJobError(f"{location}: {name}: give a number of at least 0")
     return float(value)
 
 
-def _count(raw: Mapping[str, Any], name: str, where: str) -> int:
-    value = _number(raw, name, where)
+def _get_count(raw: Mapping[str, Any], name: str, location: str) -> int:
+    value = _get_number(raw, name, location)
     if value != int(value):
-        raise BadJobError(f"{where}: {name}: give a whole number")
+        raise BadJobError(f"{location}: {name}: give a whole number")
     return int(value)
 
 
-def state(value: jobs.JobState) -> bytes:
-    """Encodes a job's state."""
+def encode_state(value: jobs.JobState) -> bytes:
+    """Encodes a job's state as a response body."""
     return json.dumps({"state": value.value}).encode()
 
 
-def pending(count: int) -> bytes:
-    """Encodes the length of a queue."""
+def encode_pending(count: int) -> bytes:
+    """Encodes the number of pending jobs of a queue as a response body."""
     return json.dumps({"pending": count}).encode()
--- a/src/vanillaswitch/platform/jobs_http.py
+++ b/src/vanillaswitch/platform/jobs_http.py
@@ -1,4 +1,4 @@
-"""The clients' side of the platform: requests that concern jobs."""
+"""Handles HTTP requests of clients about jobs."""
 
 from collections.abc import Callable
 import re
@@ -17,26 +17,27 @@
 
 DEADLINE_HEADER = "X-Deadline-Ms"
 
-DEFAULT_PATIENCE_S = 3.0
-"""How long a client that does not say so is taken to wait."""
+DEFAULT_TIMEOUT_S = 3.0
+"""Assumed timeout of a client that sends no ``X-Deadline-Ms``."""
 
-ANSWER_MARGIN_S = 0.15
-"""Time kept for an answer to reach its client before it stops waiting."""
+RESPONSE_MARGIN_S = 0.15
+"""Time reserved for a response to reach its client before the client's
+timeout."""
 
 RETRY_AFTER_S = 1.0
-"""When to come back to a store that did not take a write: outages last
-seconds, and the header counts whole ones."""
+"""When clients should retry after a failed write: outages last seconds, and
+the header ``Retry-After`` counts whole seconds."""
 
 _JOB_ID = re.compile(r"[0-9a-fA-F]{16}")
 _OK = 200
 
 
 class JobsHttp:
-    """Answers one request of a client."""
+    """Submits, cancels and shows jobs, and returns lengths of queues."""
 
     def __init__(
         self,
-        intake_: helped_intake.HelpedIntake,
+        job_intake: helped_intake.HelpedIntake,
         link: owner_link.OwnerLink,
         config: Callable[[], fleet.FleetConfig | None],
         clock: clocks.Clock,
@@ -45,13 +46,13 @@
     ):
         self._emit = emit
         self._time = time
-        self._intake = intake_
+        self._intake = job_intake
         self._link = link
         self._config = config
         self._clock = clock
 
     def handle(self, incoming: requests.Incoming) -> requests.Reply:
-        """Answers a request; called in the task of its connection."""
+        """Handles one request, in the greenlet of its connection."""
         reply = self._route(incoming)
         if isinstance(reply, requests.Refusal):
             config = self._config()
@@ -72,23 +73,23 @@
             return _refusal(503, "no-configuration", "come back soon", 1.0)
         path = incoming.target.partition("?")[0]
         host = headers.first(incoming.headers, "host") or ""
-        queue = _queue(config, host, path)
+        queue = _find_queue(config, host, path)
         if queue is None:
             return _refusal(404, "no-queue", "no queue has this address")
         job_id = path[len(queue.prefix) :]
         if not job_id:
-            return self._length(incoming, queue)
+            return self._get_queue_length(incoming, queue)
         if not _JOB_ID.fullmatch(job_id):
             return _refusal(404, "no-job-id", "give 16 hexadecimal digits")
         if incoming.method == "POST":
-            return self._submit(incoming, queue, job_id, config.version)
+            return self._submit_job(incoming, queue, job_id, config.version)
         if incoming.method == "GET":
-            return self._state(incoming, job_id)
+            return self._get_state(incoming, job_id)
         if incoming.method == "DELETE":
-            return self._cancel(incoming, job_id)
+            return self._cancel_job(incoming, job_id)
         return _refusal(405, "method", "use POST, GET or DELETE")
 
-    def _length(
+    def _get_queue_length(
         self, incoming: requests.Incoming, queue: fleet.Queue
     ) -> requests.Reply:
         if incoming.method != "GET":
@@ -96,9 +97,9 @@
         pending = self._link.pending(queue.name)
         if pending is None:
             return _refusal(503, "no-owner", "come back soon", RETRY_AFTER_S)
-        return _answer(job_body.pending(pending))
+        return _ok(job_body.encode_pending(pending))
 
-    def _submit(
+    def _submit_job(
         self,
         incoming: requests.Incoming,
         queue: fleet.Queue,
@@ -116,76 +117,76 @@
             )
         except job_body.BadJobError as error:
             return _refusal(400, "bad-job", str(error))
-        verdict = self._intake.submit(job, self._deadline(incoming))
+        result = self._intake.submit(job, self._deadline(incoming))
         waited_s = self._clock.monotonic() - incoming.received
         self._emit(
             events.HandedIn(
                 job_id,
                 queue.name,
-                verdict.value,
+                result.value,
                 version,
                 int(waited_s * 1000),
             )
         )
-        if verdict is intake.Verdict.ACCEPTED:
-            return _answer(job_body.state(jobs.JobState.QUEUED))
-        if verdict is intake.Verdict.DIFFERENT:
+        if result is intake.Verdict.ACCEPTED:
+            return _ok(job_body.encode_state(jobs.JobState.QUEUED))
+        if result is intake.Verdict.DIFFERENT:
             return _refusal(
                 409, "other-job", "choose another id: this one is taken"
             )
-        return _not_taken(verdict)
+        return _write_failure(result)
 
-    def _state(
+    def _get_state(
         self, incoming: requests.Incoming, job_id: str
     ) -> requests.Reply:
         state = self._link.state(job_id)
         if state is None:
-            read = self._intake.state(job_id, self._deadline(incoming))
-            if isinstance(read, intake.Unknown):
+            stored = self._intake.state(job_id, self._deadline(incoming))
+            if isinstance(stored, intake.Unknown):
                 return _refusal(503, "no-store", "come back soon", 1.0)
-            state = read
+            state = stored
         if state is None:
             return _refusal(410, "no-job", "there is no such job")
-        return _answer(job_body.state(state))
+        return _ok(job_body.encode_state(state))
 
-    def _cancel(
+    def _cancel_job(
         self, incoming: requests.Incoming, job_id: str
     ) -> requests.Reply:
         state = self._link.state(job_id)
         if state is not None and state.ended:
-            return _answer(job_body.state(state))
-        verdict = self._intake.cancel(
+            return _ok(job_body.encode_state(state))
+        result = self._intake.cancel(
             job_id, state is not None, self._deadline(incoming)
         )
-        self._emit(events.CancelAsked(job_id, verdict.value))
-        if verdict is intake.Verdict.ACCEPTED:
-            return _answer(job_body.state(jobs.JobState.CANCELLED))
-        if verdict is intake.Verdict.MISSING:
+        self._emit(events.CancelAsked(job_id, result.value))
+        if result is intake.Verdict.ACCEPTED:
+            return _ok(job_body.encode_state(jobs.JobState.CANCELLED))
+        if result is intake.Verdict.MISSING:
             return _refusal(410, "no-job", "there is no such job")
-        return _not_taken(verdict)
+        return _write_failure(result)
 
     def _deadline(self, incoming: requests.Incoming) -> float:
         text = headers.first(incoming.headers, DEADLINE_HEADER) or ""
-        patience = DEFAULT_PATIENCE_S
+        timeout_s = DEFAULT_TIMEOUT_S
         if text.isdigit():
-            patience = int(text) / 1000
-        return incoming.received + max(0.0, patience - ANSWER_MARGIN_S)
+            timeout_s = int(text) / 1000
+        return incoming.received + max(0.0, timeout_s - RESPONSE_MARGIN_S)
 
 
-def _queue(
+def _find_queue(
     config: fleet.FleetConfig, host: str, path: str
 ) -> fleet.Queue | None:
-    """Returns the queue of the longest prefix at a host."""
+    """Returns the host's queue with the longest prefix of the path."""
     name = host.partition(":")[0].lower()
-    found = [
+    matching = [
         queue
         for queue in config.queues
         if queue.host == name and path.startswith(queue.prefix)
     ]
-    return max(found, key=lambda queue: len(queue.prefix), default=None)
+    return max(matching, key=lambda queue: len(queue.prefix), default=None)
 
 
-def _answer(body: bytes) -> requests.Answer:
+def _ok(body: bytes) -> requests.Answer:
     return requests.Answer(_OK, job_body.JSON_TYPE, body)
 
 
@@ -197,9 +198,12 @@
     )
 
 
-def _not_taken(verdict: intake.Verdict) -> requests.Refusal:
-    """Tells whether a write surely had no effect, or may yet have one."""
-    if verdict is intake.Verdict.NOT_DONE:
+def _write_failure(result: intake.Verdict) -> requests.Refusal:
+    """Returns the refusal for a write that was not confirmed.
+
+    It states whether the write certainly had no effect or may have one.
+    """
+    if result is intake.Verdict.NOT_DONE:
         return _refusal(
             503, "no-store", "the store did not take it", RETRY_AFTER_S
         )
--- a/src/vanillaswitch/platform/machines.py
+++ b/src/vanillaswitch/platform/machines.py
@@ -1,4 +1,7 @@
-"""The platform's machines: their list, moves and upkeep."""
+"""Client of the platform's machine API: list, pool moves and maintenance.
+
+The platform calls maintenance "upkeep".
+"""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -15,14 +18,14 @@
 from vanillaswitch.transport import plain_http
 
 LIST_TIMEOUT_S = 1.5
-"""Limit for one page of the list, within which a slow platform answers."""
+"""Time limit for one page of the list; a slow platform answers within it."""
 
 ORDER_TIMEOUT_S = 1.5
-"""Limit for one order; an order without an answer is sent again."""
+"""Time limit for one order; an order without an answer is sent again."""
 
 _OK = 200
-_REFUSED = 409
-_IMPOSSIBLE = 400
+_CONFLICT = 409
+_BAD_REQUEST = 400
 _BUSY = "busy"
 
 
@@ -35,48 +38,58 @@
         self._client = client
         self._address = address
         self._holder = holder
-        self._silent = False
-        self._known: dict[str, tuple[Any, fleet.Machine]] = {}
+        self._last_call_failed = False
+        self._decoded_entries: dict[str, tuple[Any, fleet.Machine]] = {}
 
     def list(self) -> Sequence[fleet.Machine] | fleet.NoAnswer:
-        """Reads the whole list, page by page."""
+        """Reads all pages of the list.
+
+        The list is dropped as a whole if one machine in it is unusable. A
+        machine left out would count as gone, and its tasks would start
+        elsewhere.
+        """
         found: list[fleet.Machine] = []
         token = None
         while True:
             target = "/-/machines"
             if token:
                 target += "?" + urllib.parse.urlencode({"page_token": token})
-            reply = self._call("GET", target, None, (), LIST_TIMEOUT_S)
-            if isinstance(reply, calls.NoReply):
-                return fleet.NoAnswer(reply.sent, reply.reason)
-            if reply.status != _OK:
-                return fleet.NoAnswer(False, f"status {reply.status}")
-            page = reply.body.get("machines")
+            response = self._call("GET", target, None, (), LIST_TIMEOUT_S)
+            if isinstance(response, calls.NoResponse):
+                return fleet.NoAnswer(response.sent, response.reason)
+            if response.status != _OK:
+                return fleet.NoAnswer(False, f"status {response.status}")
+            page = response.body.get("machines")
             for raw in page if isinstance(page, list) else [page]:
-                read = self._machine(raw)
-                if isinstance(read, unusable.Unusable):
-                    return fleet.NoAnswer(True, f"a machine: {read.reason}")
-                found.append(read)
-            token = reply.body.get("next_token")
+                decoded = self._decode_cached(raw)
+                if isinstance(decoded, unusable.Unusable):
+                    return fleet.NoAnswer(
+                        True, f"unusable machine: {decoded.reason}"
+                    )
+                found.append(decoded)
+            token = response.body.get("next_token")
             if not token:
-                self._known = {
-                    item.name: self._known[item.name] for item in found
+                self._decoded_entries = {
+                    item.name: self._decoded_entries[item.name]
+                    for item in found
                 }
                 return found
 
-    def _machine(self, raw: Any) -> fleet.Machine | unusable.Unusable:
-        """Decodes a line of the list, once for as long as it stays the same.
+    def _decode_cached(self, raw: Any) -> fleet.Machine | unusable.Unusable:
+        """Decodes an entry of the list, or returns its cached value.
 
-        The list is read four times a second, and few of its lines change.
+        The list is read four times a second and few of its entries change.
         """
         name = raw.get("machine") if isinstance(raw, dict) else None
-        known = self._known.get(name) if isinstance(name, str) else None
-        if known is not None and known[0] == raw:
-            return known[1]
-        read = machine(raw)
-        if isinstance(read, fleet.Machine):
-            self._known[read.name] = raw, read
-        return read
+        cached = (
+            self._decoded_entries.get(name) if isinstance(name, str) else None
+        )
+        if cached is not None and cached[0] == raw:
+            return cached[1]
+        decoded = decode_machine(raw)
+        if isinstance(decoded, fleet.Machine):
+            self._decoded_entries[decoded.name] = raw, decoded
+        return decoded
 
     def move(
         self, machine: str, pool: str, token: int
@@ -88,7 +101,7 @@
     def maintain(
         self, machine: str, wave: int, token: int
     ) -> fleet.Accepted | fleet.Refused | fleet.Busy | fleet.NoAnswer:
-        """Begins a machine's upkeep."""
+        """Starts the maintenance of a machine."""
         body = {"machine": machine, "wave": wave}
         return self._order("/-/machine-upkeep", body, token)
 
@@ -99,19 +112,19 @@
             ("X-Lease-Holder", self._holder),
             ("X-Fencing-Token", str(token)),
         )
-        reply = self._call("POST", path, body, headers, ORDER_TIMEOUT_S)
-        if isinstance(reply, calls.NoReply):
-            return fleet.NoAnswer(reply.sent, reply.reason)
-        if reply.status == _OK:
+        response = self._call("POST", path, body, headers, ORDER_TIMEOUT_S)
+        if isinstance(response, calls.NoResponse):
+            return fleet.NoAnswer(response.sent, response.reason)
+        if response.status == _OK:
             return fleet.Accepted(0.0)
-        if reply.status == _IMPOSSIBLE:
+        if response.status == _BAD_REQUEST:
             return fleet.Refused(fleet.Reason.INVALID)
-        if reply.status != _REFUSED:
-            return fleet.NoAnswer(False, f"status {reply.status}")
-        if reply.body.get("reason") == _BUSY:
+        if response.status != _CONFLICT:
+            return fleet.NoAnswer(False, f"status {response.status}")
+        if response.body.get("reason") == _BUSY:
             return fleet.Busy()
-        fenced = reply.body.get("reason") == fleet.Reason.FENCED
-        reason = fleet.Reason.FENCED if fenced else fleet.Reason.INVALID
+        is_fenced = response.body.get("reason") == fleet.Reason.FENCED
+        reason = fleet.Reason.FENCED if is_fenced else fleet.Reason.INVALID
         return fleet.Refused(reason)
 
     def _call(
@@ -121,8 +134,8 @@
         body: Mapping[str, Any] | None,
         headers: requests.Headers,
         timeout_s: float,
-    ) -> calls.Reply | calls.NoReply:
-        reply = calls.call(
+    ) -> calls.Response | calls.NoResponse:
+        response = calls.call(
             self._client,
             self._address,
             method,
@@ -130,48 +143,48 @@
             body,
             headers,
             timeout_s,
-            fresh=self._silent,
+            fresh=self._last_call_failed,
         )
-        self._silent = isinstance(reply, calls.NoReply)
-        return reply
+        self._last_call_failed = isinstance(response, calls.NoResponse)
+        return response
 
 
-_NO_ROOM = upstreams.Room(0, 0)
+_NO_CAPACITY = upstreams.Capacity(0, 0)
 
 
 @dataclasses.dataclass(frozen=True)
-class _Line:
-    """A line of the list of machines; ``id`` is null where nothing runs."""
+class _MachineEntry:
+    """An entry of the list of machines.
+
+    Attributes:
+        id: the instance that runs on the machine; null if there is none.
+    """
 
     machine: str
     pool: str = ""
     state: str = ""
     zone: str = ""
-    capacity: upstreams.Room = _NO_ROOM
+    capacity: upstreams.Capacity = _NO_CAPACITY
     id: str | None = None
 
 
-def machine(raw: Any) -> fleet.Machine | unusable.Unusable:
-    """Decodes a line of the list.
-
-    A list with a line that can't be read is not used: an instance that it
-    does not name is taken to be over, and its tasks start elsewhere.
-    """
-    line = checked.read(_Line, raw)
-    if isinstance(line, unusable.Unusable):
-        return line
-    room = line.capacity.resources()
-    if isinstance(room, unusable.Unusable):
-        return room
+def decode_machine(raw: Any) -> fleet.Machine | unusable.Unusable:
+    """Decodes an entry of the list."""
+    entry = checked.parse_document(_MachineEntry, raw)
+    if isinstance(entry, unusable.Unusable):
+        return entry
+    capacity = entry.capacity.resources()
+    if isinstance(capacity, unusable.Unusable):
+        return capacity
     try:
-        state = fleet.MachineState(line.state)
+        state = fleet.MachineState(entry.state)
     except ValueError:
         state = fleet.MachineState.UNKNOWN
     return fleet.Machine(
-        name=line.machine,
-        pool=line.pool,
+        name=entry.machine,
+        pool=entry.pool,
         state=state,
-        zone=line.zone,
-        instance=line.id or "",
-        capacity=room,
+        zone=entry.zone,
+        instance=entry.id or "",
+        capacity=capacity,
     )
--- a/src/vanillaswitch/platform/operator.py
+++ b/src/vanillaswitch/platform/operator.py
@@ -1,4 +1,8 @@
-"""What the operators write: configurations and waves of upkeep."""
+"""Rows that operators write: configurations and maintenance waves.
+
+The platform's names differ from this program's: a route is a queue, and a
+service is a pool.
+"""
 
 from collections.abc import Mapping
 import dataclasses
@@ -18,6 +22,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Advice:
+    """Parameters of the placement advisor for a queue.
+
+    Attributes:
+        decision_ms: time that the advisor takes for a call.
+        period_ms: additional time for each instance in the call.
+        validity_ms: how long a ticket is valid.
+    """
+
     decision_ms: float = 0.0
     period_ms: float = 0.0
     validity_ms: float = 0.0
@@ -25,6 +37,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Route:
+    """A queue of jobs.
+
+    Attributes:
+        path_prefix: paths of the queue's jobs begin with it.
+        service: pool of the instances that run the queue's tasks.
+        priority: 0 is the highest.
+        max_attempts: number of failed runs of one task that fail its job.
+        stretch: factor on the job's longest chain in the latency objective.
+        target_duration_ms: constant part of the latency objective.
+    """
+
     name: str
     path_prefix: str
     service: str
@@ -36,7 +59,7 @@
     timeout_ms: float = 0.0
     advice: _Advice | None = None
 
-    def queue(self) -> fleet.Queue:
+    def to_queue(self) -> fleet.Queue:
         advice = self.advice
         return fleet.Queue(
             name=self.name,
@@ -54,11 +77,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Service:
+    """A pool of instances.
+
+    Attributes:
+        enforces_capacity: its instances refuse tasks that do not fit.
+        standby: its machines are off.
+    """
+
     name: str
     enforces_capacity: bool = False
     standby: bool = False
 
-    def pool(self) -> fleet.Pool:
+    def to_pool(self) -> fleet.Pool:
         return fleet.Pool(self.name, self.enforces_capacity, self.standby)
 
 
@@ -77,6 +107,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Wave:
+    """A maintenance wave.
+
+    Attributes:
+        wave: its number.
+        duration_s: time from the order until all machines must be done.
+        max_count: how many machines may be in maintenance at once.
+    """
+
     wave: int
     machines: tuple[str, ...] = ()
     duration_s: float = 0.0
@@ -86,40 +124,40 @@
 def config(
     document: Mapping[str, Any],
 ) -> fleet.FleetConfig | unusable.Unusable:
-    """Decodes the row "config"."""
-    read = checked.read(_Config, document)
-    if isinstance(read, unusable.Unusable):
-        return read
+    """Decodes the row "config" of the operators' table."""
+    decoded = checked.parse_document(_Config, document)
+    if isinstance(decoded, unusable.Unusable):
+        return decoded
     return fleet.FleetConfig(
-        version=read.version,
-        queues=tuple(route.queue() for route in read.routes),
-        pools={service.name: service.pool() for service in read.services},
-        max_body_bytes=(read.limits or _Limits()).max_body_bytes,
+        version=decoded.version,
+        queues=tuple(route.to_queue() for route in decoded.routes),
+        pools={service.name: service.to_pool() for service in decoded.services},
+        max_body_bytes=(decoded.limits or _Limits()).max_body_bytes,
     )
 
 
 def wave(
     key: str, document: Mapping[str, Any]
 ) -> fleet.WaveOrder | unusable.Unusable:
-    """Decodes a row "wave/N"."""
-    read = checked.read(_Wave, document)
-    if isinstance(read, unusable.Unusable):
-        return read
+    """Decodes a row "wave/N" of the operators' table."""
+    decoded = checked.parse_document(_Wave, document)
+    if isinstance(decoded, unusable.Unusable):
+        return decoded
     return fleet.WaveOrder(
         name=key,
-        number=read.wave,
-        machines=read.machines,
-        duration_s=read.duration_s,
-        max_count=max(1, read.max_count),
+        number=decoded.wave,
+        machines=decoded.machines,
+        duration_s=decoded.duration_s,
+        max_count=max(1, decoded.max_count),
     )
 
 
 def wave_status(completed: bool) -> dict[str, str]:
-    """Encodes what the operators read of a wave."""
+    """Encodes the status row of a wave, which operators read."""
     return {"state": "completed" if completed else "running"}
 
 
 def reported_state(document: Mapping[str, Any]) -> str:
-    """Decodes what the operators read of a wave; empty for nothing."""
+    """Returns the state in a wave's status row; empty if there is none."""
     state = document.get("state")
     return state if isinstance(state, str) else ""
--- a/src/vanillaswitch/platform/settings.py
+++ b/src/vanillaswitch/platform/settings.py
@@ -1,4 +1,8 @@
-"""The settings file that the platform writes: lines of the form a.b=value."""
+"""Reads the settings file that the platform writes, with lines a.b=value.
+
+The platform's names differ from this program's in places: "duty" is an order
+for a machine, "migrate" is a move to another pool.
+"""
 
 from collections.abc import Mapping
 import os
@@ -28,10 +32,10 @@
 
 
 def path() -> pathlib.Path:
-    """Returns where the platform put the settings file.
+    """Returns the path of the settings file.
 
     Raises:
-        errors.SettingsError: the environment does not name it.
+        errors.SettingsError: the environment variable is not set.
     """
     named = os.environ.get(ENVIRONMENT_VARIABLE)
     if not named:
@@ -42,11 +46,11 @@
 
 
 def load(file: pathlib.Path) -> deployment.Deployment:
-    """Reads a settings file; fields that are not known are passed over.
+    """Reads a settings file and ignores unknown fields.
 
     Raises:
-        errors.SettingsError: it can't be read, or a needed field is missing
-            or malformed.
+        errors.SettingsError: the file can't be read, or a required field is
+            missing or malformed.
     """
     try:
         text = file.read_text(encoding="utf-8")
@@ -66,7 +70,7 @@
 
 
 class _Fields:
-    """Typed access to the pairs, with errors that name the field."""
+    """Typed access to the settings; errors name the field."""
 
     def __init__(self, file: str, values: Mapping[str, str]):
         self._file = file
@@ -90,7 +94,12 @@
             ) from None
 
     def seconds(self, name: str, default: float) -> float:
-        """Reads a field in milliseconds."""
+        """Returns a field, which the file gives in milliseconds, in seconds.
+
+        Args:
+            name: the field.
+            default: in seconds.
+        """
         return self.number(name, default * 1000) / 1000
 
     def flag(self, name: str, default: bool) -> bool:
@@ -105,7 +114,9 @@
     ip = fields.text("ip")
     ports = fields.items("internal_ports")
     if len(ports) != 2:
-        raise errors.SettingsError("internal_ports: give the first and last")
+        raise errors.SettingsError(
+            "internal_ports: give two ports, the first and the last"
+        )
     first = int(ports[0])
     return deployment.Deployment(
         process=fields.text("node_name"),
--- a/src/vanillaswitch/platform/store.py
+++ b/src/vanillaswitch/platform/store.py
@@ -1,6 +1,6 @@
-"""The platform's store of rows as the product's table, and its changes.
+"""Client of the platform's store of rows: reads, commits and change feed.
 
-``store_rows`` tells where rows lie and how they are spelled.
+``store_rows`` defines the partitions and the encoding of rows.
 """
 
 from collections.abc import Callable
@@ -24,30 +24,35 @@
 from vanillaswitch.transport import plain_http
 
 CALL_TIMEOUT_S = 1.5
-"""Limit for one call. A slow store answers in about half a second (60 times
-its 7 ms); a silent connection has to be given up well within a lease."""
+"""Time limit for one call. A slow store answers in about half a second (60
+times its usual 7 ms); a silent connection must be given up well within a
+lease."""
 
-FEED_SLACK_S = 1.0
-"""How much longer than its wait a call for changes may take."""
+FEED_MARGIN_S = 1.0
+"""Time limit of a call for changes, in addition to its wait time."""
 
-SUSPECT_S = 0.1
-"""While a call has waited so long for its answer, others go on connections of
-their own: the kept ones may have gone silent together, and each would hold
-the call that meets it up to its time limit. An idle store answers in 7 ms."""
+SUSPECT_CONNECTIONS_S = 0.1
+"""Once a call has waited for its answer for this long, other calls open new
+connections. The kept connections may all have gone silent together, and each
+would delay a call up to its time limit. An idle store answers in 7 ms."""
 
-SILENT_S = 1.0
-"""A store that answered nothing for so long was away: one that is 60 times
-slower answers in half of it."""
+OUTAGE_S = 1.0
+"""A store that has answered nothing for this long was unavailable: one that is
+60 times slower than usual answers in half that time."""
 
 _OK = 200
 _CONFLICT = 412
 _HISTORY_LOST = 410
-_NOT_DONE = frozenset({429, 503})
+_NOT_APPLIED = frozenset({429, 503})
 
 
 @dataclasses.dataclass(frozen=True)
-class _Read:
-    """The rows of one part, and the version of their first page."""
+class _PartitionRows:
+    """The rows of one partition.
+
+    Attributes:
+        version: version of the first page; later pages may be newer.
+    """
 
     rows: tuple[Mapping[str, Any], ...]
     version: int
@@ -61,57 +66,63 @@
         client: plain_http.PlainClient,
         address: str,
         clock: clocks.Clock,
-        heard: Callable[[float], None],
+        on_store_clock: Callable[[float], None],
     ):
-        """Makes a client of the store.
+        """Creates a client of the store.
 
         Args:
             client: sends the calls.
             address: "ip:port" of the store.
-            clock: tells how long calls take.
-            heard: takes the store's steady clock, in milliseconds, from each
-                answer that names it.
+            clock: measures how long calls take.
+            on_store_clock: called with the store's monotonic clock, in
+                milliseconds, for each response that contains it.
         """
         self._client = client
         self._address = address
         self._clock = clock
-        self._heard = heard
-        self._silent = False
-        self._pages = page_size.PageSize()
+        self._on_store_clock = on_store_clock
+        self._last_call_failed = False
+        self._page_size = page_size.PageSize()
         self._unanswered_since: float | None = None
-        self._returned = gevent.event.Event()
-        self._under_way: dict[int, float] = {}
-        self._ids = itertools.count()
+        self._recovered = gevent.event.Event()
+        self._calls_in_flight: dict[int, float] = {}
+        self._call_numbers = itertools.count()
 
     @property
     def unanswered_s(self) -> float:
-        """For how long calls have been made and none was answered."""
+        """Seconds since the first call after the store's last answer.
+
+        It is 0 if there was no call since then.
+        """
         since = self._unanswered_since
         return 0.0 if since is None else self._clock.monotonic() - since
 
     def read(self, keys: Sequence[str]) -> platform.ReadOutcome:
-        """Reads rows one by one; each is as of its own moment."""
+        """Reads rows one by one, not as of one commit."""
         found: list[platform.Row] = []
         for key in keys:
-            table, name = store_rows.split(key)
-            part = store_rows.part_of(table, name)
-            outcome = self._page(table, part, name, name + "\0", 1)
+            table, name = store_rows.split_key(key)
+            partition = store_rows.partition_of(table, name)
+            outcome = self._read_page(table, partition, name, name + "\0", 1)
             if isinstance(outcome, platform.Unavailable):
                 return outcome
-            found.extend(store_rows.decode(raw) for raw in outcome["rows"])
+            found.extend(store_rows.decode_row(raw) for raw in outcome["rows"])
         return platform.Rows(tuple(found))
 
     def scan(
         self, prefix: str, after: str = "", limit: int = 0
     ) -> platform.ReadOutcome:
-        """Reads the rows of a table whose keys start with ``prefix``."""
-        table, _ = store_rows.split(prefix)
+        """Reads rows whose keys start with ``prefix``, not as of one commit.
+
+        Reads the whole table and filters it.
+        """
+        table, _ = store_rows.split_key(prefix)
         found: list[platform.Row] = []
-        for part in store_rows.parts(table):
-            read = self._all(table, part)
-            if isinstance(read, platform.Unavailable):
-                return read
-            found.extend(store_rows.decode(raw) for raw in read.rows)
+        for partition in store_rows.partitions(table):
+            result = self._read_partition(table, partition)
+            if isinstance(result, platform.Unavailable):
+                return result
+            found.extend(store_rows.decode_row(raw) for raw in result.rows)
         wanted = sorted(
             (
                 row
@@ -125,49 +136,57 @@
     def commit(
         self, transaction: platform.Transaction
     ) -> platform.CommitOutcome:
-        """Tries a transaction once."""
-        reply = self._call(
+        """Sends a transaction once."""
+        response = self._call(
             "POST",
             "/-/rows-tx",
-            store_rows.transaction_body(transaction),
+            store_rows.encode_transaction(transaction),
             CALL_TIMEOUT_S,
         )
-        if isinstance(reply, calls.NoReply):
-            kind = platform.OutcomeUnknown if reply.sent else None
-            return (kind or platform.Unavailable)(reply.reason)
-        version = reply.body.get("row_version")
-        if reply.status == _OK and type(version) is int:
+        if isinstance(response, calls.NoResponse):
+            outcome_type = platform.OutcomeUnknown if response.sent else None
+            return (outcome_type or platform.Unavailable)(response.reason)
+        version = response.body.get("row_version")
+        if response.status == _OK and type(version) is int:
             return platform.Committed(version)
-        if reply.status == _OK:
-            return platform.OutcomeUnknown("an answer without a version")
-        if reply.status == _CONFLICT:
-            return store_rows.conflict(transaction, reply.body.get("rows", ()))
-        if reply.status in _NOT_DONE:
-            return platform.Unavailable(f"status {reply.status}")
-        logs.error("the store refused a transaction: {}", reply)
-        return platform.Unavailable(f"status {reply.status}")
+        if response.status == _OK:
+            return platform.OutcomeUnknown("the response has no row_version")
+        if response.status == _CONFLICT:
+            return store_rows.decode_conflict(
+                transaction, response.body.get("rows", ())
+            )
+        if response.status in _NOT_APPLIED:
+            return platform.Unavailable(f"status {response.status}")
+        logs.error("the store rejected a transaction: {}", response)
+        return platform.Unavailable(f"status {response.status}")
 
     def snapshot(
         self, table: str, parts: tuple[str, ...] = ()
     ) -> feeds.Snapshot | platform.Unavailable:
-        """Reads all rows of a table, or only those in some of its parts.
+        """Reads all rows of a table, or only those in some of its partitions.
 
-        Pages and parts are read at different moments, so a row may be newer
-        than the version of the oldest; changes from there on repeat it.
+        Pages and partitions are read at different times. The snapshot has the
+        lowest of their versions, so some rows may be newer than it; changes
+        after that version repeat these rows.
         """
-        wanted = parts or store_rows.parts(table)
-        readings = [gevent.spawn(self._all, table, part) for part in wanted]
-        gevent.joinall(readings, raise_error=True)
+        wanted = parts or store_rows.partitions(table)
+        greenlets = [
+            gevent.spawn(self._read_partition, table, partition)
+            for partition in wanted
+        ]
+        gevent.joinall(greenlets, raise_error=True)
         rows: list[feeds.Change] = []
         versions: list[int] = []
         missing: dict[str, str] = {}
-        for part, reading in zip(wanted, readings, strict=True):
-            read = reading.value
-            if isinstance(read, platform.Unavailable):
-                missing[part] = read.reason
+        for partition, greenlet in zip(wanted, greenlets, strict=True):
+            result = greenlet.value
+            if isinstance(result, platform.Unavailable):
+                missing[partition] = result.reason
                 continue
-            versions.append(read.version)
-            rows.extend(store_rows.change(table, raw) for raw in read.rows)
+            versions.append(result.version)
+            rows.extend(
+                store_rows.decode_change(table, raw) for raw in result.rows
+            )
         reason = next(iter(missing.values()), "")
         if not versions:
             return platform.Unavailable(reason)
@@ -175,83 +194,99 @@
             tuple(rows), min(versions), tuple(missing), reason
         )
 
-    def _all(self, table: str, part: str) -> _Read | platform.Unavailable:
-        """Reads all pages of one part."""
+    def _read_partition(
+        self, table: str, partition: str
+    ) -> _PartitionRows | platform.Unavailable:
+        """Reads all pages of one partition."""
         rows: list[Mapping[str, Any]] = []
-        begin, version, limit = "", None, page_size.LEAST_ROWS
+        first_key, version, limit = "", None, page_size.LEAST_ROWS
         while True:
-            asked_at = self._clock.monotonic()
-            outcome = self._page(table, part, begin, "", limit)
+            started_at = self._clock.monotonic()
+            outcome = self._read_page(table, partition, first_key, "", limit)
             if isinstance(outcome, platform.Unavailable):
                 return outcome
-            took_s = self._clock.monotonic() - asked_at
-            limit = self._pages.after(len(outcome["rows"]), took_s)
+            elapsed_s = self._clock.monotonic() - started_at
+            limit = self._page_size.after(len(outcome["rows"]), elapsed_s)
             if version is None:
                 version = int(outcome["row_version"])
             page = outcome["rows"]
             rows.extend(page)
             if not page or not outcome.get("more_pages"):
-                return _Read(tuple(rows), version)
-            begin = str(page[-1]["key"]) + "\0"
+                return _PartitionRows(tuple(rows), version)
+            first_key = str(page[-1]["key"]) + "\0"
 
     def changes(
         self, table: str, after: int, wait_s: float
     ) -> feeds.Changes | feeds.HistoryLost | platform.Unavailable:
-        """Waits for changes of a table later than a version."""
+        """Waits for changes of a table after a version."""
         query = urllib.parse.urlencode(
             {"table": table, "after": after, "wait_ms": int(wait_s * 1000)}
         )
-        reply = self._until_back(
+        response = self._call_until_recovered(
             "GET",
             f"/-/rows-feed?{query}",
             None,
-            wait_s + FEED_SLACK_S,
-            self._distrusts_kept(),
+            wait_s + FEED_MARGIN_S,
+            self._suspects_kept_connections(),
         )
-        if isinstance(reply, calls.NoReply):
-            return platform.Unavailable(reply.reason)
-        self._answered(reply)
-        if reply.status == _HISTORY_LOST:
+        if isinstance(response, calls.NoResponse):
+            return platform.Unavailable(response.reason)
+        self._on_response(response)
+        if response.status == _HISTORY_LOST:
             return feeds.HistoryLost()
-        if reply.status != _OK:
-            return platform.Unavailable(f"status {reply.status}")
-        if not _has_rows(reply.body):
-            return platform.Unavailable("an answer without rows")
-        rows = reply.body["rows"]
+        if response.status != _OK:
+            return platform.Unavailable(f"status {response.status}")
+        if not _is_row_page(response.body):
+            return platform.Unavailable(
+                "the response has no rows or row_version"
+            )
+        rows = response.body["rows"]
         return feeds.Changes(
-            tuple(store_rows.change(table, raw) for raw in rows),
-            int(reply.body["row_version"]),
+            tuple(store_rows.decode_change(table, raw) for raw in rows),
+            int(response.body["row_version"]),
         )
 
-    def _page(
-        self, table: str, part: str, begin: str, end: str, limit: int
+    def _read_page(
+        self,
+        table: str,
+        partition: str,
+        first_key: str,
+        end_key: str,
+        limit: int,
     ) -> Mapping[str, Any] | platform.Unavailable:
-        fields: dict[str, Any] = {"table": table, "part": part}
-        if begin:
-            fields["from"] = begin
-        if end:
-            fields["to"] = end
+        fields: dict[str, Any] = {"table": table, "part": partition}
+        if first_key:
+            fields["from"] = first_key
+        if end_key:
+            fields["to"] = end_key
         fields["limit"] = limit
         query = urllib.parse.urlencode(fields)
-        reply = self._call("GET", f"/-/rows-get?{query}", None, CALL_TIMEOUT_S)
-        if isinstance(reply, calls.NoReply):
-            return platform.Unavailable(reply.reason)
-        if reply.status != _OK:
-            return platform.Unavailable(f"status {reply.status}")
-        if not _has_rows(reply.body):
-            return platform.Unavailable("an answer without rows")
-        return reply.body
-
-    def _distrusts_kept(self) -> bool:
-        """Whether kept connections may have gone silent.
-
-        One of the same age as they are has: a call on it got no answer, or
-        still waits for one.
+        response = self._call(
+            "GET", f"/-/rows-get?{query}", None, CALL_TIMEOUT_S
+        )
+        if isinstance(response, calls.NoResponse):
+            return platform.Unavailable(response.reason)
+        if response.status != _OK:
+            return platform.Unavailable(f"status {response.status}")
+        if not _is_row_page(response.body):
+            return platform.Unavailable(
+                "the response has no rows or row_version"
+            )
+        return response.body
+
+    def _suspects_kept_connections(self) -> bool:
+        """Returns whether kept connections may have gone silent.
+
+        Connections to the store may go silent together. So all are suspect if
+        the last call got no answer or a current one has waited too long.
         """
-        oldest = min(self._under_way.values(), default=None)
+        oldest = min(self._calls_in_flight.values(), default=None)
         if oldest is None:
-            return self._silent
-        return self._silent or self._clock.monotonic() - oldest > SUSPECT_S
+            return self._last_call_failed
+        return (
+            self._last_call_failed
+            or self._clock.monotonic() - oldest > SUSPECT_CONNECTIONS_S
+        )
 
     def _call(
         self,
@@ -259,32 +294,32 @@
         target: str,
         body: Mapping[str, Any] | None,
         timeout_s: float,
-    ) -> calls.Reply | calls.NoReply:
+    ) -> calls.Response | calls.NoResponse:
         if self._unanswered_since is None:
             self._unanswered_since = self._clock.monotonic()
-        fresh = self._distrusts_kept()
-        number = next(self._ids)
-        began_at = self._clock.monotonic()
-        self._under_way[number] = began_at
-        call = self._until_back if body is None else self._whole_call
+        fresh = self._suspects_kept_connections()
+        number = next(self._call_numbers)
+        started_at = self._clock.monotonic()
+        self._calls_in_flight[number] = started_at
+        send = self._call_until_recovered if body is None else self._send
         try:
-            reply = call(method, target, body, timeout_s, fresh)
+            response = send(method, target, body, timeout_s, fresh)
         finally:
-            del self._under_way[number]
-        self._silent = isinstance(reply, calls.NoReply)
-        if isinstance(reply, calls.Reply):
-            self._pages.answered(self._clock.monotonic() - began_at)
-            self._answered(reply)
-        return reply
-
-    def _whole_call(
+            del self._calls_in_flight[number]
+        self._last_call_failed = isinstance(response, calls.NoResponse)
+        if isinstance(response, calls.Response):
+            self._page_size.answered(self._clock.monotonic() - started_at)
+            self._on_response(response)
+        return response
+
+    def _send(
         self,
         method: str,
         target: str,
         body: Mapping[str, Any] | None,
         timeout_s: float,
         fresh: bool,
-    ) -> calls.Reply | calls.NoReply:
+    ) -> calls.Response | calls.NoResponse:
         return calls.call(
             self._client,
             self._address,
@@ -295,44 +330,45 @@
             fresh=fresh,
         )
 
-    def _until_back(
+    def _call_until_recovered(
         self,
         method: str,
         target: str,
         body: Mapping[str, Any] | None,
         timeout_s: float,
         fresh: bool,
-    ) -> calls.Reply | calls.NoReply:
-        """Makes a call that changes nothing.
+    ) -> calls.Response | calls.NoResponse:
+        """Makes a read-only call; gives it up when the store recovers.
 
-        One that a silent store was sent is given up as soon as another shows
-        that it is back: it answers new calls, and not those that it met while
-        it was away.
+        After an outage the store answers new calls, but not those that it got
+        during the outage. So an answer to any other call ends this one early.
         """
-        waiting = gevent.spawn(
-            self._whole_call, method, target, body, timeout_s, fresh
+        greenlet = gevent.spawn(
+            self._send, method, target, body, timeout_s, fresh
         )
         try:
-            gevent.wait([waiting, self._returned], count=1)
-            if not waiting.ready():
-                return calls.NoReply(True, "the store is back meanwhile")
-            reply: calls.Reply | calls.NoReply = waiting.get()
-            return reply
+            gevent.wait([greenlet, self._recovered], count=1)
+            if not greenlet.ready():
+                return calls.NoResponse(
+                    True, "sent during an outage that is over"
+                )
+            response: calls.Response | calls.NoResponse = greenlet.get()
+            return response
         finally:
-            # Also when the task that asks is ended.
-            waiting.kill(block=False)
+            # Also runs when the calling greenlet is killed.
+            greenlet.kill(block=False)
 
-    def _answered(self, reply: calls.Reply) -> None:
-        if self.unanswered_s > SILENT_S:
-            self._returned.set()
-            self._returned = gevent.event.Event()
+    def _on_response(self, response: calls.Response) -> None:
+        if self.unanswered_s > OUTAGE_S:
+            self._recovered.set()
+            self._recovered = gevent.event.Event()
         self._unanswered_since = None
-        now_ms = reply.body.get("now_ms")
+        now_ms = response.body.get("now_ms")
         if isinstance(now_ms, int | float):
-            self._heard(now_ms)
+            self._on_store_clock(now_ms)
 
 
-def _has_rows(body: Mapping[str, Any]) -> bool:
-    """Whether an answer holds rows and the version that they are of."""
-    whole = type(body.get("row_version")) is int
-    return whole and isinstance(body.get("rows"), list)
+def _is_row_page(body: Mapping[str, Any]) -> bool:
+    """Returns whether a response holds rows and their version."""
+    has_version = type(body.get("row_version")) is int
+    return has_version and isinstance(body.get("rows"), list)
--- a/src/vanillaswitch/platform/store_rows.py
+++ b/src/vanillaswitch/platform/store_rows.py
@@ -1,11 +1,12 @@
-"""Rows of the platform's store: where they lie and how they are spelled.
-
-A key "job/ab12" is the row "ab12" of the table "job". What the owner of the
-fleet writes lies in one part, so that one transaction may span it. What
-clients hand in is spread over several parts, since a part takes one
-transaction after the other. The tables that the platform shares with us have
-no part and hold bare documents. In our own rows a document stands beside the
-token of the transaction that wrote it, by which a lost answer is settled (see
+"""Keys, partitions and encoding of rows in the platform's store.
+
+The key "job/ab12" is the row "ab12" of the table "job". The platform calls a
+partition a "part"; a transaction can't span partitions, and each partition
+runs its transactions one after the other. So all rows that the owner of the
+fleet writes are in one partition, and rows that clients submit are spread over
+several. Tables that belong to the platform are not partitioned and hold plain
+documents. A row of any other table holds a document and the token of the
+transaction that wrote it, which settles a commit whose answer was lost (see
 ``coordination.commits``).
 """
 
@@ -22,122 +23,131 @@
 from vanillaswitch.protocol import platform
 from vanillaswitch.protocol import unusable
 
-SPREAD = 24
-"""Parts of a table that clients write to. A store 60 times slower takes some
-four transactions a second in a part, and a fleet of 97 machines hands in 57
-jobs a second: 8 parts took 34 of them, counted in the log of such seconds.
-Each part costs a new owner one more call."""
+CLIENT_PARTITIONS = 24
+"""Partitions of a table that clients write to. A store that is 60 times slower
+than usual takes about four transactions a second in a partition, and a fleet
+of 97 machines submits 57 jobs a second; 8 partitions took only 34 of them.
+Each partition costs a new owner one more call."""
 
-_PART = "vanillaswitch"
-_SPREAD_TABLES = frozenset({"job", "spec", "cancel"})
-_SHARED = frozenset({"op", "servers", "status"})
+_OWNER_PARTITION = "vanillaswitch"
+_CLIENT_TABLES = frozenset({"job", "spec", "cancel"})
+_PLATFORM_TABLES = frozenset({"op", "servers", "status"})
 
 
-def split(key: str) -> tuple[str, str]:
-    """Returns the table and the name within it that a key holds."""
+def split_key(key: str) -> tuple[str, str]:
+    """Splits a key into the table and the row's name within it."""
     table, _, name = key.partition("/")
     return table, name
 
 
-def parts(table: str) -> tuple[str, ...]:
-    """Returns the parts that the rows of a table lie in."""
-    if table in _SHARED:
+def partitions(table: str) -> tuple[str, ...]:
+    """Returns the partitions of a table."""
+    if table in _PLATFORM_TABLES:
         return ("",)
-    if table in _SPREAD_TABLES:
-        return tuple(f"{_PART}-{number}" for number in range(SPREAD))
-    return (_PART,)
+    if table in _CLIENT_TABLES:
+        return tuple(
+            f"{_OWNER_PARTITION}-{number}"
+            for number in range(CLIENT_PARTITIONS)
+        )
+    return (_OWNER_PARTITION,)
 
 
-def part_of(table: str, name: str) -> str:
-    """Returns the part that a row lies in; the same on every process."""
-    found = parts(table)
-    return found[zlib.crc32(name.encode()) % len(found)]
+def partition_of(table: str, name: str) -> str:
+    """Returns the partition of a row; all processes compute the same one."""
+    names = partitions(table)
+    return names[zlib.crc32(name.encode()) % len(names)]
 
 
-def _address(key: str) -> dict[str, Any]:
-    table, name = split(key)
-    return {"table": table, "part": part_of(table, name), "key": name}
+def _encode_address(key: str) -> dict[str, Any]:
+    table, name = split_key(key)
+    return {"table": table, "part": partition_of(table, name), "key": name}
 
 
-def _pack(table: str, value: Mapping[str, Any], token: str) -> str:
-    document = value if table in _SHARED else {"token": token, "value": value}
+def _encode_value(table: str, value: Mapping[str, Any], token: str) -> str:
+    document = (
+        value if table in _PLATFORM_TABLES else {"token": token, "value": value}
+    )
     text = json.dumps(document, separators=(",", ":"))
     return base64.b64encode(text.encode()).decode()
 
 
-def _unpack(
-    table: str, packed: str
+def _decode_value(
+    table: str, encoded: str
 ) -> tuple[Mapping[str, Any], str] | unusable.Unusable:
-    """Returns a row's document and token."""
+    """Decodes a row's document and the token of its transaction."""
     try:
-        document = checked.decode(base64.b64decode(packed, validate=True))
+        document = checked.decode_json(base64.b64decode(encoded, validate=True))
     except ValueError as error:
-        return unusable.Unusable(f"its bytes can't be read: {error}")
+        return unusable.Unusable(f"the value is not base64 of JSON: {error}")
     if not isinstance(document, dict):
-        return unusable.Unusable("it is no JSON object")
-    if table in _SHARED:
+        return unusable.Unusable("the value is not a JSON object")
+    if table in _PLATFORM_TABLES:
         return document, ""
     if not isinstance(document.get("value"), dict):
-        return unusable.Unusable("it has no value of ours")
+        return unusable.Unusable('the field "value" is not a JSON object')
     return document["value"], str(document.get("token", ""))
 
 
-def decode(raw: Mapping[str, Any]) -> platform.Row:
-    """Decodes a row; one that can't be read has no content, and is told of."""
+def decode_row(raw: Mapping[str, Any]) -> platform.Row:
+    """Decodes a row; logs and returns an empty one if it can't be decoded."""
     table = str(raw["table"])
     version = int(raw.get("row_version", 0))
-    unpacked = _unpack(table, str(raw.get("value") or ""))
-    if isinstance(unpacked, unusable.Unusable):
-        logs.warning("row {}/{}: {}", table, raw["key"], unpacked.reason)
-        unpacked = {}, ""
+    decoded = _decode_value(table, str(raw.get("value") or ""))
+    if isinstance(decoded, unusable.Unusable):
+        logs.warning("row {}/{}: {}", table, raw["key"], decoded.reason)
+        decoded = {}, ""
     return platform.Row(
-        f"{table}/{raw['key']}", version, unpacked[0], unpacked[1]
+        f"{table}/{raw['key']}", version, decoded[0], decoded[1]
     )
 
 
-def transaction_body(transaction: platform.Transaction) -> dict[str, Any]:
-    """Returns a transaction as the store takes it."""
+def encode_transaction(transaction: platform.Transaction) -> dict[str, Any]:
+    """Encodes a transaction as the body of a request."""
     expected = [
-        {**_address(key), "row_version": version}
-        for key, version in _expected(transaction).items()
+        {**_encode_address(key), "row_version": version}
+        for key, version in _expected_versions(transaction).items()
     ]
     writes = []
-    removed = []
+    deletes = []
     for put in transaction.puts:
         if put.value is None:
-            removed.append(_address(put.key))
+            deletes.append(_encode_address(put.key))
             continue
-        table, _ = split(put.key)
-        packed = _pack(table, put.value, transaction.token)
-        writes.append({**_address(put.key), "value": packed})
-    return {"expected": expected, "writes": writes, "remove": removed}
+        table, _ = split_key(put.key)
+        encoded = _encode_value(table, put.value, transaction.token)
+        writes.append({**_encode_address(put.key), "value": encoded})
+    return {"expected": expected, "writes": writes, "remove": deletes}
 
 
-def _expected(transaction: platform.Transaction) -> dict[str, int]:
-    """Returns the versions that rows must have, by key."""
+def _expected_versions(transaction: platform.Transaction) -> dict[str, int]:
+    """Returns the versions that a transaction expects, by key."""
     expected = {check.key: check.version for check in transaction.checks}
     expected.update({put.key: put.version for put in transaction.puts})
     return expected
 
 
-def conflict(
+def decode_conflict(
     transaction: platform.Transaction, raw_rows: Sequence[Mapping[str, Any]]
 ) -> platform.Conflict:
-    """Keeps the rows whose versions differ; the answer names all of them."""
-    expected = _expected(transaction)
-    rows = [decode(raw) for raw in raw_rows]
+    """Decodes a conflict.
+
+    The store lists every row of the transaction; only those whose version is
+    not the expected one are kept.
+    """
+    expected = _expected_versions(transaction)
+    rows = [decode_row(raw) for raw in raw_rows]
     return platform.Conflict(
         tuple(row for row in rows if row.version != expected.get(row.key))
     )
 
 
-def change(table: str, raw: Mapping[str, Any]) -> feeds.Change:
-    """Decodes a row of a table, or the mark that it was removed."""
+def decode_change(table: str, raw: Mapping[str, Any]) -> feeds.Change:
+    """Decodes a changed row, or the marker of a removed one."""
     version = int(raw.get("row_version", 0))
     key = str(raw["key"])
     if raw.get("removed"):
         return feeds.Change(key, None, version)
-    unpacked = _unpack(table, str(raw.get("value") or ""))
-    if isinstance(unpacked, unusable.Unusable):
-        return feeds.Change(key, None, version, unpacked.reason)
-    return feeds.Change(key, unpacked[0], version)
+    decoded = _decode_value(table, str(raw.get("value") or ""))
+    if isinstance(decoded, unusable.Unusable):
+        return feeds.Change(key, None, version, decoded.reason)
+    return feeds.Change(key, decoded[0], version)
--- a/src/vanillaswitch/platform/upstreams.py
+++ b/src/vanillaswitch/platform/upstreams.py
@@ -1,4 +1,4 @@
-"""Instances: their registrations and the orders that they take."""
+"""Client of the platform's instances: registrations and orders."""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -16,57 +16,66 @@
 
 TABLE = "servers"
 
-MAX_PORTS = 65_536
+PORT_LIMIT = 65_536
+"""One more than the highest TCP port."""
 
 PACE_TIMEOUT_S = 1.0
-"""Limit for a pace order; it answers at once or something is wrong."""
+"""Time limit for a pace order; a healthy instance answers at once."""
 
 _OK = 200
-_REFUSED = 409
-_REPLACED = 421
-_INVALID = 400
+_CONFLICT = 409
+_MISDIRECTED = 421
+_BAD_REQUEST = 400
 
 
-_UNSAID = -1
-"""Stands for a missing ``born``: instances of older versions name none."""
+_NO_BORN = -1
+"""Default of ``born``; instances of older versions do not send the field."""
 
 _DRAINING = "draining"
 _STATES = frozenset({"ready", _DRAINING})
 
 
 @dataclasses.dataclass(frozen=True)
-class Room:
-    """``capacity`` as instances and the list of machines spell it."""
+class Capacity:
+    """The field ``capacity`` of instances and machines.
+
+    Attributes:
+        cpu: thousandths of a core.
+        mem_mb: megabytes.
+        gpu: accelerators.
+    """
 
     cpu: int
     mem_mb: int
     gpu: int = 0
 
     def resources(self) -> fleet.Resources | unusable.Unusable:
-        """Returns the room; nothing has less than none."""
+        """Returns the capacity, or ``Unusable`` if a number is negative."""
         if min(self.cpu, self.mem_mb, self.gpu) < 0:
-            return unusable.Unusable("capacity: a number below 0")
+            return unusable.Unusable("capacity: a number is negative")
         return fleet.Resources(self.cpu, self.mem_mb, self.gpu)
 
 
 @dataclasses.dataclass(frozen=True)
-class _Entry:
-    """A row of the table of instances; the last fields tell us nothing.
+class _InstanceRow:
+    """A row of the table of instances.
 
-    They are read all the same: where one has another type, the row comes from
-    another writer.
+    The fields after ``born`` are not used. They are validated nevertheless: a
+    wrong type shows that something else wrote the row.
 
     Attributes:
-        born: milliseconds since 1970 at which the instance started.
+        service: the pool that the instance belongs to.
+        labels: kind of machine first, rack last.
+        born: start of the instance, in milliseconds since 1970.
     """
 
     service: str
     address: str
     zone: str
     state: str
-    capacity: Room
+    capacity: Capacity
     labels: tuple[str, ...]
-    born: int = _UNSAID
+    born: int = _NO_BORN
     version: str = ""
     slots: int = 0
     cold_left_ms: float = 0.0
@@ -77,27 +86,27 @@
     instance: str, document: Mapping[str, Any]
 ) -> fleet.Registration | unusable.Unusable:
     """Decodes a row of the table of instances."""
-    entry = checked.read(_Entry, document)
-    if isinstance(entry, unusable.Unusable):
-        return entry
-    room = entry.capacity.resources()
-    if isinstance(room, unusable.Unusable):
-        return room
-    if not entry.service:
-        return unusable.Unusable("service: it is empty")
-    if entry.state not in _STATES:
-        return unusable.Unusable(f"state: {entry.state!r} is not known")
-    if not _is_address(entry.address):
-        return unusable.Unusable("address: give an IPv4 address and a port")
+    row = checked.parse_document(_InstanceRow, document)
+    if isinstance(row, unusable.Unusable):
+        return row
+    capacity = row.capacity.resources()
+    if isinstance(capacity, unusable.Unusable):
+        return capacity
+    if not row.service:
+        return unusable.Unusable("service: the name is empty")
+    if row.state not in _STATES:
+        return unusable.Unusable(f"state: unknown value {row.state!r}")
+    if not _is_address(row.address):
+        return unusable.Unusable("address: expected an IPv4 address and a port")
     return fleet.Registration(
         instance=instance,
-        service=entry.service,
-        address=entry.address,
-        zone=entry.zone,
-        draining=entry.state == _DRAINING,
-        capacity=room,
-        labels=entry.labels,
-        born_ms=None if entry.born == _UNSAID else entry.born,
+        service=row.service,
+        address=row.address,
+        zone=row.zone,
+        draining=row.state == _DRAINING,
+        capacity=capacity,
+        labels=row.labels,
+        born_ms=None if row.born == _NO_BORN else row.born,
     )
 
 
@@ -107,19 +116,19 @@
         ipaddress.IPv4Address(host)
     except ValueError:
         return False
-    return port.isascii() and port.isdigit() and 0 < int(port[:6]) < MAX_PORTS
+    return port.isascii() and port.isdigit() and 0 < int(port[:6]) < PORT_LIMIT
 
 
 def format_task(task: jobs.TaskName) -> str:
-    """Returns a task's name as instances spell it."""
+    """Encodes a task's name in the platform's form."""
     return f"{task.job_id}.{task.occurrence}.{task.step}.{task.index}"
 
 
 def parse_task(text: str) -> jobs.TaskName:
-    """Reads a task's name.
+    """Decodes a task's name.
 
     Raises:
-        ValueError: it is none.
+        ValueError: the text is not a task's name.
     """
     job_id, occurrence, step, index = text.split(".")
     return jobs.TaskName(job_id, int(occurrence), int(step), int(index))
@@ -138,7 +147,7 @@
         timeout_s: float,
         fresh: bool,
     ) -> fleet.OrderOutcome:
-        """Starts a task."""
+        """Orders an instance to start a run of a task."""
         body: dict[str, Any] = {
             "task": format_task(order.task),
             "run": order.run,
@@ -150,7 +159,7 @@
             body["checkpointed"] = order.saved
         if order.ticket:
             body["ticket"] = order.ticket
-        return _order(
+        return _order_outcome(
             self._post(target, "/-/run-start", body, timeout_s, fresh)
         )
 
@@ -162,9 +171,11 @@
         token: int,
         timeout_s: float,
     ) -> fleet.OrderOutcome:
-        """Stops a run."""
+        """Orders an instance to stop a run."""
         body = {"task": format_task(task), "run": run, "fence_token": token}
-        return _order(self._post(target, "/-/run-stop", body, timeout_s, False))
+        return _order_outcome(
+            self._post(target, "/-/run-stop", body, timeout_s, False)
+        )
 
     def hold(
         self,
@@ -176,18 +187,22 @@
         timeout_s: float,
         fresh: bool = False,
     ) -> fleet.HoldOutcome:
-        """Extends the lease of what runs and reads what runs and ended."""
+        """Extends the lease of an instance's runs and gets its status report.
+
+        See ``fleet.Upstreams.hold`` for the arguments.
+        """
+        # ``ack_cursor`` is the number of the last acknowledged end.
         body: dict[str, Any] = {"fence_token": token, "ack_cursor": seen}
         if deadline_ms is not None:
             body["deadline_ms"] = deadline_ms
         if wait_s:
             body["wait_ms"] = int(wait_s * 1000)
-        reply = self._post(target, "/-/hold", body, timeout_s, fresh)
-        if isinstance(reply, calls.Reply) and reply.status == _OK:
-            return held(reply.body)
-        outcome = _order(reply)
+        response = self._post(target, "/-/hold", body, timeout_s, fresh)
+        if isinstance(response, calls.Response) and response.status == _OK:
+            return decode_status_report(response.body)
+        outcome = _order_outcome(response)
         if isinstance(outcome, fleet.Accepted):
-            return fleet.NoAnswer(True, "an empty answer")
+            return fleet.NoAnswer(True, "the response is empty")
         return outcome
 
     def pace(
@@ -198,14 +213,14 @@
         percent: int,
         token: int,
     ) -> fleet.OrderOutcome:
-        """Lets a task work at a share of its speed."""
+        """Limits a run to ``percent`` of its full speed."""
         body = {
             "task": format_task(task),
             "run": run,
             "percent": percent,
             "fence_token": token,
         }
-        return _order(
+        return _order_outcome(
             self._post(target, "/-/pace", body, PACE_TIMEOUT_S, False)
         )
 
@@ -216,7 +231,7 @@
         body: Mapping[str, Any],
         timeout_s: float,
         fresh: bool,
-    ) -> calls.Reply | calls.NoReply:
+    ) -> calls.Response | calls.NoResponse:
         return calls.call(
             self._client,
             target.address,
@@ -229,83 +244,94 @@
         )
 
 
-def _clock(body: Mapping[str, Any]) -> float | None:
-    return checked.finite(body.get("clock_ms"))
+def _clock_ms(body: Mapping[str, Any]) -> float | None:
+    return checked.finite_float(body.get("clock_ms"))
 
 
-def _order(reply: calls.Reply | calls.NoReply) -> fleet.OrderOutcome:
-    if isinstance(reply, calls.NoReply):
-        return fleet.NoAnswer(reply.sent, reply.reason)
-    clock = _clock(reply.body)
-    if reply.status == _OK:
+def _order_outcome(
+    response: calls.Response | calls.NoResponse,
+) -> fleet.OrderOutcome:
+    if isinstance(response, calls.NoResponse):
+        return fleet.NoAnswer(response.sent, response.reason)
+    clock = _clock_ms(response.body)
+    if response.status == _OK:
         return fleet.Accepted(clock)
-    if reply.status == _REPLACED:
+    if response.status == _MISDIRECTED:
         return fleet.Replaced()
-    if reply.status == _REFUSED:
-        return fleet.Refused(_reason(reply.body.get("reason")), clock)
-    if reply.status == _INVALID:
-        logs.error("an instance calls an order invalid: {}", dict(reply.body))
+    if response.status == _CONFLICT:
+        return fleet.Refused(_decode_reason(response.body.get("reason")), clock)
+    if response.status == _BAD_REQUEST:
+        logs.error(
+            "an instance rejected an order as invalid: {}", dict(response.body)
+        )
         return fleet.Refused(fleet.Reason.INVALID, clock)
     return fleet.Refused(fleet.Reason.UNHEALTHY, clock)
 
 
-def _reason(raw: Any) -> fleet.Reason:
+def _decode_reason(raw: Any) -> fleet.Reason:
     try:
         return fleet.Reason(raw)
     except ValueError:
-        logs.warning("an order was refused for an unknown reason: {}", raw)
+        logs.warning("an instance refused an order, unknown reason: {}", raw)
         return fleet.Reason.INVALID
 
 
-def held(body: Mapping[str, Any]) -> fleet.Held | fleet.NoAnswer:
-    """Decodes an instance's account of itself.
+def decode_status_report(
+    body: Mapping[str, Any],
+) -> fleet.Held | fleet.NoAnswer:
+    """Decodes an instance's status report.
 
-    One that can't be read is no account: an instance that seemed to run
-    nothing would have its tasks started elsewhere.
+    A report that can't be decoded counts as no answer. Read as an empty
+    report, it would have the instance's tasks started elsewhere.
     """
-    clock_ms = _clock(body)
+    clock_ms = _clock_ms(body)
     if clock_ms is None:
-        return fleet.NoAnswer(True, "its account names no clock")
+        return fleet.NoAnswer(True, "the status report has no clock_ms")
     born_ms = body.get("born")
     if "born" in body and type(born_ms) is not int:
-        logs.error("an instance's account names no start: {!r}", born_ms)
-        return fleet.NoAnswer(True, "its account can't be read")
+        logs.error(
+            "status report: born: expected an integer, not {!r}", born_ms
+        )
+        return fleet.NoAnswer(True, "the status report is invalid")
     try:
         return fleet.Held(
             clock_ms=clock_ms,
             born_ms=born_ms,
-            running=tuple(map(_running, body.get("running") or ())),
-            ended=tuple(map(_end, body.get("ended") or ())),
+            running=tuple(map(_decode_run, body.get("running") or ())),
+            ended=tuple(map(_decode_end, body.get("ended") or ())),
         )
     except unusable.WRONG_FIELDS as error:
-        logs.error("an instance's account can't be read: {!r}", error)
-        return fleet.NoAnswer(True, "its account can't be read")
+        logs.error("the status report of an instance is invalid: {!r}", error)
+        return fleet.NoAnswer(True, "the status report is invalid")
 
 
-def _running(row: Sequence[Any]) -> fleet.Running:
+def _decode_run(raw: Sequence[Any]) -> fleet.Running:
     return fleet.Running(
-        parse_task(row[0]),
-        int(row[1]),
-        str(row[2] or ""),
-        _figure(row[3]),
-        _figure(row[4]) if len(row) > 4 else 0.0,
+        parse_task(raw[0]),
+        int(raw[1]),
+        str(raw[2] or ""),
+        _number_or_zero(raw[3]),
+        _number_or_zero(raw[4]) if len(raw) > 4 else 0.0,
     )
 
 
-def _figure(raw: Any) -> float:
-    """Reads a rough figure of a run; the run is there without it too."""
-    figure = checked.finite(raw)
-    if figure is None:
-        logs.warning("a run's figure can't be read: {!r}", raw)
+def _number_or_zero(raw: Any) -> float:
+    """Decodes a progress figure of a run, 0 if it is not a finite number.
+
+    A wrong figure is no reason to reject the report: the run exists anyway.
+    """
+    number = checked.finite_float(raw)
+    if number is None:
+        logs.warning("status report: not a finite number: {!r}", raw)
         return 0.0
-    return figure
+    return number
 
 
-def _end(row: Sequence[Any]) -> fleet.End:
+def _decode_end(raw: Sequence[Any]) -> fleet.End:
     return fleet.End(
-        int(row[0]),
-        parse_task(row[1]),
-        int(row[2]),
-        fleet.How(row[3]),
-        str(row[4] or ""),
+        int(raw[0]),
+        parse_task(raw[1]),
+        int(raw[2]),
+        fleet.How(raw[3]),
+        str(raw[4] or ""),
     )
--- a/tests/cover/test_unusable_documents.py
+++ b/tests/cover/test_unusable_documents.py
@@ -132,13 +132,13 @@
     if isinstance(found, unusable.Unusable):
         assert found.reason
         return
-    room = found.capacity
-    assert min(room.cpu, room.mem_mb, room.gpu) >= 0
+    capacity = found.capacity
+    assert min(capacity.cpu, capacity.mem_mb, capacity.gpu) >= 0
     assert found.service
     assert all(isinstance(label, str) for label in found.labels)
     host, _, port = found.address.partition(":")
     assert host.count(".") == 3
-    assert 0 < int(port) < upstreams.MAX_PORTS
+    assert 0 < int(port) < upstreams.PORT_LIMIT
 
 
 def test_a_sound_row_names_its_instance():
@@ -204,7 +204,7 @@
 
 @given(damaged(LINE))
 def test_a_line_of_the_list_is_a_machine_or_unusable(raw):
-    found = machines.machine(raw)
+    found = machines.decode_machine(raw)
     assert isinstance(found, fleet.Machine | unusable.Unusable)
 
 
@@ -230,25 +230,29 @@
 
 @given(damaged(HELD))
 def test_an_account_is_whole_or_no_answer(body):
-    found = upstreams.held(body if isinstance(body, dict) else {})
+    found = upstreams.decode_status_report(
+        body if isinstance(body, dict) else {}
+    )
     assert isinstance(found, fleet.Held | fleet.NoAnswer)
 
 
 @pytest.mark.parametrize("born", [None, "17", 17.5, True, [17]])
 def test_an_account_with_a_start_that_is_no_whole_number_is_not_used(born):
-    assert isinstance(upstreams.held(HELD | {"born": born}), fleet.NoAnswer)
+    assert isinstance(
+        upstreams.decode_status_report(HELD | {"born": born}), fleet.NoAnswer
+    )
 
 
 def test_the_start_of_an_instance_is_read_where_it_is_named():
     born = {"born": 1_796_271_705_000}
-    assert upstreams.held(HELD | born).born_ms == born["born"]
+    assert upstreams.decode_status_report(HELD | born).born_ms == born["born"]
     assert _registration(ENTRY | born).born_ms == born["born"]
-    assert upstreams.held(HELD).born_ms is None
+    assert upstreams.decode_status_report(HELD).born_ms is None
     assert _registration(ENTRY).born_ms is None
 
 
 def test_a_sound_account_is_read():
-    found = upstreams.held(HELD)
+    found = upstreams.decode_status_report(HELD)
     assert found.running[0].percent == 41
     assert found.ended[0].how is fleet.How.DONE
 
@@ -293,7 +297,7 @@
         "row_version": 3,
         "value": base64.b64encode(content).decode(),
     }
-    change = store_rows.change("servers", raw)
+    change = store_rows.decode_change("servers", raw)
     assert isinstance(change, feeds.Change)
     assert (change.value is None) == bool(change.damage)
 
@@ -301,22 +305,24 @@
 @given(st.text(max_size=20) | st.none() | st.integers())
 def test_any_value_that_is_not_base64_makes_a_change(value):
     raw = {"table": "job", "key": "a", "row_version": 3, "value": value}
-    change = store_rows.change("job", raw)
+    change = store_rows.decode_change("job", raw)
     assert (change.value is None) == bool(change.damage)
 
 
 def test_deep_nesting_is_refused_as_any_other_text():
     with pytest.raises(ValueError, match="nested"):
-        checked.decode("[" * 100_000)
+        checked.decode_json("[" * 100_000)
 
 
 def test_a_removed_row_is_not_a_damaged_one():
     raw = {"key": "i-1", "row_version": 3, "removed": True}
-    assert store_rows.change("servers", raw) == feeds.Change("i-1", None, 3)
+    assert store_rows.decode_change("servers", raw) == feeds.Change(
+        "i-1", None, 3
+    )
 
 
 def test_numbers_that_can_not_be_reckoned_with_are_none():
     for value in (float("nan"), float("inf"), "3", None, True):
-        assert checked.finite(value) is None
-    assert checked.finite(3) == 3.0
+        assert checked.finite_float(value) is None
+    assert checked.finite_float(3) == 3.0
     assert json.loads("1e999") == float("inf")
--- a/tests/failures/test_slow_store.py
+++ b/tests/failures/test_slow_store.py
@@ -25,7 +25,7 @@
     """
     rng = random.Random(1)
     parts = collections.Counter(
-        store_rows.part_of("job", ids.new_id(rng))
+        store_rows.partition_of("job", ids.new_id(rng))
         for _ in range(_HAND_INS_PER_S * _SECONDS)
     )
     assert max(parts.values()) <= _TRANSACTIONS_PER_S * _SECONDS
