--- a/src/vanillaswitch/platform/advice.py
+++ b/src/vanillaswitch/platform/advice.py
@@ -43,6 +43,7 @@
             return fleet.NoAnswer(response.sent, response.reason)
         if response.status != _OK:
             return fleet.NoAnswer(False, f"status {response.status}")
+        # "good" lists pairs of an instance and its ticket.
         tickets = {
             str(row[0]): str(row[1]) for row in response.body.get("good", ())
         }
--- a/src/vanillaswitch/platform/checked.py
+++ b/src/vanillaswitch/platform/checked.py
@@ -64,7 +64,7 @@
 
 
 def _new_converter() -> cattrs.Converter:
-    """Returns a converter that checks types and coerces no value."""
+    """Returns a converter that rejects values of another type."""
     converter = cattrs.Converter()
     converter.register_structure_hook_func(_is_tuple, _to_tuple)
     converter.register_structure_hook(int, _to_int)
--- a/src/vanillaswitch/platform/job_body.py
+++ b/src/vanillaswitch/platform/job_body.py
@@ -17,12 +17,13 @@
     """The body is not a valid job; the message names the field."""
 
 
+# Fields of a step in the body, by type, and their attributes in ``jobs.Step``.
 _COUNTS = {
     "cpu": "cpu",
     "mem_mb": "mem_mb",
     "gpu": "gpu",
     "anti_affinity": "anti_affinity",
-    "may_miss": "may_miss",
+    "may_miss": "may_miss",  # disruption budget: tasks that may be down
 }
 _FLAGS = {
     "gang": "gang",
@@ -30,7 +31,7 @@
     "checkpointable": "checkpointable",
     "speculative": "speculative",
     "long_running": "long_running",
-    "fills": "fills",
+    "fills": "fills",  # uses only processors that other tasks leave idle
 }
 _TEXTS = {"requires": "requires", "affinity": "affinity", "image": "image"}
 _NUMBERS = {"estimate_ms": "estimate_ms", "target_ms": "target_ms"}
--- a/src/vanillaswitch/platform/operator.py
+++ b/src/vanillaswitch/platform/operator.py
@@ -14,8 +14,12 @@
 
 CONFIG_KEY = "config"
 WAVE_PREFIX = "wave/"
+
 TABLE = "op"
+"""The table that operators write."""
+
 STATUS_TABLE = "status"
+"""The table of wave states, which operators read."""
 
 _MAX_BODY_BYTES = 262_144
 
--- a/src/vanillaswitch/platform/settings.py
+++ b/src/vanillaswitch/platform/settings.py
@@ -13,6 +13,8 @@
 
 ENVIRONMENT_VARIABLE = "VANILLASWITCH_SETTINGS"
 KNOWN_ORDERS = "request"
+"""The only supported value of ``orders``, how instances take orders."""
+
 KNOWN_CONTRACTS = frozenset(
     {
         "base",
--- a/src/vanillaswitch/platform/upstreams.py
+++ b/src/vanillaswitch/platform/upstreams.py
@@ -15,6 +15,7 @@
 from vanillaswitch.transport import plain_http
 
 TABLE = "servers"
+"""The platform's name of the table of instances."""
 
 PORT_LIMIT = 65_536
 """One more than the highest TCP port."""
@@ -156,6 +157,7 @@
             "fence_token": order.token,
         }
         if order.saved:
+            # The checkpoint to resume from.
             body["checkpointed"] = order.saved
         if order.ticket:
             body["ticket"] = order.ticket
--- a/tests/cover/test_edge_platform.py
+++ b/tests/cover/test_edge_platform.py
@@ -1,4 +1,4 @@
-"""The adapter of the users' platform against a small stand-in of it."""
+"""Tests the adapters of the users' platform against a stand-in server."""
 
 import contextlib
 import pathlib
@@ -28,13 +28,13 @@
 
 @contextlib.contextmanager
 def _platform(instances=1):
-    outside = edge_http.EdgePlatform(instances, task_s=0.05)
+    standin = edge_http.EdgePlatform(instances, task_s=0.05)
     clock = clocks.SystemClock()
-    with outside.serving(), plain_http.open_client(clock) as client:
+    with standin.serving(), plain_http.open_client(clock) as client:
         yield (
-            outside,
+            standin,
             client,
-            stores.Store(client, outside.address, clock, lambda _: None),
+            stores.Store(client, standin.address, clock, lambda _: None),
         )
 
 
@@ -43,7 +43,7 @@
     return platform.Transaction(f"token-{key}-{version}", (put,))
 
 
-def test_a_row_is_written_under_its_version_only():
+def test_commit_requires_the_expected_row_version():
     with _platform() as (_, _, store):
         written = store.commit(_put("job/a", 0, {"n": 1}))
         assert isinstance(written, platform.Committed)
@@ -56,7 +56,7 @@
         assert store.read(["job/a"]).rows[0].value == {"n": 3}
 
 
-def test_a_conflict_names_only_the_rows_that_differ():
+def test_conflict_returns_only_rows_with_another_version():
     with _platform() as (_, _, store):
         first = store.commit(_put("owner/a", 0, {}))
         store.commit(_put("owner/b", 0, {}))
@@ -71,7 +71,7 @@
         assert [row.key for row in found] == ["owner/b"]
 
 
-def test_a_snapshot_holds_the_rows_of_all_parts():
+def test_snapshot_holds_the_rows_of_all_partitions():
     with _platform() as (_, _, store):
         for number in range(30):
             store.commit(_put(f"job/{number}", 0, {"n": number}))
@@ -81,7 +81,7 @@
         assert len(scanned.rows) == 11
 
 
-def test_changes_go_on_from_a_snapshot():
+def test_changes_continue_from_a_snapshot():
     with _platform() as (_, _, store):
         before = store.snapshot("job")
         store.commit(_put("job/a", 0, {"n": 1}))
@@ -91,10 +91,10 @@
         assert later.changes == ()
 
 
-def test_lost_history_is_told_and_read_anew():
-    with _platform() as (outside, _, store):
+def test_follower_rereads_the_table_after_lost_history():
+    with _platform() as (standin, _, store):
         store.commit(_put("job/a", 0, {"n": 1}))
-        outside.rows.forget()
+        standin.rows.forget()
         assert isinstance(store.changes("job", 0, 0.0), feeds.HistoryLost)
         seen = []
         seen_events = []
@@ -110,9 +110,9 @@
         task = gevent.spawn(follower.run)
         gevent.sleep(0.1)
         store.commit(_put("job/b", 0, {"n": 2}))
-        outside.rows.forget()
-        # Two pauses and three calls; only a follower that never reads the
-        # table anew takes as long as this.
+        standin.rows.forget()
+        # The follower needs two pauses and three calls, far less than the
+        # limit. It only takes this long if it never reads the table again.
         with gevent.Timeout(10.0, False):
             while {change.key for change in seen} != {"a", "b"}:
                 gevent.sleep(0.01)
@@ -121,48 +121,48 @@
         assert seen_events[-1].state == "back"
 
 
-def test_a_store_that_is_down_did_nothing_and_says_so():
-    with _platform() as (outside, _, store):
-        outside.rows.down = True
+def test_unavailable_store_applies_nothing_and_reports_it():
+    with _platform() as (standin, _, store):
+        standin.rows.down = True
         outcome = store.commit(_put("job/a", 0, {}))
         assert isinstance(outcome, platform.Unavailable)
         assert isinstance(store.snapshot("job"), platform.Unavailable)
-        outside.rows.down = False
+        standin.rows.down = False
         assert store.read(["job/a"]).rows == ()
 
 
-def test_an_instance_takes_orders_and_lists_what_ended():
-    with _platform() as (outside, client, store):
+def test_instance_accepts_orders_and_reports_ended_runs():
+    with _platform() as (standin, client, store):
         gevent.sleep(0.05)
         row = store.snapshot(upstreams.TABLE).rows[0]
         target = upstreams.registration(row.key, row.value)
         assert target.rack == "r0"
-        orders = upstreams.HttpUpstreams(client)
+        instance_client = upstreams.HttpUpstreams(client)
         task = jobs.TaskName("ab" * 8, 0, 1, 2)
         start = fleet.Start(task, 1, "text", "", 7, 10_000)
-        accepted = orders.start(target, start, 1.0, False)
+        accepted = instance_client.start(target, start, 1.0, False)
         assert isinstance(accepted, fleet.Accepted)
-        held = orders.hold(target, 7, 0, 10_000, 1.0, 2.0)
-        assert [end.how for end in held.ended] == [fleet.How.DONE]
-        assert held.ended[0].task == task
-        low = orders.stop(target, task, 1, 3, 1.0)
-        assert fleet.is_fenced(low)
-        assert outside.instances[0].model.started == [(task, 1)]
+        report = instance_client.hold(target, 7, 0, 10_000, 1.0, 2.0)
+        assert [end.how for end in report.ended] == [fleet.How.DONE]
+        assert report.ended[0].task == task
+        stop_with_lower_token = instance_client.stop(target, task, 1, 3, 1.0)
+        assert fleet.is_fenced(stop_with_lower_token)
+        assert standin.instances[0].model.started == [(task, 1)]
 
 
-def test_another_instance_at_the_address_is_told_apart():
+def test_order_to_a_replaced_instance_is_detected():
     with _platform() as (_, client, store):
         gevent.sleep(0.05)
         row = store.snapshot(upstreams.TABLE).rows[0]
         target = upstreams.registration("i-other", row.value)
-        orders = upstreams.HttpUpstreams(client)
-        outcome = orders.hold(target, 1, 0, None, 0.0, 1.0)
+        instance_client = upstreams.HttpUpstreams(client)
+        outcome = instance_client.hold(target, 1, 0, None, 0.0, 1.0)
         assert outcome == fleet.Replaced()
 
 
-def test_machines_are_listed_with_what_runs_on_them():
-    with _platform(2) as (outside, client, _):
-        found = machines.HttpMachines(client, outside.address, "edge-1")
+def test_machines_are_listed_with_their_instances():
+    with _platform(2) as (standin, client, _):
+        found = machines.HttpMachines(client, standin.address, "edge-1")
         assert [item.instance for item in found.list()] == ["i-0", "i-1"]
 
 
@@ -201,7 +201,7 @@
     return job_body.parse(body, "ab" * 8, "q", "s", 0)
 
 
-def test_a_job_is_decoded_with_its_defaults():
+def test_job_is_decoded_with_its_defaults():
     job = _parse(b'{"spec":"x","steps":[{"count":2},{"count":1,"after":[0]}]}')
     assert job.steps[0] == jobs.Step(count=2)
     assert job.steps[1].after == (0,)
@@ -228,12 +228,12 @@
         (b'{"steps":[{"count":20000}]}', "tasks"),
     ],
 )
-def test_what_is_no_job_is_refused_by_the_name_of_its_field(body, named):
+def test_invalid_job_is_rejected_with_the_name_of_the_field(body, named):
     with pytest.raises(job_body.BadJobError, match=named):
         _parse(body)
 
 
-def test_settings_are_read_and_unknown_fields_passed_over(tmp_path):
+def test_settings_are_read_and_unknown_fields_ignored(tmp_path):
     file = tmp_path / "settings.conf"
     file.write_text(
         "node_name=edge-1\nip=10.0.0.1\nlisten.frontend=10.0.0.1:1\n"
@@ -258,22 +258,22 @@
         ("", "ip"),
     ],
 )
-def test_a_missing_setting_is_named(tmp_path, text, named):
+def test_missing_setting_is_named_in_the_error(tmp_path, text, named):
     file = tmp_path / "settings.conf"
     file.write_text(text)
     with pytest.raises(errors.SettingsError, match=named):
         settings.load(file)
 
 
-def test_the_platform_s_words_stay_in_its_folder():
-    words = re.compile(
+def test_platform_names_are_used_only_in_its_package():
+    names = re.compile(
         r"rows-tx|rows-get|rows-feed|run-start|run-stop|fence_token|"
         r"ack_cursor|path_prefix|max_attempts\"|seq_no|checkpointed\""
     )
-    wrong = [
+    misplaced = [
         f"{path.name}: {found.group()}"
         for path in sorted(_SOURCE.rglob("*.py"))
         if path.parent.name != "platform"
-        for found in words.finditer(path.read_text())
+        for found in names.finditer(path.read_text())
     ]
-    assert not wrong
+    assert not misplaced
--- a/tests/cover/test_unusable_documents.py
+++ b/tests/cover/test_unusable_documents.py
@@ -1,4 +1,7 @@
-"""What others write ends in a value and never in an error."""
+"""Tests that decoding any document from outside returns a value.
+
+The decoders return ``Unusable`` for damaged documents and never raise.
+"""
 
 import base64
 import json
@@ -21,7 +24,7 @@
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import unusable
 
-ENTRY = {
+INSTANCE_ROW = {
     "service": "berthing",
     "address": "10.128.0.9:8080",
     "zone": "zone-1",
@@ -34,7 +37,7 @@
     "clock_ms": 482113,
     "seq_no": 4,
 }
-LINE = {
+MACHINE_ENTRY = {
     "machine": "m-1",
     "pool": "berthing",
     "state": "up",
@@ -58,12 +61,12 @@
     "limits": {"max_body_bytes": 1000},
 }
 WAVE = {"wave": 1, "machines": ["m-1"], "duration_s": 20, "max_count": 1}
-HELD = {
+STATUS_REPORT = {
     "clock_ms": 482113,
     "running": [["5c0e7a21d94b36f8.0.1.17", 2, "", 41, 3]],
     "ended": [[58, "5c0e7a21d94b36f8.0.1.9", 1, "done", ""]],
 }
-PROGRESS = {
+JOB_PROGRESS = {
     "ended": "",
     "ended_store_ms": 0.0,
     "started": True,
@@ -82,17 +85,17 @@
 )
 VALUES = st.recursive(
     SCALARS,
-    lambda inner: (
-        st.lists(inner, max_size=4)
-        | st.dictionaries(st.text(max_size=6), inner, max_size=4)
+    lambda value: (
+        st.lists(value, max_size=4)
+        | st.dictionaries(st.text(max_size=6), value, max_size=4)
     ),
     max_leaves=12,
 )
 
 
-def _paths(document, before=()):
-    """Returns where values stand in a document, itself included."""
-    yield before
+def _paths(document, prefix=()):
+    """Yields the path of each value in a document, () for the document."""
+    yield prefix
     entries = (
         document.items()
         if isinstance(document, dict)
@@ -100,22 +103,22 @@
         if isinstance(document, list)
         else ()
     )
-    for name, inner in entries:
-        yield from _paths(inner, (*before, name))
+    for name, value in entries:
+        yield from _paths(value, (*prefix, name))
 
 
-def _replaced(document, path, value):
+def _replace_at(document, path, value):
     if not path:
         return value
     copy = document.copy()
-    copy[path[0]] = _replaced(document[path[0]], path[1:], value)
+    copy[path[0]] = _replace_at(document[path[0]], path[1:], value)
     return copy
 
 
-def damaged(document):
-    """Draws a document with one value replaced, or any value at all."""
+def damaged_documents(document):
+    """Draws the document with one value replaced, or an arbitrary value."""
     return VALUES | st.builds(
-        _replaced,
+        _replace_at,
         st.just(document),
         st.sampled_from(list(_paths(document))),
         VALUES,
@@ -126,8 +129,8 @@
     return upstreams.registration("i-1", document)
 
 
-@given(damaged(ENTRY))
-def test_a_row_names_a_sound_instance_or_none(document):
+@given(damaged_documents(INSTANCE_ROW))
+def test_any_instance_row_is_decoded_or_unusable(document):
     found = _registration(document)
     if isinstance(found, unusable.Unusable):
         assert found.reason
@@ -141,8 +144,8 @@
     assert 0 < int(port) < upstreams.PORT_LIMIT
 
 
-def test_a_sound_row_names_its_instance():
-    found = _registration(ENTRY)
+def test_valid_instance_row_is_decoded():
+    found = _registration(INSTANCE_ROW)
     assert found == fleet.Registration(
         "i-1",
         "berthing",
@@ -152,8 +155,8 @@
         fleet.Resources(16000, 32768, 0),
         ("a", "r1-3"),
     )
-    assert _registration(ENTRY | {"new": 1, "remaining_ms": 3}) == found
-    assert _registration(ENTRY | {"state": "draining"}).draining
+    assert _registration(INSTANCE_ROW | {"new": 1, "remaining_ms": 3}) == found
+    assert _registration(INSTANCE_ROW | {"state": "draining"}).draining
 
 
 @pytest.mark.parametrize(
@@ -186,8 +189,8 @@
         ("born", True),
     ],
 )
-def test_a_row_with_a_wrong_field_names_it_and_no_instance(field, value):
-    found = _registration(ENTRY | {field: value})
+def test_wrong_field_of_an_instance_row_is_named(field, value):
+    found = _registration(INSTANCE_ROW | {field: value})
     assert isinstance(found, unusable.Unusable)
     assert field in found.reason
 
@@ -195,26 +198,28 @@
 @pytest.mark.parametrize(
     "field", ["service", "address", "zone", "state", "capacity", "labels"]
 )
-def test_a_row_without_a_field_names_it_and_no_instance(field):
-    document = {name: ENTRY[name] for name in ENTRY if name != field}
+def test_missing_field_of_an_instance_row_is_named(field):
+    document = {
+        name: INSTANCE_ROW[name] for name in INSTANCE_ROW if name != field
+    }
     found = _registration(document)
     assert isinstance(found, unusable.Unusable)
     assert field in found.reason
 
 
-@given(damaged(LINE))
-def test_a_line_of_the_list_is_a_machine_or_unusable(raw):
+@given(damaged_documents(MACHINE_ENTRY))
+def test_any_machine_entry_is_decoded_or_unusable(raw):
     found = machines.decode_machine(raw)
     assert isinstance(found, fleet.Machine | unusable.Unusable)
 
 
-@given(damaged(CONFIG))
-def test_a_configuration_is_whole_or_unusable(document):
+@given(damaged_documents(CONFIG))
+def test_any_configuration_is_decoded_or_unusable(document):
     found = operator.config(document)
     assert isinstance(found, fleet.FleetConfig | unusable.Unusable)
 
 
-def test_a_sound_configuration_is_read():
+def test_valid_configuration_is_decoded():
     found = operator.config(CONFIG)
     assert found.queues[0].advice == fleet.Advice(5, 1, 100)
     assert found.max_body_bytes == 1000
@@ -222,14 +227,14 @@
     assert operator.config(bare).version == 8
 
 
-@given(damaged(WAVE))
-def test_a_wave_is_whole_or_unusable(document):
+@given(damaged_documents(WAVE))
+def test_any_wave_is_decoded_or_unusable(document):
     found = operator.wave("wave/1", document)
     assert isinstance(found, fleet.WaveOrder | unusable.Unusable)
 
 
-@given(damaged(HELD))
-def test_an_account_is_whole_or_no_answer(body):
+@given(damaged_documents(STATUS_REPORT))
+def test_any_status_report_is_decoded_or_no_answer(body):
     found = upstreams.decode_status_report(
         body if isinstance(body, dict) else {}
     )
@@ -237,51 +242,55 @@
 
 
 @pytest.mark.parametrize("born", [None, "17", 17.5, True, [17]])
-def test_an_account_with_a_start_that_is_no_whole_number_is_not_used(born):
+def test_status_report_with_a_non_integer_born_is_rejected(born):
     assert isinstance(
-        upstreams.decode_status_report(HELD | {"born": born}), fleet.NoAnswer
+        upstreams.decode_status_report(STATUS_REPORT | {"born": born}),
+        fleet.NoAnswer,
     )
 
 
-def test_the_start_of_an_instance_is_read_where_it_is_named():
+def test_born_is_decoded_and_may_be_missing():
     born = {"born": 1_796_271_705_000}
-    assert upstreams.decode_status_report(HELD | born).born_ms == born["born"]
-    assert _registration(ENTRY | born).born_ms == born["born"]
-    assert upstreams.decode_status_report(HELD).born_ms is None
-    assert _registration(ENTRY).born_ms is None
+    assert (
+        upstreams.decode_status_report(STATUS_REPORT | born).born_ms
+        == born["born"]
+    )
+    assert _registration(INSTANCE_ROW | born).born_ms == born["born"]
+    assert upstreams.decode_status_report(STATUS_REPORT).born_ms is None
+    assert _registration(INSTANCE_ROW).born_ms is None
 
 
-def test_a_sound_account_is_read():
-    found = upstreams.decode_status_report(HELD)
+def test_valid_status_report_is_decoded():
+    found = upstreams.decode_status_report(STATUS_REPORT)
     assert found.running[0].percent == 41
     assert found.ended[0].how is fleet.How.DONE
 
 
-@given(damaged(job_rows.pack(fleets.job(1))))
-def test_a_job_is_whole_or_unusable(document):
+@given(damaged_documents(job_rows.pack(fleets.job(1))))
+def test_any_job_row_is_decoded_or_unusable(document):
     found = job_rows.unpack(document if isinstance(document, dict) else {})
     assert isinstance(found, jobs.Job | unusable.Unusable)
 
 
-@given(damaged(PROGRESS))
-def test_progress_is_restored_or_refused(document):
+@given(damaged_documents(JOB_PROGRESS))
+def test_any_progress_is_restored_or_rejected(document):
     entry = books.Entry(fleets.job(1), 0.0)
-    wrong = entry.unpack(document if isinstance(document, dict) else {})
-    assert wrong is None or wrong.reason
+    problem = entry.unpack(document if isinstance(document, dict) else {})
+    assert problem is None or problem.reason
 
 
-@given(damaged({"holder": "e", "address": "a:1", "boot": "b"}))
-def test_the_owners_row_names_a_holder(document):
+@given(damaged_documents({"holder": "e", "address": "a:1", "boot": "b"}))
+def test_any_owner_row_has_a_holder_of_type_str(document):
     row = recorders.owner_row(document if isinstance(document, dict) else {})
     assert isinstance(row.holder, str)
 
 
-def test_an_owners_row_that_can_not_be_read_is_held_by_somebody():
-    """Two owners order a machine within the distance that they keep.
+def test_undecodable_owner_row_has_an_unknown_holder():
+    """Guards against two owners that order machines too soon after each other.
 
-    Another writer wrote over the owner's row. Read as "nobody owns the
-    fleet", the next owner ordered machines at once, while the one before may
-    have ordered some until its next write failed.
+    Another writer overwrites the owner's row. If the damaged row meant that
+    nobody owns the fleet, the next owner would order machines at once, although
+    the previous owner may order some until its next write fails.
     """
     assert recorders.owner_row({}).holder
     assert not recorders.owner_row(
@@ -290,7 +299,7 @@
 
 
 @given(st.binary(max_size=40) | st.text(max_size=40).map(str.encode))
-def test_any_bytes_of_a_row_make_a_change(content):
+def test_any_bytes_of_a_row_are_decoded_as_a_change(content):
     raw = {
         "table": "servers",
         "key": "i-1",
@@ -303,25 +312,25 @@
 
 
 @given(st.text(max_size=20) | st.none() | st.integers())
-def test_any_value_that_is_not_base64_makes_a_change(value):
+def test_any_value_that_is_not_base64_is_decoded_as_a_change(value):
     raw = {"table": "job", "key": "a", "row_version": 3, "value": value}
     change = store_rows.decode_change("job", raw)
     assert (change.value is None) == bool(change.damage)
 
 
-def test_deep_nesting_is_refused_as_any_other_text():
+def test_deep_nesting_raises_value_error():
     with pytest.raises(ValueError, match="nested"):
         checked.decode_json("[" * 100_000)
 
 
-def test_a_removed_row_is_not_a_damaged_one():
+def test_removed_row_is_not_damaged():
     raw = {"key": "i-1", "row_version": 3, "removed": True}
     assert store_rows.decode_change("servers", raw) == feeds.Change(
         "i-1", None, 3
     )
 
 
-def test_numbers_that_can_not_be_reckoned_with_are_none():
+def test_finite_float_rejects_other_values():
     for value in (float("nan"), float("inf"), "3", None, True):
         assert checked.finite_float(value) is None
     assert checked.finite_float(3) == 3.0
--- a/tests/failures/test_slow_store.py
+++ b/tests/failures/test_slow_store.py
@@ -1,4 +1,4 @@
-"""Hand-ins of a large fleet while the store is slow."""
+"""Job submissions of a large fleet while the store is slow."""
 
 import collections
 import random
@@ -6,26 +6,27 @@
 from vanillaswitch.internal import ids
 from vanillaswitch.platform import store_rows
 
-_HAND_INS_PER_S = 57
-"""Of a fleet of 97 machines and 276 instances."""
+_SUBMISSIONS_PER_S = 57
+"""Rate of submissions to a fleet of 97 machines and 276 instances."""
 
 _TRANSACTIONS_PER_S = 4.3
-"""In one part of a store that is 60 times slower, as was counted there."""
+"""Throughput of one partition of a store that is 60 times slower."""
 
-_SECONDS = 20
+_DURATION_S = 20
 
 
-def test_no_part_of_a_slow_store_gets_more_hand_ins_than_it_takes():
-    """Clients are refused for 5 s though the store serves everybody.
+def test_submissions_to_each_partition_stay_below_its_throughput():
+    """Guards against refusals while the store is slow but available.
 
-    A store that answers 60 times slower takes some four transactions a second
-    in each part. In eight parts that was 34 hand-ins a second where 57 came;
-    the rest was refused or ended without an outcome, and came again: 216
-    refusals and 101 unknown outcomes in the last of these seconds.
+    A store that is 60 times slower takes about four transactions a second in
+    each partition. Eight partitions took 34 of 57 submissions a second. The
+    others were refused or ended with an unknown outcome, and clients retried
+    them: clients were refused for 5 s, with 216 refusals and 101 unknown
+    outcomes in the last second.
     """
     rng = random.Random(1)
-    parts = collections.Counter(
+    rows_per_partition = collections.Counter(
         store_rows.partition_of("job", ids.new_id(rng))
-        for _ in range(_HAND_INS_PER_S * _SECONDS)
+        for _ in range(_SUBMISSIONS_PER_S * _DURATION_S)
     )
-    assert max(parts.values()) <= _TRANSACTIONS_PER_S * _SECONDS
+    assert max(rows_per_partition.values()) <= _TRANSACTIONS_PER_S * _DURATION_S
