--- a/src/vanillaswitch/platform/calls.py
+++ b/src/vanillaswitch/platform/calls.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Response:
+class JsonResponse:
     """A complete response.
 
     Attributes:
@@ -44,7 +44,7 @@
     headers: requests.Headers = (),
     timeout_s: float = 1.0,
     fresh: bool = False,
-) -> Response | NoResponse:
+) -> JsonResponse | NoResponse:
     """Sends a request once and decodes its response.
 
     Args:
@@ -75,4 +75,4 @@
         decoded = {}
     if not isinstance(decoded, dict):
         decoded = {}
-    return Response(outcome.answer.status, decoded)
+    return JsonResponse(outcome.answer.status, decoded)
--- a/src/vanillaswitch/platform/jobs_http.py
+++ b/src/vanillaswitch/platform/jobs_http.py
@@ -166,6 +166,7 @@
         return _write_failure(result)
 
     def _deadline(self, incoming: requests.Incoming) -> float:
+        """Returns the monotonic time by which a response must be sent."""
         text = headers.first(incoming.headers, DEADLINE_HEADER) or ""
         timeout_s = DEFAULT_TIMEOUT_S
         if text.isdigit():
--- a/src/vanillaswitch/platform/machines.py
+++ b/src/vanillaswitch/platform/machines.py
@@ -96,16 +96,16 @@
     ) -> fleet.Accepted | fleet.Refused | fleet.Busy | fleet.NoAnswer:
         """Moves a machine to another pool."""
         body = {"machine": machine, "pool": pool}
-        return self._order("/-/machine-move", body, token)
+        return self._send_order("/-/machine-move", body, token)
 
     def maintain(
         self, machine: str, wave: int, token: int
     ) -> fleet.Accepted | fleet.Refused | fleet.Busy | fleet.NoAnswer:
         """Starts the maintenance of a machine."""
         body = {"machine": machine, "wave": wave}
-        return self._order("/-/machine-upkeep", body, token)
+        return self._send_order("/-/machine-upkeep", body, token)
 
-    def _order(
+    def _send_order(
         self, path: str, body: Mapping[str, Any], token: int
     ) -> fleet.Accepted | fleet.Refused | fleet.Busy | fleet.NoAnswer:
         headers = (
@@ -134,7 +134,7 @@
         body: Mapping[str, Any] | None,
         headers: requests.Headers,
         timeout_s: float,
-    ) -> calls.Response | calls.NoResponse:
+    ) -> calls.JsonResponse | calls.NoResponse:
         response = calls.call(
             self._client,
             self._address,
--- a/src/vanillaswitch/platform/settings.py
+++ b/src/vanillaswitch/platform/settings.py
@@ -30,7 +30,7 @@
     }
 )
 
-_DEFAULTS = deployment.Bounds()
+_DEFAULT_BOUNDS = deployment.Bounds()
 
 
 def path() -> pathlib.Path:
@@ -58,11 +58,11 @@
         text = file.read_text(encoding="utf-8")
     except OSError as error:
         raise errors.SettingsError(f"{file}: {error.strerror}") from error
-    fields = _Fields(str(file), dict(_pairs(text)))
-    return _deployment(fields)
+    fields = _Fields(str(file), dict(_parse_lines(text)))
+    return _build_deployment(fields)
 
 
-def _pairs(text: str) -> list[tuple[str, str]]:
+def _parse_lines(text: str) -> list[tuple[str, str]]:
     pairs = []
     for line in text.splitlines():
         name, equals, value = line.partition("=")
@@ -112,7 +112,7 @@
         return tuple(item for item in text.split(",") if item)
 
 
-def _deployment(fields: _Fields) -> deployment.Deployment:
+def _build_deployment(fields: _Fields) -> deployment.Deployment:
     ip = fields.text("ip")
     ports = fields.items("internal_ports")
     if len(ports) != 2:
@@ -139,35 +139,43 @@
         writes_per_s=fields.number("platform.writes_per_s", 100.0),
         reads_per_s=fields.number("platform.reads_per_s", 100.0),
         machine_orders_per_s=fields.number("cloud_api.duty_per_s", 10.0),
-        bounds=_bounds(fields),
+        bounds=_build_bounds(fields),
     )
 
 
-def _bounds(fields: _Fields) -> deployment.Bounds:
+def _build_bounds(fields: _Fields) -> deployment.Bounds:
     return deployment.Bounds(
-        contact_s=fields.seconds("bounds.contact_ms", _DEFAULTS.contact_s),
-        drain_s=fields.seconds("bounds.drain_ms", _DEFAULTS.drain_s),
-        grace_s=fields.number("bounds.grace_s", _DEFAULTS.grace_s),
-        max_hold_s=fields.seconds("bounds.max_hold_ms", _DEFAULTS.max_hold_s),
-        stop_s=fields.seconds("bounds.stop_timeout_ms", _DEFAULTS.stop_s),
+        contact_s=fields.seconds(
+            "bounds.contact_ms", _DEFAULT_BOUNDS.contact_s
+        ),
+        drain_s=fields.seconds("bounds.drain_ms", _DEFAULT_BOUNDS.drain_s),
+        grace_s=fields.number("bounds.grace_s", _DEFAULT_BOUNDS.grace_s),
+        max_hold_s=fields.seconds(
+            "bounds.max_hold_ms", _DEFAULT_BOUNDS.max_hold_s
+        ),
+        stop_s=fields.seconds("bounds.stop_timeout_ms", _DEFAULT_BOUNDS.stop_s),
         gang_wait_s=fields.seconds(
-            "bounds.gang_wait_ms", _DEFAULTS.gang_wait_s
+            "bounds.gang_wait_ms", _DEFAULT_BOUNDS.gang_wait_s
         ),
-        cancel_s=fields.seconds("bounds.cancel_ms", _DEFAULTS.cancel_s),
-        early_s=fields.seconds("bounds.early_ms", _DEFAULTS.early_s),
-        move_s=fields.number("bounds.migrate_s", _DEFAULTS.move_s),
-        upkeep_s=fields.number("bounds.maintenance_s", _DEFAULTS.upkeep_s),
-        fenced=fields.flag("bounds.enforce_fencing", _DEFAULTS.fenced),
-        lease_s=fields.seconds("bounds.lease_ms", _DEFAULTS.lease_s),
-        notice_s=fields.seconds("bounds.notice_ms", _DEFAULTS.notice_s),
-        status_s=fields.number("bounds.status_s", _DEFAULTS.status_s),
+        cancel_s=fields.seconds("bounds.cancel_ms", _DEFAULT_BOUNDS.cancel_s),
+        early_s=fields.seconds("bounds.early_ms", _DEFAULT_BOUNDS.early_s),
+        move_s=fields.number("bounds.migrate_s", _DEFAULT_BOUNDS.move_s),
+        upkeep_s=fields.number(
+            "bounds.maintenance_s", _DEFAULT_BOUNDS.upkeep_s
+        ),
+        fenced=fields.flag("bounds.enforce_fencing", _DEFAULT_BOUNDS.fenced),
+        lease_s=fields.seconds("bounds.lease_ms", _DEFAULT_BOUNDS.lease_s),
+        notice_s=fields.seconds("bounds.notice_ms", _DEFAULT_BOUNDS.notice_s),
+        status_s=fields.number("bounds.status_s", _DEFAULT_BOUNDS.status_s),
         remote_factor=fields.number(
-            "bounds.remote_factor", _DEFAULTS.remote_factor
+            "bounds.remote_factor", _DEFAULT_BOUNDS.remote_factor
         ),
         checkpoint_s=fields.number(
-            "bounds.checkpoint_s", _DEFAULTS.checkpoint_s
+            "bounds.checkpoint_s", _DEFAULT_BOUNDS.checkpoint_s
+        ),
+        restore_s=fields.seconds(
+            "bounds.restore_ms", _DEFAULT_BOUNDS.restore_s
         ),
-        restore_s=fields.seconds("bounds.restore_ms", _DEFAULTS.restore_s),
-        impact_s=fields.seconds("bounds.impact_ms", _DEFAULTS.impact_s),
-        pacing_s=fields.seconds("bounds.pacing_ms", _DEFAULTS.pacing_s),
+        impact_s=fields.seconds("bounds.impact_ms", _DEFAULT_BOUNDS.impact_s),
+        pacing_s=fields.seconds("bounds.pacing_ms", _DEFAULT_BOUNDS.pacing_s),
     )
--- a/src/vanillaswitch/platform/store.py
+++ b/src/vanillaswitch/platform/store.py
@@ -294,7 +294,7 @@
         target: str,
         body: Mapping[str, Any] | None,
         timeout_s: float,
-    ) -> calls.Response | calls.NoResponse:
+    ) -> calls.JsonResponse | calls.NoResponse:
         if self._unanswered_since is None:
             self._unanswered_since = self._clock.monotonic()
         fresh = self._suspects_kept_connections()
@@ -307,7 +307,7 @@
         finally:
             del self._calls_in_flight[number]
         self._last_call_failed = isinstance(response, calls.NoResponse)
-        if isinstance(response, calls.Response):
+        if isinstance(response, calls.JsonResponse):
             self._page_size.answered(self._clock.monotonic() - started_at)
             self._on_response(response)
         return response
@@ -319,7 +319,7 @@
         body: Mapping[str, Any] | None,
         timeout_s: float,
         fresh: bool,
-    ) -> calls.Response | calls.NoResponse:
+    ) -> calls.JsonResponse | calls.NoResponse:
         return calls.call(
             self._client,
             self._address,
@@ -337,7 +337,7 @@
         body: Mapping[str, Any] | None,
         timeout_s: float,
         fresh: bool,
-    ) -> calls.Response | calls.NoResponse:
+    ) -> calls.JsonResponse | calls.NoResponse:
         """Makes a read-only call; gives it up when the store recovers.
 
         After an outage the store answers new calls, but not those that it got
@@ -352,13 +352,14 @@
                 return calls.NoResponse(
                     True, "sent during an outage that is over"
                 )
-            response: calls.Response | calls.NoResponse = greenlet.get()
+            response: calls.JsonResponse | calls.NoResponse = greenlet.get()
             return response
         finally:
             # Also runs when the calling greenlet is killed.
             greenlet.kill(block=False)
 
-    def _on_response(self, response: calls.Response) -> None:
+    def _on_response(self, response: calls.JsonResponse) -> None:
+        """Ends the calls sent during an outage and passes the clock on."""
         if self.unanswered_s > OUTAGE_S:
             self._recovered.set()
             self._recovered = gevent.event.Event()
--- a/src/vanillaswitch/platform/upstreams.py
+++ b/src/vanillaswitch/platform/upstreams.py
@@ -200,7 +200,7 @@
         if wait_s:
             body["wait_ms"] = int(wait_s * 1000)
         response = self._post(target, "/-/hold", body, timeout_s, fresh)
-        if isinstance(response, calls.Response) and response.status == _OK:
+        if isinstance(response, calls.JsonResponse) and response.status == _OK:
             return decode_status_report(response.body)
         outcome = _order_outcome(response)
         if isinstance(outcome, fleet.Accepted):
@@ -233,7 +233,7 @@
         body: Mapping[str, Any],
         timeout_s: float,
         fresh: bool,
-    ) -> calls.Response | calls.NoResponse:
+    ) -> calls.JsonResponse | calls.NoResponse:
         return calls.call(
             self._client,
             target.address,
@@ -251,8 +251,9 @@
 
 
 def _order_outcome(
-    response: calls.Response | calls.NoResponse,
+    response: calls.JsonResponse | calls.NoResponse,
 ) -> fleet.OrderOutcome:
+    """Converts the response to an order; other statuses mean unhealthy."""
     if isinstance(response, calls.NoResponse):
         return fleet.NoAnswer(response.sent, response.reason)
     clock = _clock_ms(response.body)
