--- a/src/vanillaswitch/platform/store.py
+++ b/src/vanillaswitch/platform/store.py
@@ -29,7 +29,7 @@
 lease."""
 
 FEED_MARGIN_S = 1.0
-"""Time limit of a call for changes, in addition to its wait time."""
+"""Time that a call for changes may take beyond its wait time."""
 
 SUSPECT_CONNECTIONS_S = 0.1
 """Once a call has waited for its answer for this long, other calls open new
--- a/src/vanillaswitch/platform/store_rows.py
+++ b/src/vanillaswitch/platform/store_rows.py
@@ -4,10 +4,10 @@
 partition a "part"; a transaction can't span partitions, and each partition
 runs its transactions one after the other. So all rows that the owner of the
 fleet writes are in one partition, and rows that clients submit are spread over
-several. Tables that belong to the platform are not partitioned and hold plain
-documents. A row of any other table holds a document and the token of the
-transaction that wrote it, which settles a commit whose answer was lost (see
-``coordination.commits``).
+several. Tables that this program shares with the platform are not partitioned
+and hold plain documents. A row of any other table holds a document and the
+token of the transaction that wrote it, which settles a commit whose answer was
+lost (see ``coordination.commits``).
 """
 
 import base64
@@ -29,9 +29,9 @@
 of 97 machines submits 57 jobs a second; 8 partitions took only 34 of them.
 Each partition costs a new owner one more call."""
 
-_OWNER_PARTITION = "vanillaswitch"
+_PARTITION = "vanillaswitch"
 _CLIENT_TABLES = frozenset({"job", "spec", "cancel"})
-_PLATFORM_TABLES = frozenset({"op", "servers", "status"})
+_SHARED_TABLES = frozenset({"op", "servers", "status"})
 
 
 def split_key(key: str) -> tuple[str, str]:
@@ -42,14 +42,13 @@
 
 def partitions(table: str) -> tuple[str, ...]:
     """Returns the partitions of a table."""
-    if table in _PLATFORM_TABLES:
+    if table in _SHARED_TABLES:
         return ("",)
     if table in _CLIENT_TABLES:
         return tuple(
-            f"{_OWNER_PARTITION}-{number}"
-            for number in range(CLIENT_PARTITIONS)
+            f"{_PARTITION}-{number}" for number in range(CLIENT_PARTITIONS)
         )
-    return (_OWNER_PARTITION,)
+    return (_PARTITION,)
 
 
 def partition_of(table: str, name: str) -> str:
@@ -65,7 +64,7 @@
 
 def _encode_value(table: str, value: Mapping[str, Any], token: str) -> str:
     document = (
-        value if table in _PLATFORM_TABLES else {"token": token, "value": value}
+        value if table in _SHARED_TABLES else {"token": token, "value": value}
     )
     text = json.dumps(document, separators=(",", ":"))
     return base64.b64encode(text.encode()).decode()
@@ -81,7 +80,7 @@
         return unusable.Unusable(f"the value is not base64 of JSON: {error}")
     if not isinstance(document, dict):
         return unusable.Unusable("the value is not a JSON object")
-    if table in _PLATFORM_TABLES:
+    if table in _SHARED_TABLES:
         return document, ""
     if not isinstance(document.get("value"), dict):
         return unusable.Unusable('the field "value" is not a JSON object')
