--- a/src/vanillaswitch/platform/settings.py
+++ b/src/vanillaswitch/platform/settings.py
@@ -1,4 +1,8 @@
-"""The settings file that the platform writes: lines of the form a.b=value."""
+"""Reads the settings file that the platform writes, with lines a.b=value.
+
+The platform's names differ from this program's in places: "duty" is an order
+for a machine, "migrate" is a move to another pool.
+"""
 
 from collections.abc import Mapping
 import os
@@ -9,6 +13,8 @@
 
 ENVIRONMENT_VARIABLE = "VANILLASWITCH_SETTINGS"
 KNOWN_ORDERS = "request"
+"""The only supported value of ``orders``, how instances take orders."""
+
 KNOWN_CONTRACTS = frozenset(
     {
         "base",
@@ -24,14 +30,14 @@
     }
 )
 
-_DEFAULTS = deployment.Bounds()
+_DEFAULT_BOUNDS = deployment.Bounds()
 
 
 def path() -> pathlib.Path:
-    """Returns where the platform put the settings file.
+    """Returns the path of the settings file.
 
     Raises:
-        errors.SettingsError: the environment does not name it.
+        errors.SettingsError: the environment variable is not set.
     """
     named = os.environ.get(ENVIRONMENT_VARIABLE)
     if not named:
@@ -42,21 +48,21 @@
 
 
 def load(file: pathlib.Path) -> deployment.Deployment:
-    """Reads a settings file; fields that are not known are passed over.
+    """Reads a settings file and ignores unknown fields.
 
     Raises:
-        errors.SettingsError: it can't be read, or a needed field is missing
-            or malformed.
+        errors.SettingsError: the file can't be read, or a required field is
+            missing or malformed.
     """
     try:
         text = file.read_text(encoding="utf-8")
     except OSError as error:
         raise errors.SettingsError(f"{file}: {error.strerror}") from error
-    fields = _Fields(str(file), dict(_pairs(text)))
-    return _deployment(fields)
+    fields = _Fields(str(file), dict(_parse_lines(text)))
+    return _build_deployment(fields)
 
 
-def _pairs(text: str) -> list[tuple[str, str]]:
+def _parse_lines(text: str) -> list[tuple[str, str]]:
     pairs = []
     for line in text.splitlines():
         name, equals, value = line.partition("=")
@@ -66,7 +72,7 @@
 
 
 class _Fields:
-    """Typed access to the pairs, with errors that name the field."""
+    """Typed access to the settings; errors name the field."""
 
     def __init__(self, file: str, values: Mapping[str, str]):
         self._file = file
@@ -90,7 +96,12 @@
             ) from None
 
     def seconds(self, name: str, default: float) -> float:
-        """Reads a field in milliseconds."""
+        """Returns a field, which the file gives in milliseconds, in seconds.
+
+        Args:
+            name: the field.
+            default: in seconds.
+        """
         return self.number(name, default * 1000) / 1000
 
     def flag(self, name: str, default: bool) -> bool:
@@ -101,11 +112,13 @@
         return tuple(item for item in text.split(",") if item)
 
 
-def _deployment(fields: _Fields) -> deployment.Deployment:
+def _build_deployment(fields: _Fields) -> deployment.Deployment:
     ip = fields.text("ip")
     ports = fields.items("internal_ports")
     if len(ports) != 2:
-        raise errors.SettingsError("internal_ports: give the first and last")
+        raise errors.SettingsError(
+            "internal_ports: give two ports, the first and the last"
+        )
     first = int(ports[0])
     return deployment.Deployment(
         process=fields.text("node_name"),
@@ -126,35 +139,43 @@
         writes_per_s=fields.number("platform.writes_per_s", 100.0),
         reads_per_s=fields.number("platform.reads_per_s", 100.0),
         machine_orders_per_s=fields.number("cloud_api.duty_per_s", 10.0),
-        bounds=_bounds(fields),
+        bounds=_build_bounds(fields),
     )
 
 
-def _bounds(fields: _Fields) -> deployment.Bounds:
+def _build_bounds(fields: _Fields) -> deployment.Bounds:
     return deployment.Bounds(
-        contact_s=fields.seconds("bounds.contact_ms", _DEFAULTS.contact_s),
-        drain_s=fields.seconds("bounds.drain_ms", _DEFAULTS.drain_s),
-        grace_s=fields.number("bounds.grace_s", _DEFAULTS.grace_s),
-        max_hold_s=fields.seconds("bounds.max_hold_ms", _DEFAULTS.max_hold_s),
-        stop_s=fields.seconds("bounds.stop_timeout_ms", _DEFAULTS.stop_s),
+        contact_s=fields.seconds(
+            "bounds.contact_ms", _DEFAULT_BOUNDS.contact_s
+        ),
+        drain_s=fields.seconds("bounds.drain_ms", _DEFAULT_BOUNDS.drain_s),
+        grace_s=fields.number("bounds.grace_s", _DEFAULT_BOUNDS.grace_s),
+        max_hold_s=fields.seconds(
+            "bounds.max_hold_ms", _DEFAULT_BOUNDS.max_hold_s
+        ),
+        stop_s=fields.seconds("bounds.stop_timeout_ms", _DEFAULT_BOUNDS.stop_s),
         gang_wait_s=fields.seconds(
-            "bounds.gang_wait_ms", _DEFAULTS.gang_wait_s
+            "bounds.gang_wait_ms", _DEFAULT_BOUNDS.gang_wait_s
         ),
-        cancel_s=fields.seconds("bounds.cancel_ms", _DEFAULTS.cancel_s),
-        early_s=fields.seconds("bounds.early_ms", _DEFAULTS.early_s),
-        move_s=fields.number("bounds.migrate_s", _DEFAULTS.move_s),
-        upkeep_s=fields.number("bounds.maintenance_s", _DEFAULTS.upkeep_s),
-        fenced=fields.flag("bounds.enforce_fencing", _DEFAULTS.fenced),
-        lease_s=fields.seconds("bounds.lease_ms", _DEFAULTS.lease_s),
-        notice_s=fields.seconds("bounds.notice_ms", _DEFAULTS.notice_s),
-        status_s=fields.number("bounds.status_s", _DEFAULTS.status_s),
+        cancel_s=fields.seconds("bounds.cancel_ms", _DEFAULT_BOUNDS.cancel_s),
+        early_s=fields.seconds("bounds.early_ms", _DEFAULT_BOUNDS.early_s),
+        move_s=fields.number("bounds.migrate_s", _DEFAULT_BOUNDS.move_s),
+        upkeep_s=fields.number(
+            "bounds.maintenance_s", _DEFAULT_BOUNDS.upkeep_s
+        ),
+        fenced=fields.flag("bounds.enforce_fencing", _DEFAULT_BOUNDS.fenced),
+        lease_s=fields.seconds("bounds.lease_ms", _DEFAULT_BOUNDS.lease_s),
+        notice_s=fields.seconds("bounds.notice_ms", _DEFAULT_BOUNDS.notice_s),
+        status_s=fields.number("bounds.status_s", _DEFAULT_BOUNDS.status_s),
         remote_factor=fields.number(
-            "bounds.remote_factor", _DEFAULTS.remote_factor
+            "bounds.remote_factor", _DEFAULT_BOUNDS.remote_factor
         ),
         checkpoint_s=fields.number(
-            "bounds.checkpoint_s", _DEFAULTS.checkpoint_s
+            "bounds.checkpoint_s", _DEFAULT_BOUNDS.checkpoint_s
+        ),
+        restore_s=fields.seconds(
+            "bounds.restore_ms", _DEFAULT_BOUNDS.restore_s
         ),
-        restore_s=fields.seconds("bounds.restore_ms", _DEFAULTS.restore_s),
-        impact_s=fields.seconds("bounds.impact_ms", _DEFAULTS.impact_s),
-        pacing_s=fields.seconds("bounds.pacing_ms", _DEFAULTS.pacing_s),
+        impact_s=fields.seconds("bounds.impact_ms", _DEFAULT_BOUNDS.impact_s),
+        pacing_s=fields.seconds("bounds.pacing_ms", _DEFAULT_BOUNDS.pacing_s),
     )
