--- a/src/vanillaswitch/coordination/workloads/__init__.py
+++ b/src/vanillaswitch/coordination/workloads/__init__.py
@@ -1,1 +1,1 @@
-"""Placing jobs on workers: quotas, usage, cordons, task leases."""
+"""Placement of jobs on workers: quotas, usage, cordons and task leases."""
--- a/src/vanillaswitch/coordination/workloads/cordon_control.py
+++ b/src/vanillaswitch/coordination/workloads/cordon_control.py
@@ -1,4 +1,4 @@
-"""What operators do to a worker: cordon it, and open it again."""
+"""Cordons that operators place on workers and lift again."""
 
 import dataclasses
 
@@ -14,7 +14,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """An operator's wish for one worker."""
+    """An operator's request about one worker.
+
+    Attributes:
+        wall_s: when it was made, seconds since the Unix epoch.
+    """
 
     worker: str
     reason: str
@@ -31,10 +35,10 @@
         errors.CordonRefusedError: there is no such worker, it is cordoned
             already, or its service's budget allows no more.
     """
-    member = _worker(fleet, request.worker)
+    member = _find_worker(fleet, request.worker)
     if member.row.cordoned:
         raise errors.CordonRefusedError(
-            f"{request.worker} is cordoned already: {member.row.reason}"
+            f"worker {request.worker} is already cordoned: {member.row.reason}"
         )
     _check_budget(fleet, config, member)
     row = dataclasses.replace(member.row, cordoned=True, reason=request.reason)
@@ -45,19 +49,22 @@
     """Returns the changes that open a cordoned worker to new tasks.
 
     Raises:
-        errors.CordonRefusedError: there is no such worker, or it is open.
+        errors.CordonRefusedError: there is no such worker, or it is not
+            cordoned.
     """
-    member = _worker(fleet, request.worker)
+    member = _find_worker(fleet, request.worker)
     if not member.row.cordoned:
-        raise errors.CordonRefusedError(f"{request.worker} is not cordoned")
+        raise errors.CordonRefusedError(
+            f"worker {request.worker} is not cordoned"
+        )
     row = dataclasses.replace(member.row, cordoned=False, reason="")
     return _changes(fleet, request, row, "cordon lifted by an operator")
 
 
-def _worker(fleet: fleet_state.Fleet, name: str) -> fleet_state.Member:
+def _find_worker(fleet: fleet_state.Fleet, name: str) -> fleet_state.Member:
     member = fleet.members.get(name)
     if member is None or member.row.kind is not platform.InstanceKind.WORKER:
-        raise errors.CordonRefusedError(f"there is no worker {name!r}")
+        raise errors.CordonRefusedError(f"worker {name!r} does not exist")
     return member
 
 
@@ -68,18 +75,23 @@
 ) -> None:
     service = member.row.service
     planned = fleet.budget(service).row.down
-    # A spare worker carries nothing, and what is down can't be more so.
+    # A worker without a service carries no tasks, and a worker that counts as
+    # down already does not use up more of the budget.
     if not service or budgets.down_reason(member, planned):
         return
-    room = budgets.headroom(fleet, config, service, member.row.kind)
-    if room > 0:
+    headroom = budgets.headroom(fleet, config, service, member.row.kind)
+    if headroom > 0:
         return
     if service not in config.services:
-        told = "the configuration has no such service"
+        detail = "the configuration has no such service"
     else:
         found = budgets.standing(fleet, config, service, member.row.kind)
-        told = f"{found.down_count} of {found.allowed} allowed workers are down"
-    raise errors.CordonRefusedError(f"{service}: {told}")
+        detail = (
+            f"{found.down_count} of {found.allowed} allowed workers are down"
+        )
+    raise errors.CordonRefusedError(
+        f"cannot cordon a worker of service {service}: {detail}"
+    )
 
 
 def _changes(
--- a/src/vanillaswitch/coordination/workloads/cordons.py
+++ b/src/vanillaswitch/coordination/workloads/cordons.py
@@ -1,4 +1,4 @@
-"""Cordons of workers that fail all they start, within the service's budget."""
+"""Cordons of workers on which jobs fail, within the service's budget."""
 
 from collections.abc import Collection
 from collections.abc import Mapping
@@ -15,54 +15,60 @@
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import keys
 
-Failed = Mapping[str, tuple[str, ...]]
+FailedJobs = Mapping[str, tuple[str, ...]]
 """Names of the jobs that failed, by worker."""
 
 
-def cordon(
+def cordon_faulty_workers(
     context: controller.Context,
     fence: duties.Fence,
-    reading: placement_view.Reading,
-    states: Mapping[str, jobs.JobState],
-    well: Collection[str],
+    snapshot: placement_view.Reading,
+    states: Mapping[str, jobs.JobProgress],
+    healthy_jobs: Collection[str],
 ) -> None:
-    """Cordons workers at fault, the worst first.
+    """Cordons faulty workers, those with the most failed jobs first.
 
     Args:
         context: of the step.
         fence: of the duty.
-        reading: what the step decided on.
+        snapshot: rows and reports that the step decides on.
         states: of the duty's jobs.
-        well: jobs that run well, or did.
+        healthy_jobs: jobs that have a finished task or one that has run for
+            a while.
     """
-    proven = placement_view.proven(reading)
+    proven_workers = placement_view.proven_workers(snapshot)
     by_service: dict[str, dict[str, tuple[str, ...]]] = {}
-    for worker, failed in jobs.faulty_workers(states, proven, well).items():
-        member = reading.fleet.members.get(worker)
+    for worker, failed in jobs.faulty_workers(
+        states, proven_workers, healthy_jobs
+    ).items():
+        member = snapshot.fleet.members.get(worker)
         if member is not None and not member.row.cordoned:
             found = by_service.setdefault(member.row.service, {})
             found[worker] = failed
     for service, found in sorted(by_service.items()):
         allowance = budgets.headroom(
-            reading.fleet, context.config, service, platform.InstanceKind.WORKER
+            snapshot.fleet,
+            context.config,
+            service,
+            platform.InstanceKind.WORKER,
         )
-        chosen = jobs.to_cordon(found, allowance)
+        chosen = jobs.choose_cordons(found, allowance)
         if chosen:
-            decided = _decided(
-                context, fence, reading.fleet, {w: found[w] for w in chosen}
+            decided = _cordon_changes(
+                context, fence, snapshot.fleet, {w: found[w] for w in chosen}
             )
-            # The budget row is written unchanged, so that a wave which takes
-            # workers down at the same moment conflicts with this.
-            budget = reading.fleet.budget(service).row
+            # The budget row is written unchanged. A wave that takes workers
+            # down at the same time then conflicts with this transaction.
+            budget = snapshot.fleet.budget(service).row
             decided = dataclasses.replace(decided, budgets={service: budget})
-            changes.commit(context, fence, reading.fleet, decided)
+            changes.commit(context, fence, snapshot.fleet, decided)
 
 
-def _decided(
+def _cordon_changes(
     context: controller.Context,
     fence: duties.Fence,
     fleet: fleet_state.Fleet,
-    chosen: Failed,
+    chosen: FailedJobs,
 ) -> changes.Changes:
     reasons = {
         worker: "failed several jobs in a row: " + ", ".join(failed)
--- a/src/vanillaswitch/coordination/workloads/job_records.py
+++ b/src/vanillaswitch/coordination/workloads/job_records.py
@@ -1,4 +1,4 @@
-"""Writes of what is known of jobs, each with the decision behind it."""
+"""Writes of job rows, each with the decision that explains it."""
 
 from collections.abc import Mapping
 
@@ -11,51 +11,53 @@
 from vanillaswitch.state import keys
 from vanillaswitch.state import rows
 
-_ASIDE = "a job that can never run is put aside"
-_WAITS = "a job waits until there is room for it"
+_SET_ASIDE_RULE = "a job that can never run is put aside"
+_WAIT_RULE = "a job waits until there is room for it"
 
 
-def puts(
+def changed_state_puts(
     context: controller.Context,
     fence: duties.Fence,
-    reading: placement_view.Reading,
-    states: Mapping[str, jobs.JobState],
-    waiting: Mapping[str, str],
+    snapshot: placement_view.Reading,
+    states: Mapping[str, jobs.JobProgress],
+    wait_reasons: Mapping[str, str],
 ) -> list[platform.Put]:
-    """Returns the writes of the states that differ from their rows.
+    """Returns the writes of the job states that differ from their rows.
 
     Args:
         context: of the step.
         fence: of the duty.
-        reading: what the step decided on.
+        snapshot: rows and reports that the step decides on.
         states: of the duty's jobs.
-        waiting: reasons to keep of jobs that wait.
+        wait_reasons: reason by waiting job, to be written as decisions.
     """
     changed = []
     decisions = [
-        _decision(context, fence, name, reason, _WAITS, {})
-        for name, reason in sorted(waiting.items())
+        _decision(context, fence, name, reason, _WAIT_RULE, {})
+        for name, reason in sorted(wait_reasons.items())
     ]
     for name, state in states.items():
-        found = reading.jobs.get(name)
-        before = found.row if found else jobs.JobState(shape=state.shape)
+        found = snapshot.jobs.get(name)
+        before = found.row if found else jobs.JobProgress(shape=state.shape)
         if state == before:
             continue
         version = found.version if found else platform.ABSENT
         changed.append(platform.Put(keys.job(name), version, rows.dump(state)))
         if state.aside and state.aside != before.aside:
-            decisions.append(_put_aside(context, fence, name, state))
-    return changed + _explained(context, decisions)
+            decisions.append(_set_aside_decision(context, fence, name, state))
+    return changed + _decision_puts(context, decisions)
 
 
-def _put_aside(
+def _set_aside_decision(
     context: controller.Context,
     fence: duties.Fence,
     name: str,
-    state: jobs.JobState,
+    state: jobs.JobProgress,
 ) -> explain.Decision:
     figures = {"failures": float(sum(state.failed_on.values()))}
-    return _decision(context, fence, name, state.aside, _ASIDE, figures)
+    return _decision(
+        context, fence, name, state.aside, _SET_ASIDE_RULE, figures
+    )
 
 
 def _decision(
@@ -76,9 +78,10 @@
     )
 
 
-def _explained(
+def _decision_puts(
     context: controller.Context, decisions: list[explain.Decision]
 ) -> list[platform.Put]:
+    """Returns the writes of the decisions; none if their rows can't be read."""
     if not decisions:
         return []
     found = context.platform.table.read(explain.keys_of(decisions))
--- a/src/vanillaswitch/coordination/workloads/job_waits.py
+++ b/src/vanillaswitch/coordination/workloads/job_waits.py
@@ -1,60 +1,66 @@
-"""Why jobs wait, told once they have waited for a while."""
+"""Why jobs wait; a reason is recorded once a job has waited for a while."""
 
 from collections.abc import Mapping
 import dataclasses
 
-TOLD_AFTER_S = 30.0
-"""A job that waits for one reason for so long has it kept."""
+RECORD_AFTER_S = 30.0
+"""How long a job waits for one reason before the reason is recorded."""
 
-TOLD_AT_ONCE = 20
-"""Reasons kept in one step."""
+MAX_RECORDED_PER_STEP = 20
+"""Most reasons recorded in one step."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Wait:
-    """One job's wait.
+    """The wait of one job.
 
     Attributes:
         since: monotonic seconds at which the reason was first seen.
-        told: whether it is kept.
+        is_recorded: whether the reason has been recorded.
     """
 
     reason: str
     since: float
-    told: bool = False
+    is_recorded: bool = False
 
 
-def updated(
-    before: Mapping[str, Wait], waiting: Mapping[str, str], now: float
+def update_waits(
+    before: Mapping[str, Wait], wait_reasons: Mapping[str, str], now: float
 ) -> dict[str, Wait]:
-    """Returns the waits of now; a new reason is a new wait.
+    """Returns the current waits; a new reason starts a new wait.
 
     Args:
         before: waits by job.
-        waiting: reason by job that waits now.
+        wait_reasons: reason by job that waits now.
         now: monotonic seconds.
     """
     found = {}
-    for job, reason in waiting.items():
-        kept = before.get(job)
-        same = kept is not None and kept.reason == reason
-        found[job] = kept if kept and same else Wait(reason, now)
+    for job, reason in wait_reasons.items():
+        known = before.get(job)
+        is_same = known is not None and known.reason == reason
+        found[job] = known if known and is_same else Wait(reason, now)
     return found
 
 
-def due(waits: Mapping[str, Wait], now: float) -> dict[str, str]:
-    """Returns the reasons to keep now, the longest waits first."""
-    late = [
+def due_for_record(waits: Mapping[str, Wait], now: float) -> dict[str, str]:
+    """Returns the reasons to record now, by job, the longest waits first."""
+    due = [
         (wait.since, job)
         for job, wait in waits.items()
-        if not wait.told and now - wait.since >= TOLD_AFTER_S
+        if not wait.is_recorded and now - wait.since >= RECORD_AFTER_S
     ]
-    return {job: waits[job].reason for _, job in sorted(late)[:TOLD_AT_ONCE]}
+    return {
+        job: waits[job].reason for _, job in sorted(due)[:MAX_RECORDED_PER_STEP]
+    }
 
 
-def told(waits: Mapping[str, Wait], jobs: Mapping[str, str]) -> dict[str, Wait]:
-    """Returns the waits after the reasons of some jobs were kept."""
+def mark_recorded(
+    waits: Mapping[str, Wait], jobs: Mapping[str, str]
+) -> dict[str, Wait]:
+    """Returns the waits after the reasons of some jobs were recorded."""
     return {
-        job: dataclasses.replace(wait, told=wait.told or job in jobs)
+        job: dataclasses.replace(
+            wait, is_recorded=wait.is_recorded or job in jobs
+        )
         for job, wait in waits.items()
     }
--- a/src/vanillaswitch/coordination/workloads/placement.py
+++ b/src/vanillaswitch/coordination/workloads/placement.py
@@ -1,4 +1,7 @@
-"""Where tasks run: urgent ones first, within quotas, by the usage seen."""
+"""Plans where tasks run: urgent tasks first, within the teams' quotas.
+
+Tasks are sized by their observed usage rather than by their declaration.
+"""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -11,38 +14,39 @@
 
 @dataclasses.dataclass(frozen=True)
 class View:
-    """All that a plan depends on.
+    """Everything that a plan depends on.
 
     Attributes:
         quotas: by team.
-        used: by team, over all pools.
+        used: resources by team, over all pools.
     """
 
     workers: tuple[rooms_lib.Worker, ...]
     placed: tuple[rooms_lib.Placed, ...]
-    wanted: tuple[rooms_lib.Wanted, ...]
+    pending: tuple[rooms_lib.Wanted, ...]
     quotas: Mapping[str, tasks.Need]
     used: Mapping[str, tasks.Need]
 
 
 @dataclasses.dataclass(frozen=True)
-class Placement:
-    """What a plan decides.
+class Plan:
+    """The decisions of one plan.
 
     Attributes:
         starts: worker by task.
-        evictions: reason by task; to be checkpointed, then stopped.
-        shares: processors' share by task that is to be throttled.
-        waiting: reason by job that has tasks without a worker.
+        evictions: reason by task. An evicted task writes a checkpoint if it
+            can, and is then stopped.
+        cpu_shares: share of its processors by task, for throttled tasks.
+        wait_reasons: reason by job that has tasks without a worker.
     """
 
     starts: Mapping[str, str]
     evictions: Mapping[str, str]
-    shares: Mapping[str, float]
-    waiting: Mapping[str, str]
+    cpu_shares: Mapping[str, float]
+    wait_reasons: Mapping[str, str]
 
 
-def plan(view: View, config: config_lib.Config) -> Placement:
+def plan(view: View, config: config_lib.Config) -> Plan:
     """Returns what to start, evict and throttle now.
 
     Raises:
@@ -50,164 +54,198 @@
             not registered.
     """
     planner = _Planner(view, rooms_lib.ORDERS.get(config.policies.placement))
-    planner.relieve()
-    for wanted in sorted(view.wanted, key=_rank):
-        planner.place(wanted)
+    planner.evict_from_overloaded_workers()
+    for task in sorted(view.pending, key=_sort_key):
+        planner.place(task)
     return planner.result()
 
 
-def _rank(wanted: rooms_lib.Wanted) -> tuple[bool, float, str]:
-    """Urgent ones first, then the largest, which are hardest to fit."""
-    return (not wanted.urgent, -wanted.need.cores, wanted.name)
+def _sort_key(task: rooms_lib.Wanted) -> tuple[bool, float, str]:
+    """Sorts urgent tasks first, then large ones, which are harder to fit."""
+    return (not task.urgent, -task.need.cores, task.name)
 
 
 class _Planner:
-    """One plan in the making."""
+    """Builds one plan step by step."""
 
     def __init__(self, view: View, order: rooms_lib.Order):
         self._order = order
         self._quotas = view.quotas
         self._used = dict(view.used)
-        self._rooms = {w.name: rooms_lib.Room(w, w.size) for w in view.workers}
-        self._pools: dict[str, list[rooms_lib.Room]] = {}
-        for _, room in sorted(self._rooms.items()):
-            self._pools.setdefault(room.worker.pool, []).append(room)
+        self._capacities = {
+            w.name: rooms_lib.WorkerCapacity(w, w.capacity)
+            for w in view.workers
+        }
+        self._pools: dict[str, list[rooms_lib.WorkerCapacity]] = {}
+        for _, capacity in sorted(self._capacities.items()):
+            self._pools.setdefault(capacity.worker.pool, []).append(capacity)
         for placed in view.placed:
-            self._hold(placed)
+            self._add_placed(placed)
         self._starts: dict[str, str] = {}
         self._evictions: dict[str, str] = {}
-        self._waiting: dict[str, str] = {}
+        self._wait_reasons: dict[str, str] = {}
 
-    def _hold(self, placed: rooms_lib.Placed) -> None:
-        room = self._rooms.get(placed.worker)
-        if room is None:
+    def _add_placed(self, placed: rooms_lib.Placed) -> None:
+        capacity = self._capacities.get(placed.worker)
+        if capacity is None:
             return
-        room.free = room.free.minus(placed.need)
-        if placed.stopping:
-            room.leaving = room.leaving.plus(placed.need)
+        capacity.free = capacity.free.minus(placed.need)
+        if placed.is_stopping:
+            capacity.releasing = capacity.releasing.plus(placed.need)
         else:
-            room.held.append(placed)
-
-    def relieve(self) -> None:
-        """Evicts from workers whose tasks use more memory than there is."""
-        for room in self._rooms.values():
-            used = sum(held.memory_used_mb for held in room.held)
-            by_use = sorted(
-                room.held, key=lambda held: (held.urgent, -held.memory_used_mb)
+            capacity.active_tasks.append(placed)
+
+    def evict_from_overloaded_workers(self) -> None:
+        """Evicts tasks where the memory used exceeds that of the worker."""
+        for capacity in self._capacities.values():
+            used = sum(task.memory_mb_used for task in capacity.active_tasks)
+            by_usage = sorted(
+                capacity.active_tasks,
+                key=lambda task: (task.urgent, -task.memory_mb_used),
             )
-            for victim in by_use[:-1]:
-                if used <= room.worker.size.memory_mb:
+            for victim in by_usage[:-1]:
+                if used <= capacity.worker.capacity.memory_mb:
                     break
-                used -= victim.memory_used_mb
-                self._evict(room, victim, "worker is out of memory")
-
-    def place(self, wanted: rooms_lib.Wanted) -> None:
-        """Finds a worker for one task, or says why it waits."""
-        # A job's tasks are alike: where one finds no room, no other does.
-        if wanted.job in self._waiting:
+                used -= victim.memory_mb_used
+                self._evict(capacity, victim, "worker is out of memory")
+
+    def place(self, task: rooms_lib.Wanted) -> None:
+        """Chooses a worker for one task, or records why its job waits."""
+        # All tasks of a job are the same size: if one does not fit, neither
+        # do the others.
+        if task.job in self._wait_reasons:
             return
-        used = self._used.get(wanted.team, tasks.NOTHING).plus(wanted.need)
-        if not used.fits(self._quotas.get(wanted.team, tasks.NOTHING)):
-            self._waiting[wanted.job] = f"quota of team {wanted.team} is used"
+        used = self._used.get(task.team, tasks.NO_RESOURCES).plus(task.need)
+        if not used.fits_within(
+            self._quotas.get(task.team, tasks.NO_RESOURCES)
+        ):
+            self._wait_reasons[task.job] = f"quota of team {task.team} is used"
             return
-        room = self._find(wanted)
-        if room is None:
-            self._waiting[wanted.job] = f"pool {wanted.pool} has no room"
+        capacity = self._choose_worker(task)
+        if capacity is None:
+            self._wait_reasons[task.job] = f"pool {task.pool} has no room"
             return
-        self._used[wanted.team] = used
-        if wanted.need.fits(room.free) or _by_throttling(wanted, room):
-            room.place(wanted)
-            self._starts[wanted.name] = room.worker.name
+        self._used[task.team] = used
+        if task.need.fits_within(capacity.free) or _fits_with_throttling(
+            task, capacity
+        ):
+            capacity.reserve(task)
+            self._starts[task.name] = capacity.worker.name
             return
-        self._make_room(wanted, room)
-
-    def _find(self, wanted: rooms_lib.Wanted) -> rooms_lib.Room | None:
-        rooms = [r for r in self._pools.get(wanted.pool, []) if _open(r)]
-        tried = [r for r in rooms if r.worker.name not in wanted.avoid]
-        for candidates in (tried, rooms):
-            fitting = [r for r in candidates if wanted.need.fits(r.free)]
+        self._preempt(task, capacity)
+
+    def _choose_worker(
+        self, task: rooms_lib.Wanted
+    ) -> rooms_lib.WorkerCapacity | None:
+        schedulable = [
+            c for c in self._pools.get(task.pool, []) if _is_schedulable(c)
+        ]
+        preferred = [
+            c for c in schedulable if c.worker.name not in task.avoided_workers
+        ]
+        for candidates in (preferred, schedulable):
+            fitting = [c for c in candidates if task.need.fits_within(c.free)]
             if fitting:
-                return self._order(fitting, wanted.need)
-        if not wanted.urgent:
+                return self._order(fitting, task.need)
+        if not task.urgent:
             return None
-        slowed = [r for r in rooms if _by_throttling(wanted, r)]
-        if slowed:
-            return max(slowed, key=lambda r: r.with_throttling().cores)
-        return _least_evictions(wanted, rooms)
+        throttled = [c for c in schedulable if _fits_with_throttling(task, c)]
+        if throttled:
+            return max(throttled, key=lambda c: c.free_with_throttling().cores)
+        return _choose_fewest_evictions(task, schedulable)
 
-    def _make_room(
-        self, wanted: rooms_lib.Wanted, room: rooms_lib.Room
+    def _preempt(
+        self, task: rooms_lib.Wanted, capacity: rooms_lib.WorkerCapacity
     ) -> None:
-        """Evicts for an urgent task, which starts once the room is free."""
-        self._waiting.setdefault(wanted.job, "room is being made")
-        for victim in _victims(wanted, room):
-            self._evict(room, victim, f"makes room for urgent {wanted.name}")
-        room.free = room.free.minus(wanted.need)
+        """Evicts tasks for an urgent one, which starts once they are gone."""
+        self._wait_reasons.setdefault(task.job, "room is being made")
+        for victim in _victims(task, capacity):
+            self._evict(capacity, victim, f"makes room for urgent {task.name}")
+        capacity.free = capacity.free.minus(task.need)
 
     def _evict(
-        self, room: rooms_lib.Room, victim: rooms_lib.Placed, reason: str
+        self,
+        capacity: rooms_lib.WorkerCapacity,
+        victim: rooms_lib.Placed,
+        reason: str,
     ) -> None:
         self._evictions[victim.name] = reason
-        room.held.remove(victim)
-        room.leaving = room.leaving.plus(victim.need)
+        capacity.active_tasks.remove(victim)
+        capacity.releasing = capacity.releasing.plus(victim.need)
 
-    def result(self) -> Placement:
+    def result(self) -> Plan:
         """Returns the finished plan."""
-        shares: dict[str, float] = {}
-        for room in self._rooms.values():
-            shares.update(_shares(room))
-        return Placement(self._starts, self._evictions, shares, self._waiting)
+        cpu_shares: dict[str, float] = {}
+        for capacity in self._capacities.values():
+            cpu_shares.update(_cpu_shares(capacity))
+        return Plan(
+            self._starts, self._evictions, cpu_shares, self._wait_reasons
+        )
 
 
-def _open(room: rooms_lib.Room) -> bool:
-    return room.worker.open and room.takes_starts()
+def _is_schedulable(capacity: rooms_lib.WorkerCapacity) -> bool:
+    return capacity.worker.is_schedulable and capacity.accepts_starts()
 
 
-def _by_throttling(wanted: rooms_lib.Wanted, room: rooms_lib.Room) -> bool:
-    return wanted.urgent and wanted.need.fits(room.with_throttling())
+def _fits_with_throttling(
+    task: rooms_lib.Wanted, capacity: rooms_lib.WorkerCapacity
+) -> bool:
+    return task.urgent and task.need.fits_within(
+        capacity.free_with_throttling()
+    )
 
 
 def _victims(
-    wanted: rooms_lib.Wanted, room: rooms_lib.Room
+    task: rooms_lib.Wanted, capacity: rooms_lib.WorkerCapacity
 ) -> list[rooms_lib.Placed]:
-    """Returns the tasks to evict; none where those leaving are enough."""
-    coming = room.with_throttling().plus(room.leaving)
+    """Returns the tasks to evict so that an urgent task fits.
+
+    There are none where the tasks being stopped already free enough.
+    """
+    available = capacity.free_with_throttling().plus(capacity.releasing)
     victims = []
-    for held in sorted(room.held, key=lambda h: -h.need.memory_mb):
-        if wanted.need.fits(coming):
+    for placed in sorted(
+        capacity.active_tasks, key=lambda p: -p.need.memory_mb
+    ):
+        if task.need.fits_within(available):
             break
-        if not held.urgent:
-            slowed = tasks.Need(
-                held.need.cores * (1 - rooms_lib.LEAST_SHARE), 0
+        if not placed.urgent:
+            # ``available`` already counts the cores that throttling frees.
+            throttling_gain = tasks.Need(
+                placed.need.cores * (1 - rooms_lib.MIN_CPU_SHARE), 0
             )
-            coming = coming.plus(held.need).minus(slowed)
-            victims.append(held)
+            available = available.plus(placed.need).minus(throttling_gain)
+            victims.append(placed)
     return victims
 
 
-def _least_evictions(
-    wanted: rooms_lib.Wanted, rooms: Sequence[rooms_lib.Room]
-) -> rooms_lib.Room | None:
-    possible = []
-    for room in rooms:
-        kept = [held.need for held in room.held if held.urgent]
-        left = room.worker.size
+def _choose_fewest_evictions(
+    task: rooms_lib.Wanted, candidates: Sequence[rooms_lib.WorkerCapacity]
+) -> rooms_lib.WorkerCapacity | None:
+    """Returns the worker where an urgent task evicts the fewest others."""
+    feasible = []
+    for capacity in candidates:
+        kept = [t.need for t in capacity.active_tasks if t.urgent]
+        left = capacity.worker.capacity
         for need in kept:
             left = left.minus(need)
-        if wanted.need.fits(left):
-            possible.append(room)
-    if not possible:
+        if task.need.fits_within(left):
+            feasible.append(capacity)
+    if not feasible:
         return None
-    return min(possible, key=lambda room: len(_victims(wanted, room)))
+    return min(feasible, key=lambda capacity: len(_victims(task, capacity)))
+
 
+def _cpu_shares(capacity: rooms_lib.WorkerCapacity) -> dict[str, float]:
+    """Returns the processor shares of a worker's throttled tasks.
 
-def _shares(room: rooms_lib.Room) -> dict[str, float]:
-    """Returns how far to throttle what is not urgent on a worker."""
-    urgent = sum(held.need.cores for held in room.held if held.urgent)
-    others = [held for held in room.held if not held.urgent]
-    wanted = sum(held.need.cores for held in others)
-    left = room.worker.size.cores - urgent
-    if wanted <= left or not others:
+    Urgent tasks are never throttled. The others all get the same share.
+    """
+    urgent = sum(t.need.cores for t in capacity.active_tasks if t.urgent)
+    others = [task for task in capacity.active_tasks if not task.urgent]
+    needed = sum(task.need.cores for task in others)
+    left = capacity.worker.capacity.cores - urgent
+    if needed <= left or not others:
         return {}
-    share = max(rooms_lib.LEAST_SHARE, left / wanted)
-    return {held.name: share for held in others}
+    share = max(rooms_lib.MIN_CPU_SHARE, left / needed)
+    return {task.name: share for task in others}
--- a/src/vanillaswitch/coordination/workloads/placement_duty.py
+++ b/src/vanillaswitch/coordination/workloads/placement_duty.py
@@ -1,4 +1,4 @@
-"""The placement duty: ends, starts and stops tasks, a step at a time."""
+"""The placement duty: starts and stops tasks and cleans up ended ones."""
 
 from collections.abc import Collection
 from collections.abc import Mapping
@@ -25,201 +25,232 @@
 from vanillaswitch.state import keys
 from vanillaswitch.state import rows
 
-COMMIT_S = 2.0
-"""How long a step tries to settle a commit whose answer was lost."""
+COMMIT_TIMEOUT_S = 2.0
+"""How long a step tries to find out the outcome of an unanswered commit."""
 
-STARTS_IN_ONE_STEP = 64
-STOPS_IN_ONE_COMMIT = 256
+MAX_STARTS_PER_STEP = 64
+MAX_STOPS_PER_COMMIT = 256
 
 
 @controller.keepalive(duty_names.PLACEMENT)
 def renew_leases(
     context: controller.Context, name: str, fence: duties.Fence
 ) -> None:
-    """Keeps tasks running while the table is away; starts nothing."""
+    """Keeps tasks running while the table is unavailable; starts nothing."""
     del name, fence
     task_messages.renew(context, _memory(context))
 
 
 @controller.duty(duty_names.PLACEMENT)
 def step(context: controller.Context, name: str, fence: duties.Fence) -> None:
-    """Runs one step for the pools of one data centre's duty."""
-    memory = _memory(context)
-    task_messages.renew(context, memory)
+    """Runs one step for the pools that belong to this duty."""
+    soft_state = _memory(context)
+    task_messages.renew(context, soft_state)
     config = context.config
     now = context.clock.monotonic()
-    if not memory.due(config, now):
+    if not soft_state.is_pass_due(config, now):
         return
-    owned = frozenset(
+    owned_pools = frozenset(
         pool
         for pool in _pools(config)
-        if placement_view.owns(pool, duty_names.subject(name), config)
+        if placement_view.is_owner(pool, duty_names.subject(name), config)
     )
-    services = {config.pools[p].service for p in owned if p in config.pools}
-    reading = placement_view.read(context, services, memory.reading)
-    if isinstance(reading, platform.Unavailable):
+    services = {
+        config.pools[p].service for p in owned_pools if p in config.pools
+    }
+    snapshot = placement_view.read_snapshot(
+        context, services, soft_state.snapshot
+    )
+    if isinstance(snapshot, platform.Unavailable):
         return
-    memory.reading, memory.config, memory.turned = reading, config, now
-    memory.busy = _Turn(context, fence, memory, reading, owned).run()
+    soft_state.snapshot, soft_state.config, soft_state.turned = (
+        snapshot,
+        config,
+        now,
+    )
+    soft_state.is_busy = _PlanningPass(
+        context, fence, soft_state, snapshot, owned_pools
+    ).run()
 
 
-def _memory(context: controller.Context) -> placement_memory.Memory:
-    memory: placement_memory.Memory = context.memory.setdefault(
-        "placement", placement_memory.Memory(context.clock.monotonic())
+def _memory(context: controller.Context) -> placement_memory.SoftState:
+    soft_state: placement_memory.SoftState = context.memory.setdefault(
+        "placement", placement_memory.SoftState(context.clock.monotonic())
     )
-    return memory
+    return soft_state
 
 
 def _pools(config: config_lib.Config) -> set[str]:
     return {*config.pools, *(job.pool for job in config.jobs.values())}
 
 
-class _Turn:
-    """One step's work on one reading."""
+class _PlanningPass:
+    """Plans on one snapshot and carries the plan out."""
 
     def __init__(
         self,
         context: controller.Context,
         fence: duties.Fence,
-        memory: placement_memory.Memory,
-        reading: placement_view.Reading,
+        soft_state: placement_memory.SoftState,
+        snapshot: placement_view.Reading,
         pools: frozenset[str],
     ):
         self._context = context
         self._fence = fence
-        self._memory = memory
-        self._reading = reading
+        self._soft_state = soft_state
+        self._snapshot = snapshot
         self._pools = pools
         self._config = context.config
-        self._lost = False
-        self._acted = False
-        self._mine = {
+        self._is_fence_broken = False
+        self._has_tried_commit = False
+        self._own_tasks = {
             name: found.row
-            for name, found in sorted(reading.tasks.items())
+            for name, found in sorted(snapshot.tasks.items())
             if found.row.pool in pools
         }
 
     def run(self) -> bool:
-        """Decides and acts; starts go first, as urgent ones wait for them.
+        """Plans and acts; starts come first, as urgent tasks wait for them.
 
         Returns:
             Whether there is more to do that must not wait.
         """
         now = self._context.clock.monotonic()
-        self._memory.learn(
-            self._mine, self._reading.reports, self._config.jobs, now
+        self._soft_state.update(
+            self._own_tasks, self._snapshot.reports, self._config.jobs, now
         )
-        ended = task_endings.ended(
-            self._mine,
-            self._reading.reports,
-            self._memory,
+        ended = task_endings.find_ended(
+            self._own_tasks,
+            self._snapshot.reports,
+            self._soft_state,
             now,
         )
-        states = task_endings.states(
-            self._reading, self._config, self._pools, ended
+        states = task_endings.updated_states(
+            self._snapshot, self._config, self._pools, ended
         )
         view = placement_view.build(
             placement_view.Inputs(
-                self._reading,
+                self._snapshot,
                 self._config,
                 self._pools,
                 states,
-                task_endings.vacated(self._mine, self._memory) | ended.keys(),
-                self._memory.seen,
-                self._memory.refusing(now),
+                task_endings.stopped_tasks(self._own_tasks, self._soft_state)
+                | ended.keys(),
+                self._soft_state.usage_by_job,
+                self._soft_state.refusing_workers(now),
             )
         )
         plan = placement.plan(view, self._config)
-        refused = self._start(plan, view, states)
-        self._write(ended, refused, states, plan)
-        # A broken fence means that another holder has decided since; what
-        # was read before says nothing of what may be sent now.
-        if self._lost:
+        refused = self._start_tasks(plan, view, states)
+        self._commit_changes(ended, refused, states, plan)
+        # A broken fence means that another holder has decided since. The
+        # snapshot no longer shows which calls are still allowed.
+        if self._is_fence_broken:
             return True
-        self._resend(ended)
-        well = task_endings.running_well(
-            self._mine, self._reading.reports, self._memory, states, now
+        self._resend_unconfirmed_starts(ended)
+        healthy_jobs = task_endings.healthy_jobs(
+            self._own_tasks,
+            self._snapshot.reports,
+            self._soft_state,
+            states,
+            now,
+        )
+        cordons.cordon_faulty_workers(
+            self._context, self._fence, self._snapshot, states, healthy_jobs
         )
-        cordons.cordon(self._context, self._fence, self._reading, states, well)
         self._send_stops(ended)
         task_messages.throttle(
-            self._context, self._memory, self._running(ended), plan.shares
+            self._context,
+            self._soft_state,
+            self._confirmed_tasks(ended),
+            plan.cpu_shares,
         )
         return self._is_busy(plan)
 
-    def _is_busy(self, plan: placement.Placement) -> bool:
-        known = self._config.jobs
+    def _is_busy(self, plan: placement.Plan) -> bool:
+        configured = self._config.jobs
         return (
-            self._acted
-            or any(known[job].urgent for job in plan.waiting)
+            self._has_tried_commit
+            or any(configured[job].urgent for job in plan.wait_reasons)
             or any(
-                task.stopping or task.operation not in self._memory.confirmed
-                for task in self._mine.values()
+                task.stopping
+                or task.operation not in self._soft_state.confirmed_starts
+                for task in self._own_tasks.values()
             )
         )
 
-    def _start(
+    def _start_tasks(
         self,
-        plan: placement.Placement,
+        plan: placement.Plan,
         view: placement.View,
-        states: Mapping[str, jobs.JobState],
+        states: Mapping[str, jobs.JobProgress],
     ) -> dict[str, tuple[tasks.Task, int]]:
-        """Writes intents, then sends them; returns those that had no effect.
+        """Writes the intents to start tasks, then sends the starts.
+
+        A start is given up only if the first call after the intent's commit
+        had no effect. At a later call, an earlier copy may still arrive.
 
-        Only the very first sending after the intent's commit may be taken
-        back: no earlier copy of it can be on its way.
+        Returns:
+            The tasks whose start had no effect, by name, each with the version
+            of its row.
         """
-        wanted = {w.name: w for w in view.wanted}
-        first = list(plan.starts.items())[:STARTS_IN_ONE_STEP]
-        if not first:
+        pending = {task.name: task for task in view.pending}
+        starts = list(plan.starts.items())[:MAX_STARTS_PER_STEP]
+        if not starts:
             return {}
         intents = {}
-        for name, worker in first:
+        for name, worker in starts:
             job, _, index = name.rpartition("/")
             intents[name] = tasks.Task(
                 job=job,
                 index=int(index),
-                pool=wanted[name].pool,
-                team=wanted[name].team,
+                pool=pending[name].pool,
+                team=pending[name].team,
                 worker=worker,
                 operation=ids.new_id(self._context.rng),
-                need=wanted[name].need,
+                need=pending[name].need,
                 checkpoint=states[job].checkpoints.get(index, ""),
             )
         puts = [
             _put(keys.task(n), platform.ABSENT, t) for n, t in intents.items()
         ]
         teams = {task.team for task in intents.values()}
-        puts += quotas.puts(teams, self._reading.quotas, self._fence.key)
+        puts += quotas.conflict_puts(
+            teams, self._snapshot.quota_versions, self._fence.key
+        )
         outcome = self._commit(puts)
         if not isinstance(outcome, platform.Committed):
             return {}
         refused = {}
         for name, task in intents.items():
-            if not task_messages.start(self._context, self._memory, task):
+            if not task_messages.start(self._context, self._soft_state, task):
                 refused[name] = (task, outcome.version)
                 now = self._context.clock.monotonic()
-                self._memory.refused[task.worker] = now
+                self._soft_state.refused_at[task.worker] = now
         return refused
 
-    def _resend(self, ended: Collection[str]) -> None:
+    def _resend_unconfirmed_starts(self, ended: Collection[str]) -> None:
         """Sends starts that no worker has confirmed, with the same id."""
-        for name, task in self._mine.items():
-            confirmed = task.operation in self._memory.confirmed
-            if name not in ended and not task.stopping and not confirmed:
-                task_messages.start(self._context, self._memory, task)
+        for name, task in self._own_tasks.items():
+            is_confirmed = task.operation in self._soft_state.confirmed_starts
+            if name not in ended and not task.stopping and not is_confirmed:
+                task_messages.start(self._context, self._soft_state, task)
 
-    def _write(
+    def _commit_changes(
         self,
         ended: Mapping[str, platform.TaskReport],
         refused: Mapping[str, tuple[tasks.Task, int]],
-        states: Mapping[str, jobs.JobState],
-        plan: placement.Placement,
+        states: Mapping[str, jobs.JobProgress],
+        plan: placement.Plan,
     ) -> None:
-        """Deletes, marks and keeps in one transaction for many rows."""
+        """Writes all changes but starts in one transaction.
+
+        It deletes the rows of tasks that ended or were refused, marks tasks
+        to be stopped, and writes job states and the reasons why jobs wait.
+        """
         puts = [
             platform.Put(
-                keys.task(name), self._reading.tasks[name].version, None
+                keys.task(name), self._snapshot.tasks[name].version, None
             )
             for name in ended
         ]
@@ -227,64 +258,69 @@
             platform.Put(keys.task(name), version, None)
             for name, (_, version) in refused.items()
         ]
-        wanted = task_endings.to_stop(
-            {n: t for n, t in self._mine.items() if n not in ended},
-            self._reading.fleet,
+        to_stop = task_endings.find_tasks_to_stop(
+            {n: t for n, t in self._own_tasks.items() if n not in ended},
+            self._snapshot.fleet,
             self._config,
-            self._memory,
+            self._soft_state,
             plan.evictions,
             self._context.clock.monotonic(),
         )
-        stops = list(wanted.items())
-        for name, reason in stops[:STOPS_IN_ONE_COMMIT]:
-            marked = dataclasses.replace(self._mine[name], stopping=reason)
-            version = self._reading.tasks[name].version
+        stops = list(to_stop.items())
+        for name, reason in stops[:MAX_STOPS_PER_COMMIT]:
+            marked = dataclasses.replace(self._own_tasks[name], stopping=reason)
+            version = self._snapshot.tasks[name].version
             puts.append(_put(keys.task(name), version, marked))
-        memory, now = self._memory, self._context.clock.monotonic()
-        memory.waits = job_waits.updated(memory.waits, plan.waiting, now)
-        waiting = job_waits.due(memory.waits, now)
-        puts += job_records.puts(
-            self._context, self._fence, self._reading, states, waiting
+        soft_state, now = self._soft_state, self._context.clock.monotonic()
+        soft_state.waits = job_waits.update_waits(
+            soft_state.waits, plan.wait_reasons, now
+        )
+        wait_reasons = job_waits.due_for_record(soft_state.waits, now)
+        puts += job_records.changed_state_puts(
+            self._context, self._fence, self._snapshot, states, wait_reasons
         )
         if puts and isinstance(self._commit(puts), platform.Committed):
-            memory.waits = job_waits.told(memory.waits, waiting)
+            soft_state.waits = job_waits.mark_recorded(
+                soft_state.waits, wait_reasons
+            )
             for put in puts:
                 name = keys.name_of(keys.TASKS, put.key)
                 if put.value and put.key == keys.task(name):
-                    self._mine[name] = rows.load(tasks.Task, put.value)
+                    self._own_tasks[name] = rows.load(tasks.Task, put.value)
 
     def _send_stops(self, ended: Collection[str]) -> None:
         stopping = []
-        for name, task in self._mine.items():
+        for name, task in self._own_tasks.items():
             if task.stopping and name not in ended:
                 job = self._config.jobs.get(task.job)
-                keeps = (
+                writes_checkpoint = (
                     job is not None and job.checkpoints and not job.cancelled
                 )
-                stopping.append((task, keeps))
-        task_messages.stop(self._context, self._memory, stopping)
+                stopping.append((task, writes_checkpoint))
+        task_messages.stop(self._context, self._soft_state, stopping)
 
-    def _running(self, ended: Collection[str]) -> dict[str, tasks.Task]:
+    def _confirmed_tasks(self, ended: Collection[str]) -> dict[str, tasks.Task]:
         return {
             name: task
-            for name, task in self._mine.items()
-            if name not in ended and task.operation in self._memory.confirmed
+            for name, task in self._own_tasks.items()
+            if name not in ended
+            and task.operation in self._soft_state.confirmed_starts
         }
 
     def _commit(self, puts: list[platform.Put]) -> platform.CommitOutcome:
         transaction = platform.Transaction(
             ids.new_id(self._context.rng), tuple(puts), (self._fence.check,)
         )
-        self._acted = True
+        self._has_tried_commit = True
         clock = self._context.clock
         outcome = commits.settle(
             self._context.platform.table,
             transaction,
             clock,
-            clock.monotonic() + COMMIT_S,
+            clock.monotonic() + COMMIT_TIMEOUT_S,
         )
         if self._fence.broken_by(outcome):
-            self._lost = True
+            self._is_fence_broken = True
             self._context.drop(self._fence)
         return outcome
 
--- a/src/vanillaswitch/coordination/workloads/placement_memory.py
+++ b/src/vanillaswitch/coordination/workloads/placement_memory.py
@@ -1,4 +1,4 @@
-"""What a placement duty remembers in its process, and may lose."""
+"""Soft state of a placement duty: kept in the process only, may be lost."""
 
 from collections.abc import Collection
 from collections.abc import Mapping
@@ -14,130 +14,136 @@
 
 T = TypeVar("T")
 
-IDLE_S = 2.0
-"""Pause between two turns while there is nothing to do."""
+IDLE_PASS_INTERVAL_S = 2.0
+"""Time between two planning passes while there is nothing to do."""
 
-REFUSED_S = 5.0
+REFUSAL_BACKOFF_S = 5.0
 """How long a worker that refused a start gets no other."""
 
 
 @dataclasses.dataclass
-class Memory:
-    """Soft memory of one held placement duty; lost with the duty.
+class SoftState:
+    """Soft state of one held placement duty; discarded with the duty.
 
     Times are monotonic seconds.
 
     Attributes:
-        began: when the duty was taken.
-        operations: those to renew, by worker, as last read from the table.
-        answered: when a worker last accepted a renewal or a start.
-        sent: when a renewal was last sent to a worker.
-        tried: when a start was first sent.
-        reported: when an operation was last reported as running.
-        confirmed: operations whose start was answered.
-        stopped: when the stop of an operation was answered.
-        checkpointed: operations that were asked for a checkpoint.
-        shares: what throttled operations were last told.
-        seen: usage by job.
-        absent: since when a task is missing from the configuration.
-        refused: when a worker last refused a start.
-        waits: why jobs wait.
-        reading: the last one, whose parsed rows are used again.
-        config: the configuration that the last turn went by.
-        turned: when the last turn began; None before the first.
-        busy: whether the last turn left something that must not wait.
+        taken_at: when the duty was taken.
+        operations: operations whose leases are renewed, by worker, as last
+            read from the table.
+        last_answer_at: by worker, when it last accepted a renewal or a start.
+        sent: by worker, when a renewal was last sent to it.
+        start_sent_at: by operation, when its start was first sent.
+        last_reported_at: by operation, when it was last reported as running.
+        confirmed_starts: operations that a worker accepted or reported.
+        stopped_at: by operation, when its stop was answered.
+        checkpoint_requested: operations that were asked for a checkpoint.
+        cpu_shares: by operation, the share last sent to its worker.
+        usage_by_job: observed usage by job.
+        unconfigured_since: by operation, since when its task is missing from
+            the configuration.
+        refused_at: by worker, when it last refused a start.
+        waits: why jobs wait, by job.
+        snapshot: the last one; its unchanged rows are not parsed again.
+        config: the configuration that the last planning pass used.
+        turned: when the last planning pass began; None before the first.
+        is_busy: whether the last pass left work that must not wait.
     """
 
-    began: float
+    taken_at: float
     operations: dict[str, tuple[str, ...]] = dataclasses.field(
         default_factory=dict
     )
-    answered: dict[str, float] = dataclasses.field(default_factory=dict)
+    last_answer_at: dict[str, float] = dataclasses.field(default_factory=dict)
     sent: dict[str, float] = dataclasses.field(default_factory=dict)
-    tried: dict[str, float] = dataclasses.field(default_factory=dict)
-    reported: dict[str, float] = dataclasses.field(default_factory=dict)
-    confirmed: set[str] = dataclasses.field(default_factory=set)
-    stopped: dict[str, float] = dataclasses.field(default_factory=dict)
-    checkpointed: set[str] = dataclasses.field(default_factory=set)
-    shares: dict[str, float] = dataclasses.field(default_factory=dict)
-    seen: dict[str, usage.Seen] = dataclasses.field(default_factory=dict)
-    absent: dict[str, float] = dataclasses.field(default_factory=dict)
-    refused: dict[str, float] = dataclasses.field(default_factory=dict)
+    start_sent_at: dict[str, float] = dataclasses.field(default_factory=dict)
+    last_reported_at: dict[str, float] = dataclasses.field(default_factory=dict)
+    confirmed_starts: set[str] = dataclasses.field(default_factory=set)
+    stopped_at: dict[str, float] = dataclasses.field(default_factory=dict)
+    checkpoint_requested: set[str] = dataclasses.field(default_factory=set)
+    cpu_shares: dict[str, float] = dataclasses.field(default_factory=dict)
+    usage_by_job: dict[str, usage.ObservedUsage] = dataclasses.field(
+        default_factory=dict
+    )
+    unconfigured_since: dict[str, float] = dataclasses.field(
+        default_factory=dict
+    )
+    refused_at: dict[str, float] = dataclasses.field(default_factory=dict)
 
     waits: dict[str, job_waits.Wait] = dataclasses.field(default_factory=dict)
-    reading: placement_view.Reading | None = None
+    snapshot: placement_view.Reading | None = None
     config: config_lib.Config | None = None
     turned: float | None = None
-    busy: bool = False
+    is_busy: bool = False
 
-    def due(self, config: config_lib.Config, now: float) -> bool:
-        """Tells whether a whole turn is due, or renewing is enough.
+    def is_pass_due(self, config: config_lib.Config, now: float) -> bool:
+        """Returns whether to run a planning pass, or only renew leases.
 
-        Reports lag by seconds, so that looking more often while nothing
-        changes costs processor time and shows nothing new. Urgent jobs come
-        by configuration, which is looked at in every step.
+        Reports lag by seconds, so that more frequent passes in an idle state
+        cost processor time and show nothing new. Urgent jobs arrive with a
+        new configuration, which is checked in every step.
         """
-        if self.busy or self.turned is None or config is not self.config:
+        if self.is_busy or self.turned is None or config is not self.config:
             return True
-        return now - self.turned >= IDLE_S
+        return now - self.turned >= IDLE_PASS_INTERVAL_S
 
-    def refusing(self, now: float) -> frozenset[str]:
-        """Returns the workers that get no starts for a while."""
+    def refusing_workers(self, now: float) -> frozenset[str]:
+        """Returns the workers that get no starts after a recent refusal."""
         return frozenset(
             worker
-            for worker, refused in self.refused.items()
-            if now - refused < REFUSED_S
+            for worker, refused_at in self.refused_at.items()
+            if now - refused_at < REFUSAL_BACKOFF_S
         )
 
-    def learn(
+    def update(
         self,
-        mine: Mapping[str, tasks.Task],
+        own_tasks: Mapping[str, tasks.Task],
         reports: Mapping[str, platform.TaskReport],
         jobs: Collection[str],
         now: float,
     ) -> None:
-        """Notes usage, and what is to be renewed from now on.
+        """Records usage and the operations to renew, and drops stale entries.
 
         Args:
-            mine: the duty's tasks, by name.
+            own_tasks: the duty's tasks, by name.
             reports: by operation.
             jobs: names of the jobs in the configuration.
             now: monotonic seconds.
         """
         by_worker: dict[str, list[str]] = {}
-        for task in mine.values():
+        for task in own_tasks.values():
             by_worker.setdefault(task.worker, []).append(task.operation)
             report = reports.get(task.operation)
             if report and report.state is platform.TaskState.RUNNING:
-                self._note(task, report, now)
+                self._record_report(task, report, now)
         self.operations = {w: tuple(ops) for w, ops in by_worker.items()}
-        self._forget_all_but({t.operation for t in mine.values()}, jobs)
+        self._prune({t.operation for t in own_tasks.values()}, jobs)
 
-    def _note(
+    def _record_report(
         self, task: tasks.Task, report: platform.TaskReport, now: float
     ) -> None:
-        self.confirmed.add(task.operation)
-        self.reported[task.operation] = now
-        seen = self.seen.get(task.job, usage.Seen())
-        throttled = self.shares.get(task.operation, 1.0) < 1.0
-        self.seen[task.job] = usage.observe(seen, report, throttled)
+        self.confirmed_starts.add(task.operation)
+        self.last_reported_at[task.operation] = now
+        observed = self.usage_by_job.get(task.job, usage.ObservedUsage())
+        throttled = self.cpu_shares.get(task.operation, 1.0) < 1.0
+        self.usage_by_job[task.job] = usage.observe(observed, report, throttled)
 
-    def _forget_all_but(
+    def _prune(
         self, operations: Collection[str], jobs: Collection[str]
     ) -> None:
-        """Drops what is kept of others than these and their workers."""
+        """Drops the entries of all other operations, workers and jobs."""
         workers = self.operations.keys()
-        self.seen = _only(self.seen, jobs)
-        self.answered = _only(self.answered, workers)
-        self.sent = _only(self.sent, workers)
-        self.confirmed.intersection_update(operations)
-        self.checkpointed.intersection_update(operations)
-        self.reported = _only(self.reported, operations)
-        self.tried = _only(self.tried, operations)
-        self.stopped = _only(self.stopped, operations)
-        self.absent = _only(self.absent, operations)
-        self.shares = _only(self.shares, operations)
-
-
-def _only(kept: dict[str, T], wanted: Collection[str]) -> dict[str, T]:
-    return {key: value for key, value in kept.items() if key in wanted}
+        self.usage_by_job = _select(self.usage_by_job, jobs)
+        self.last_answer_at = _select(self.last_answer_at, workers)
+        self.sent = _select(self.sent, workers)
+        self.confirmed_starts.intersection_update(operations)
+        self.checkpoint_requested.intersection_update(operations)
+        self.last_reported_at = _select(self.last_reported_at, operations)
+        self.start_sent_at = _select(self.start_sent_at, operations)
+        self.stopped_at = _select(self.stopped_at, operations)
+        self.unconfigured_since = _select(self.unconfigured_since, operations)
+        self.cpu_shares = _select(self.cpu_shares, operations)
+
+
+def _select(entries: dict[str, T], names: Collection[str]) -> dict[str, T]:
+    return {name: value for name, value in entries.items() if name in names}
--- a/src/vanillaswitch/coordination/workloads/placement_view.py
+++ b/src/vanillaswitch/coordination/workloads/placement_view.py
@@ -1,8 +1,8 @@
 """What one placement duty reads, and the view that it plans on.
 
 Each pool belongs to the placement duty of one data centre, chosen by
-rendezvous hashing over the configured data centres. It places the pool's
-tasks on the pool's workers wherever they are.
+rendezvous hashing over the configured data centres. The duty places the pool's
+tasks on the pool's workers in any data centre.
 """
 
 from collections.abc import Collection
@@ -26,8 +26,8 @@
 from vanillaswitch.state import rows
 
 
-def owns(pool: str, data_centre: str, config: config_lib.Config) -> bool:
-    """Tells whether a data centre's placement duty looks after a pool."""
+def is_owner(pool: str, data_centre: str, config: config_lib.Config) -> bool:
+    """Returns whether a pool belongs to a data centre's placement duty."""
     owner = max(
         sorted(config.data_centres), key=lambda dc: duties.score(pool, dc)
     )
@@ -39,84 +39,86 @@
     """The rows and reports of one step.
 
     Attributes:
-        tasks: of all pools, by name.
-        jobs: of all pools, by name.
-        quotas: version of each team's quota row.
+        tasks: rows of all pools' tasks, by name.
+        jobs: rows of all pools' jobs, by name.
+        quota_versions: version of each team's quota row.
         reports: by operation.
     """
 
     fleet: fleet_state.Fleet
     tasks: Mapping[str, fleet_state.Versioned[tasks.Task]]
-    jobs: Mapping[str, fleet_state.Versioned[jobs.JobState]]
-    quotas: Mapping[str, int]
+    jobs: Mapping[str, fleet_state.Versioned[jobs.JobProgress]]
+    quota_versions: Mapping[str, int]
     reports: Mapping[str, platform.TaskReport]
 
 
-def read(
+def read_snapshot(
     context: controller.Context,
     services: Collection[str],
-    known: Reading | None = None,
+    previous: Reading | None = None,
 ) -> Reading | platform.Unavailable:
     """Reads what a step needs.
 
-    Quota rows come first: a start that another duty commits after this read
-    changes one of them, so that a plan which did not count it conflicts.
+    Quota rows are read first. A start that another duty commits after this
+    read changes one of them, so that a plan which did not count the started
+    task conflicts.
 
     Args:
         context: of the step.
         services: those whose workers are asked for their status.
-        known: an earlier reading, whose unchanged rows are not parsed again.
+        previous: an earlier snapshot, whose unchanged rows are not parsed
+            again.
     """
-    outside = context.platform
+    source = context.platform
     found = []
     for prefix in (keys.QUOTAS, keys.TASKS, keys.JOBS):
-        outcome = outside.table.scan(prefix)
+        outcome = source.table.scan(prefix)
         if isinstance(outcome, platform.Unavailable):
             return outcome
         found.append(outcome.rows)
-    fleet = worker_facts.fleet(context, services)
+    fleet = worker_facts.read_fleet(context, services)
     if isinstance(fleet, platform.Unavailable):
         return fleet
-    reports = outside.workers.reports()
+    reports = source.workers.reports()
     if isinstance(reports, platform.Unavailable):
         return reports
     quota_rows, task_rows, job_rows = found
     return Reading(
         fleet,
-        _parsed_tasks(task_rows, known.tasks if known else {}),
-        _parsed_jobs(job_rows, known.jobs if known else {}),
+        _parse_tasks(task_rows, previous.tasks if previous else {}),
+        _parse_jobs(job_rows, previous.jobs if previous else {}),
         {keys.name_of(keys.QUOTAS, r.key): r.version for r in quota_rows},
         {report.operation: report for report in reports},
     )
 
 
-def _parsed_tasks(
+def _parse_tasks(
     found: Iterable[platform.Row],
-    known: Mapping[str, fleet_state.Versioned[tasks.Task]],
+    previous: Mapping[str, fleet_state.Versioned[tasks.Task]],
 ) -> dict[str, fleet_state.Versioned[tasks.Task]]:
     parsed = {}
     for row in found:
         name = tasks.name(row.value["job"], row.value["index"])
-        kept = known.get(name)
-        if kept is None or kept.version != row.version:
+        known = previous.get(name)
+        if known is None or known.version != row.version:
             task = rows.load(tasks.Task, row.value)
-            kept = fleet_state.Versioned(row.version, task)
-        parsed[name] = kept
+            known = fleet_state.Versioned(row.version, task)
+        parsed[name] = known
     return parsed
 
 
-def _parsed_jobs(
+def _parse_jobs(
     found: Iterable[platform.Row],
-    known: Mapping[str, fleet_state.Versioned[jobs.JobState]],
-) -> dict[str, fleet_state.Versioned[jobs.JobState]]:
+    previous: Mapping[str, fleet_state.Versioned[jobs.JobProgress]],
+) -> dict[str, fleet_state.Versioned[jobs.JobProgress]]:
     parsed = {}
     for row in found:
         name = keys.name_of(keys.JOBS, row.key)
-        kept = known.get(name)
-        if kept is None or kept.version != row.version:
-            state = rows.load(jobs.JobState, row.value)
-            kept = fleet_state.Versioned(row.version, state)
-        parsed[name] = kept
+        known = previous.get(name)
+        if known is None or known.version != row.version:
+            state = rows.load(jobs.JobProgress, row.value)
+            known = fleet_state.Versioned(row.version, state)
+        parsed[name] = known
     return parsed
 
 
@@ -125,28 +127,28 @@
     """What a view is built from.
 
     Attributes:
-        pools: those that the duty looks after.
-        states: of the pools' jobs, failures of cordoned workers forgiven.
-        over: names of tasks that use no room any more, though their rows
-            still exist.
-        seen: usage by job.
-        refusing: workers that refused a start just now.
+        pools: pools that belong to the duty.
+        states: of the pools' jobs, without failures on cordoned workers.
+        released_tasks: names of tasks that use no capacity any more, though
+            their rows still exist.
+        usage_by_job: observed usage by job.
+        refusing_workers: workers that refused a start recently.
     """
 
-    reading: Reading
+    snapshot: Reading
     config: config_lib.Config
     pools: frozenset[str]
-    states: Mapping[str, jobs.JobState]
-    over: frozenset[str]
-    seen: Mapping[str, usage.Seen]
-    refusing: frozenset[str] = frozenset()
+    states: Mapping[str, jobs.JobProgress]
+    released_tasks: frozenset[str]
+    usage_by_job: Mapping[str, usage.ObservedUsage]
+    refusing_workers: frozenset[str] = frozenset()
 
 
-def proven(reading: Reading) -> frozenset[str]:
-    """Returns the workers on which a task is seen to run."""
+def proven_workers(snapshot: Reading) -> frozenset[str]:
+    """Returns the workers on which a task is reported as running."""
     return frozenset(
         report.worker
-        for report in reading.reports.values()
+        for report in snapshot.reports.values()
         if report.state is platform.TaskState.RUNNING
     )
 
@@ -156,74 +158,79 @@
     workers = _workers(inputs)
     placed = [
         (name, found.row)
-        for name, found in sorted(inputs.reading.tasks.items())
-        if name not in inputs.over
+        for name, found in sorted(inputs.snapshot.tasks.items())
+        if name not in inputs.released_tasks
     ]
-    held = [(task.team, _need(inputs, task)) for _, task in placed]
+    team_needs = [(task.team, _need_of(inputs, task)) for _, task in placed]
     return placement.View(
         workers=workers,
         placed=tuple(
-            _placed(inputs, name, task)
+            _placed_task(inputs, name, task)
             for name, task in placed
             if task.pool in inputs.pools
         ),
-        wanted=tuple(_wanted(inputs)),
+        pending=tuple(_pending_tasks(inputs)),
         quotas={
-            team: quotas.limit(inputs.config, team)
+            team: quotas.quota_of(inputs.config, team)
             for team in inputs.config.teams
         },
-        used=quotas.used(held),
+        used=quotas.usage_by_team(team_needs),
     )
 
 
 def _workers(inputs: Inputs) -> tuple[rooms.Worker, ...]:
-    running = proven(inputs.reading)
+    proven = proven_workers(inputs.snapshot)
     found = []
-    for name, member in sorted(inputs.reading.fleet.members.items()):
-        size = worker_facts.size_of(member)
-        if member.row.pool not in inputs.pools or size is None:
+    for name, member in sorted(inputs.snapshot.fleet.members.items()):
+        capacity = worker_facts.capacity_of(member)
+        if member.row.pool not in inputs.pools or capacity is None:
             continue
-        takes = worker_facts.is_open(member) and name not in inputs.refusing
+        is_schedulable = (
+            worker_facts.is_schedulable(member)
+            and name not in inputs.refusing_workers
+        )
         found.append(
-            rooms.Worker(name, member.row.pool, size, takes, name in running)
+            rooms.Worker(
+                name, member.row.pool, capacity, is_schedulable, name in proven
+            )
         )
     return tuple(found)
 
 
-def _need(inputs: Inputs, task: tasks.Task) -> tasks.Need:
+def _need_of(inputs: Inputs, task: tasks.Task) -> tasks.Need:
     job = inputs.config.jobs.get(task.job)
-    seen = inputs.seen.get(task.job)
-    if job is None or seen is None or task.pool not in inputs.pools:
+    observed = inputs.usage_by_job.get(task.job)
+    if job is None or observed is None or task.pool not in inputs.pools:
         return task.need
-    return usage.need(job, seen)
+    return usage.estimate_need(job, observed)
 
 
-def _placed(inputs: Inputs, name: str, task: tasks.Task) -> rooms.Placed:
-    report = inputs.reading.reports.get(task.operation)
+def _placed_task(inputs: Inputs, name: str, task: tasks.Task) -> rooms.Placed:
+    report = inputs.snapshot.reports.get(task.operation)
     job = inputs.config.jobs.get(task.job)
     return rooms.Placed(
         name,
         task.worker,
-        _need(inputs, task),
+        _need_of(inputs, task),
         urgent=job is not None and job.urgent,
-        stopping=bool(task.stopping),
-        memory_used_mb=report.memory_mb_used if report else 0,
+        is_stopping=bool(task.stopping),
+        memory_mb_used=report.memory_mb_used if report else 0,
     )
 
 
-def _wanted(inputs: Inputs) -> list[rooms.Wanted]:
-    indices: dict[str, set[int]] = {}
-    for found in inputs.reading.tasks.values():
-        indices.setdefault(found.row.job, set()).add(found.row.index)
-    sizes = worker_facts.sizes_by_pool(inputs.reading.fleet)
-    wanted: list[rooms.Wanted] = []
+def _pending_tasks(inputs: Inputs) -> list[rooms.Wanted]:
+    placed_indices: dict[str, set[int]] = {}
+    for found in inputs.snapshot.tasks.values():
+        placed_indices.setdefault(found.row.job, set()).add(found.row.index)
+    capacities = worker_facts.capacities_by_pool(inputs.snapshot.fleet)
+    pending: list[rooms.Wanted] = []
     for name, job in sorted(inputs.config.jobs.items()):
-        state = inputs.states.get(name, jobs.JobState())
+        state = inputs.states.get(name, jobs.JobProgress())
         if job.pool not in inputs.pools or job.cancelled or state.aside:
             continue
-        seen = inputs.seen.get(name, usage.Seen())
-        need = _fitted(job, seen, sizes.get(job.pool, []))
-        wanted += [
+        observed = inputs.usage_by_job.get(name, usage.ObservedUsage())
+        need = _feasible_need(job, observed, capacities.get(job.pool, []))
+        pending += [
             rooms.Wanted(
                 tasks.name(name, index),
                 name,
@@ -233,20 +240,25 @@
                 job.urgent,
                 frozenset(state.failed_on),
             )
-            for index in jobs.missing(job, state, indices.get(name, ()))
+            for index in jobs.unplaced_indices(
+                job, state, placed_indices.get(name, ())
+            )
         ]
-    return wanted
+    return pending
 
 
-def _fitted(
-    job: config_lib.Job, seen: usage.Seen, sizes: list[tasks.Need]
+def _feasible_need(
+    job: config_lib.Job,
+    observed: usage.ObservedUsage,
+    capacities: list[tasks.Need],
 ) -> tasks.Need:
-    """Returns a job's need; a declaration above any worker takes a whole one.
+    """Returns a job's need, capped at the largest worker if none can meet it.
 
-    It may be twice what the task uses, so that it is worth a try.
+    The declaration may be twice what the task uses, so that starting it on
+    an empty worker may succeed.
     """
-    need = usage.need(job, seen)
-    if not sizes or any(need.fits(size) for size in sizes):
+    need = usage.estimate_need(job, observed)
+    if not capacities or any(need.fits_within(one) for one in capacities):
         return need
-    largest = max(sizes, key=lambda size: (size.memory_mb, size.cores))
-    return usage.capped(need, largest)
+    largest = max(capacities, key=lambda one: (one.memory_mb, one.cores))
+    return usage.cap_need(need, largest)
--- a/src/vanillaswitch/coordination/workloads/quotas.py
+++ b/src/vanillaswitch/coordination/workloads/quotas.py
@@ -1,4 +1,4 @@
-"""Teams' quotas, counted over all pools by what their tasks need."""
+"""Quotas of teams, counted over all pools by what their tasks need."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -9,39 +9,42 @@
 from vanillaswitch.state import keys
 
 
-def limit(config: config_lib.Config, team: str) -> tasks.Need:
+def quota_of(config: config_lib.Config, team: str) -> tasks.Need:
     """Returns a team's quota; a team that is not declared may use nothing."""
     declared = config.teams.get(team)
     if declared is None:
-        return tasks.NOTHING
+        return tasks.NO_RESOURCES
     return tasks.Need(declared.cores, declared.memory_mb, declared.accelerators)
 
 
-def used(placed: Iterable[tuple[str, tasks.Need]]) -> dict[str, tasks.Need]:
-    """Returns what each team uses.
+def usage_by_team(
+    placed: Iterable[tuple[str, tasks.Need]],
+) -> dict[str, tasks.Need]:
+    """Returns the resources that each team uses.
 
     Args:
-        placed: team and need of each task, stopping ones included: they hold
-            their resources until they are gone.
+        placed: team and need of each task. Tasks that are being stopped
+            count too: they hold their resources until they are gone.
     """
     total: dict[str, tasks.Need] = {}
     for team, need in placed:
-        total[team] = total.get(team, tasks.NOTHING).plus(need)
+        total[team] = total.get(team, tasks.NO_RESOURCES).plus(need)
     return total
 
 
-def puts(
+def conflict_puts(
     teams: Iterable[str], versions: Mapping[str, int], duty: str
 ) -> list[platform.Put]:
-    """Returns the writes that each transaction of starts carries.
+    """Returns the writes that make concurrent starts for a team conflict.
 
-    Two duties may start for one team at once, and neither sees the other's
-    tasks. The writes make one of them conflict; it then counts anew.
+    Two duties may start tasks for one team at the same time, and neither sees
+    the other's tasks. Every transaction that starts tasks carries these
+    writes, so that one of the two conflicts and counts the quota again.
 
     Args:
-        teams: whose tasks are started.
-        versions: of the teams' quota rows, read before the tasks.
-        duty: key of the duty that starts them.
+        teams: the teams whose tasks are started.
+        versions: of the teams' quota rows, read before the task rows.
+        duty: key of the duty that starts the tasks.
     """
     return [
         platform.Put(
--- a/src/vanillaswitch/coordination/workloads/rooms.py
+++ b/src/vanillaswitch/coordination/workloads/rooms.py
@@ -1,4 +1,4 @@
-"""Workers with what is left of them, and orders of choosing between them."""
+"""Workers with their free capacity, and the orders that choose among them."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -7,10 +7,10 @@
 from vanillaswitch.coordination.workloads import tasks
 from vanillaswitch.internal import registry
 
-UNPROVEN_STARTS = 4
-"""Tasks that a worker gets at most before the first is seen to run there."""
+MAX_UNPROVEN_TASKS = 4
+"""Most tasks on a worker on which no task is known to run yet."""
 
-LEAST_SHARE = 0.1
+MIN_CPU_SHARE = 0.1
 """A throttled task keeps this share of its processors, so it progresses."""
 
 
@@ -19,15 +19,17 @@
     """A worker of a pool.
 
     Attributes:
-        open: takes new tasks: it serves, and is neither cordoned nor moving.
-        proven: a task is seen to run there.
+        capacity: its total resources.
+        is_schedulable: it takes new tasks: it serves, is not cordoned, is not
+            moving to another pool and has not just refused a start.
+        is_proven: a task is reported as running there.
     """
 
     name: str
     pool: str
-    size: tasks.Need
-    open: bool = True
-    proven: bool = True
+    capacity: tasks.Need
+    is_schedulable: bool = True
+    is_proven: bool = True
 
 
 @dataclasses.dataclass(frozen=True)
@@ -35,16 +37,16 @@
     """A task on a worker.
 
     Attributes:
-        need: what is reserved for it.
-        memory_used_mb: what it was last seen to use.
+        need: resources reserved for it.
+        memory_mb_used: memory usage in its last report.
     """
 
     name: str
     worker: str
     need: tasks.Need
     urgent: bool = False
-    stopping: bool = False
-    memory_used_mb: int = 0
+    is_stopping: bool = False
+    memory_mb_used: int = 0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -52,7 +54,7 @@
     """A task that has no worker yet.
 
     Attributes:
-        avoid: workers on which its job failed.
+        avoided_workers: workers on which its job failed.
     """
 
     name: str
@@ -61,63 +63,77 @@
     team: str
     need: tasks.Need
     urgent: bool = False
-    avoid: frozenset[str] = frozenset()
+    avoided_workers: frozenset[str] = frozenset()
 
 
 @dataclasses.dataclass
-class Room:
-    """What is left of one worker while a plan is made.
+class WorkerCapacity:
+    """Capacity of one worker while a plan is made.
 
     Attributes:
-        free: not reserved; the processors may be overdrawn by urgent tasks.
-        leaving: reserved for tasks that are being stopped.
-        held: tasks there, those started by the plan included.
+        free: unreserved resources. Urgent tasks may overcommit the
+            processors, so that the cores become negative.
+        releasing: reserved for tasks that are being stopped.
+        active_tasks: tasks that are not being stopped, including those that
+            the plan starts.
     """
 
     worker: Worker
     free: tasks.Need
-    leaving: tasks.Need = tasks.NOTHING
-    held: list[Placed] = dataclasses.field(default_factory=list)
+    releasing: tasks.Need = tasks.NO_RESOURCES
+    active_tasks: list[Placed] = dataclasses.field(default_factory=list)
     starts: int = 0
 
-    def takes_starts(self) -> bool:
-        """Tells whether a worker not yet proven got enough for now."""
-        return self.worker.proven or len(self.held) < UNPROVEN_STARTS
+    def accepts_starts(self) -> bool:
+        """Returns whether the worker may get another task.
 
-    def place(self, wanted: Wanted) -> None:
-        """Reserves room for a task."""
-        self.free = self.free.minus(wanted.need)
-        self.held.append(
-            Placed(wanted.name, self.worker.name, wanted.need, wanted.urgent)
+        A worker on which no task is known to run yet gets only a few.
+        """
+        return (
+            self.worker.is_proven or len(self.active_tasks) < MAX_UNPROVEN_TASKS
         )
 
-    def with_throttling(self) -> tasks.Need:
-        """Returns the room for an urgent task when the others slow down."""
-        slowed = sum(h.need.cores for h in self.held if not h.urgent)
-        gained = tasks.Need(slowed * (1 - LEAST_SHARE), 0)
+    def reserve(self, task: Wanted) -> None:
+        """Reserves the resources of a task."""
+        self.free = self.free.minus(task.need)
+        self.active_tasks.append(
+            Placed(task.name, self.worker.name, task.need, task.urgent)
+        )
+
+    def free_with_throttling(self) -> tasks.Need:
+        """Returns what is free once all tasks but urgent ones are throttled."""
+        cores = sum(t.need.cores for t in self.active_tasks if not t.urgent)
+        gained = tasks.Need(cores * (1 - MIN_CPU_SHARE), 0)
         return self.free.plus(gained)
 
 
-Order = Callable[[Sequence[Room], tasks.Need], Room]
-"""Chooses one of several workers that all have room, sorted by name."""
+Order = Callable[[Sequence[WorkerCapacity], tasks.Need], WorkerCapacity]
+"""Chooses one of several workers that all have capacity, sorted by name."""
 
 ORDERS: registry.Registry[Order] = registry.Registry("placement order")
 
 
 @ORDERS.register("first-fit")
-def first_fit(rooms: Sequence[Room], need: tasks.Need) -> Room:
-    """The first by name; the baseline."""
+def first_fit(
+    candidates: Sequence[WorkerCapacity], need: tasks.Need
+) -> WorkerCapacity:
+    """Returns the first worker by name; the baseline."""
     del need
-    return rooms[0]
+    return candidates[0]
 
 
 @ORDERS.register("best-fit")
-def best_fit(rooms: Sequence[Room], need: tasks.Need) -> Room:
-    """The one with the least left over, so that large rooms stay whole."""
+def best_fit(
+    candidates: Sequence[WorkerCapacity], need: tasks.Need
+) -> WorkerCapacity:
+    """Returns the worker with the least left over.
+
+    This keeps large blocks of capacity unfragmented.
+    """
 
-    def left_over(room: Room) -> float:
-        left = room.free.minus(need)
-        size = room.worker.size
-        return left.cores / size.cores + left.memory_mb / size.memory_mb
+    def left_over(candidate: WorkerCapacity) -> float:
+        left = candidate.free.minus(need)
+        capacity = candidate.worker.capacity
+        return left.cores / capacity.cores + left.memory_mb / capacity.memory_mb
 
-    return min(rooms, key=left_over)
+    return min(candidates, key=left_over)
--- a/src/vanillaswitch/coordination/workloads/task_endings.py
+++ b/src/vanillaswitch/coordination/workloads/task_endings.py
@@ -1,4 +1,4 @@
-"""Which tasks are over or unwanted, and what that says of their jobs."""
+"""Which tasks have ended or must stop, and how that changes their jobs."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -13,180 +13,205 @@
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 
-ENDINGS_IN_ONE_STEP = 256
+MAX_ENDED_PER_STEP = 256
 
-ABSENT_S = 10.0
-"""A task must be missing from the configuration this long to be stopped.
+UNCONFIGURED_GRACE_S = 10.0
+"""How long a task is missing from the configuration before it is stopped.
 
 A holder may have taken the duty over with an older configuration than the one
-that brought the task; a new one is in force everywhere within seconds.
+that declared the task. A new configuration is in force everywhere within
+seconds.
 """
 
-CHECKPOINT_REPORT_S = 10.0
+CHECKPOINT_REPORT_TIMEOUT_S = 10.0
 """How long a stopped task's row waits for the report of its checkpoint."""
 
-RAN_WELL_S = 10.0
-"""A task that has run for so long shows that its job can run."""
+HEALTHY_RUN_S = 10.0
+"""A task that has run for this long shows that its job can run."""
 
-_SILENT_S = tasks.LEASE_S * tasks.LAPSE_MARGIN
+_LEASE_EXPIRED_S = tasks.LEASE_S * tasks.EXPIRY_MARGIN
 
 
-def ended(
-    mine: Mapping[str, tasks.Task],
+def find_ended(
+    own_tasks: Mapping[str, tasks.Task],
     reports: Mapping[str, platform.TaskReport],
-    memory: placement_memory.Memory,
+    soft_state: placement_memory.SoftState,
     now: float,
 ) -> dict[str, platform.TaskReport]:
-    """Returns the last report of each task that is over, by name.
+    """Returns the last report of each task that has ended, by name.
 
     Args:
-        mine: the duty's tasks, by name.
+        own_tasks: the duty's tasks, by name.
         reports: by operation.
-        memory: of the duty.
+        soft_state: of the duty.
         now: monotonic seconds.
     """
     found = {}
-    for name, task in mine.items():
+    for name, task in own_tasks.items():
         report = reports.get(task.operation)
-        if report and report.state in tasks.OVER:
+        if report and report.state in tasks.TERMINAL_STATES:
             found[name] = report
-        elif _is_stopped(memory, task, now):
-            found[name] = _made_up(name, task, platform.TaskState.STOPPED)
-        elif _is_lost(memory, task, now) or _is_refused(memory, task, now):
-            found[name] = _made_up(name, task, platform.TaskState.LEASE_LAPSED)
-    return dict(list(found.items())[:ENDINGS_IN_ONE_STEP])
-
-
-def _is_lost(
-    memory: placement_memory.Memory, task: tasks.Task, now: float
+        elif _is_stopped(soft_state, task, now):
+            found[name] = _substitute_report(
+                name, task, platform.TaskState.STOPPED
+            )
+        elif _has_lost_lease(soft_state, task, now) or _is_start_unaccepted(
+            soft_state, task, now
+        ):
+            found[name] = _substitute_report(
+                name, task, platform.TaskState.LEASE_LAPSED
+            )
+    return dict(list(found.items())[:MAX_ENDED_PER_STEP])
+
+
+def _has_lost_lease(
+    soft_state: placement_memory.SoftState, task: tasks.Task, now: float
 ) -> bool:
-    """Tells whether a task's lease has surely lapsed on a silent worker.
+    """Returns whether a task's lease has certainly expired on its worker.
 
-    A worker that does not answer may still run its tasks. Starting one again
-    elsewhere while it does would run it twice; after the term without a
-    renewal the worker has ended it by itself.
+    A worker that does not answer may still run its tasks, and a second start
+    elsewhere would run them twice. After the lease's term without a renewal
+    the worker has ended them itself.
     """
-    since = max(memory.answered.get(task.worker, 0.0), memory.began)
-    return now - since > _SILENT_S
+    since = max(
+        soft_state.last_answer_at.get(task.worker, 0.0), soft_state.taken_at
+    )
+    return now - since > _LEASE_EXPIRED_S
 
 
 def _is_stopped(
-    memory: placement_memory.Memory, task: tasks.Task, now: float
+    soft_state: placement_memory.SoftState, task: tasks.Task, now: float
 ) -> bool:
-    """Tells whether a stopped task's row may go.
+    """Returns whether the row of a stopped task may be deleted.
 
-    One that wrote a checkpoint is kept until the lagging report names it;
-    otherwise the task would begin again from nothing.
+    The row of a task that was asked for a checkpoint is kept until the lagging
+    report names the checkpoint; otherwise the task would start from scratch.
     """
-    stopped = memory.stopped.get(task.operation)
-    if stopped is None:
+    stopped_at = soft_state.stopped_at.get(task.operation)
+    if stopped_at is None:
         return False
-    reported = task.operation not in memory.checkpointed
-    return reported or now - stopped > CHECKPOINT_REPORT_S
+    no_checkpoint = task.operation not in soft_state.checkpoint_requested
+    return no_checkpoint or now - stopped_at > CHECKPOINT_REPORT_TIMEOUT_S
 
 
-def vacated(
-    mine: Mapping[str, tasks.Task], memory: placement_memory.Memory
+def stopped_tasks(
+    own_tasks: Mapping[str, tasks.Task], soft_state: placement_memory.SoftState
 ) -> frozenset[str]:
-    """Returns the tasks that are stopped and use no room any more."""
+    """Returns the names of stopped tasks, which use no capacity any more."""
     return frozenset(
-        name for name, task in mine.items() if task.operation in memory.stopped
+        name
+        for name, task in own_tasks.items()
+        if task.operation in soft_state.stopped_at
     )
 
 
-def _is_refused(
-    memory: placement_memory.Memory, task: tasks.Task, now: float
+def _is_start_unaccepted(
+    soft_state: placement_memory.SoftState, task: tasks.Task, now: float
 ) -> bool:
-    """Tells whether a start was sent in vain for longer than a lease.
+    """Returns whether no start was accepted for longer than a lease.
 
-    An earlier copy of the start may have been delayed, so that a refusal of a
-    later copy alone does not show that the task doesn't run.
+    An earlier copy of the start may have been delayed. The refusal of a later
+    copy alone therefore does not show that the task does not run.
     """
-    if task.operation in memory.confirmed:
+    if task.operation in soft_state.confirmed_starts:
         return False
-    return now - memory.tried.get(task.operation, now) > _SILENT_S
+    return (
+        now - soft_state.start_sent_at.get(task.operation, now)
+        > _LEASE_EXPIRED_S
+    )
 
 
-def _made_up(
+def _substitute_report(
     name: str, task: tasks.Task, state: platform.TaskState
 ) -> platform.TaskReport:
-    """Returns the report that a worker would give if it could."""
+    """Returns the report that the worker would send if it could."""
     return platform.TaskReport(name, task.operation, task.worker, state, 0.0, 0)
 
 
-def unwanted(
+def stop_reason(
     task: tasks.Task,
     config: config_lib.Config,
-    memory: placement_memory.Memory,
+    soft_state: placement_memory.SoftState,
     now: float,
 ) -> str:
-    """Returns why a task is to be stopped; empty when it may go on."""
+    """Returns why a task must stop; empty when it may go on."""
     job = config.jobs.get(task.job)
     if job is None or job.pool != task.pool or task.index >= job.tasks:
-        since = memory.absent.setdefault(task.operation, now)
-        return "no longer configured" if now - since >= ABSENT_S else ""
-    memory.absent.pop(task.operation, None)
+        since = soft_state.unconfigured_since.setdefault(task.operation, now)
+        return (
+            "no longer configured"
+            if now - since >= UNCONFIGURED_GRACE_S
+            else ""
+        )
+    soft_state.unconfigured_since.pop(task.operation, None)
     if job.cancelled:
         return "job is cancelled"
-    # A worker may have forgotten the task and still accept renewals for it.
-    # It would count as running for ever; the stop makes sure of it.
-    known = memory.reported.get(
-        task.operation, memory.tried.get(task.operation, memory.began)
+    # A worker may have lost the task and still accept renewals for it. The
+    # task would then count as running for ever, so it is stopped.
+    last_known_at = soft_state.last_reported_at.get(
+        task.operation,
+        soft_state.start_sent_at.get(task.operation, soft_state.taken_at),
+    )
+    return (
+        "worker does not report it"
+        if now - last_known_at > _LEASE_EXPIRED_S
+        else ""
     )
-    return "worker does not report it" if now - known > _SILENT_S else ""
 
 
-def running_well(
-    mine: Mapping[str, tasks.Task],
+def healthy_jobs(
+    own_tasks: Mapping[str, tasks.Task],
     reports: Mapping[str, platform.TaskReport],
-    memory: placement_memory.Memory,
-    known: Mapping[str, jobs.JobState],
+    soft_state: placement_memory.SoftState,
+    states: Mapping[str, jobs.JobProgress],
     now: float,
 ) -> frozenset[str]:
-    """Returns the jobs of which a task has finished, or runs for a while.
+    """Returns the jobs with a task that finished or has run for a while.
 
     Args:
-        mine: the duty's tasks, by name.
+        own_tasks: the duty's tasks, by name.
         reports: by operation.
-        memory: of the duty.
-        known: states of the jobs.
+        soft_state: of the duty.
+        states: of the jobs.
         now: monotonic seconds.
     """
-    found = {name for name, state in known.items() if state.finished}
-    for task in mine.values():
+    found = {name for name, state in states.items() if state.finished}
+    for task in own_tasks.values():
         report = reports.get(task.operation)
-        began = memory.tried.get(task.operation, memory.began)
-        running = report and report.state is platform.TaskState.RUNNING
-        if running and now - began >= RAN_WELL_S:
+        started_at = soft_state.start_sent_at.get(
+            task.operation, soft_state.taken_at
+        )
+        is_running = report and report.state is platform.TaskState.RUNNING
+        if is_running and now - started_at >= HEALTHY_RUN_S:
             found.add(task.job)
     return frozenset(found)
 
 
-def to_stop(
-    mine: Mapping[str, tasks.Task],
+def find_tasks_to_stop(
+    own_tasks: Mapping[str, tasks.Task],
     fleet: fleet_state.Fleet,
     config: config_lib.Config,
-    memory: placement_memory.Memory,
+    soft_state: placement_memory.SoftState,
     evictions: Mapping[str, str],
     now: float,
 ) -> dict[str, str]:
-    """Returns why tasks are to be stopped that are not yet, by name.
+    """Returns the reason by name of each task that must begin to stop.
 
     Args:
-        mine: the duty's tasks that are not over, by name.
+        own_tasks: the duty's tasks that have not ended, by name.
         fleet: with all workers.
         config: the configuration in force.
-        memory: of the duty.
+        soft_state: of the duty.
         evictions: reasons of the plan, by name.
         now: monotonic seconds.
     """
     stops = {}
-    for name, task in mine.items():
+    for name, task in own_tasks.items():
         if task.stopping:
             continue
         reason = (
-            unwanted(task, config, memory, now)
-            or worker_facts.leaving_reason(fleet.members.get(task.worker))
+            stop_reason(task, config, soft_state, now)
+            or worker_facts.drain_reason(fleet.members.get(task.worker))
             or evictions.get(name, "")
         )
         if reason:
@@ -194,45 +219,56 @@
     return stops
 
 
-def states(
-    reading: placement_view.Reading,
+def updated_states(
+    snapshot: placement_view.Reading,
     config: config_lib.Config,
     pools: frozenset[str],
-    over: Mapping[str, platform.TaskReport],
-) -> dict[str, jobs.JobState]:
+    ended: Mapping[str, platform.TaskReport],
+) -> dict[str, jobs.JobProgress]:
     """Returns the state of each of the pools' jobs after some tasks ended."""
     found = {}
     for name, job in config.jobs.items():
         if job.pool in pools:
-            kept = reading.jobs.get(name)
-            state = kept.row if kept else jobs.JobState()
-            found[name] = jobs.current(state, job)
-    for name, report in over.items():
-        task = reading.tasks[name].row
+            row = snapshot.jobs.get(name)
+            state = row.row if row else jobs.JobProgress()
+            found[name] = jobs.reset_if_resized(state, job)
+    for name, report in ended.items():
+        task = snapshot.tasks[name].row
         if task.job in found:
-            member = reading.fleet.members.get(task.worker)
-            blame = not worker_facts.leaving_reason(member)
-            found[task.job] = jobs.after(found[task.job], task, report, blame)
-    good = {
+            member = snapshot.fleet.members.get(task.worker)
+            counts_failure = not worker_facts.drain_reason(member)
+            found[task.job] = jobs.record_task_end(
+                found[task.job], task, report, counts_failure
+            )
+    cleared_workers = {
         report.worker
-        for report in over.values()
+        for report in ended.values()
         if report.state is platform.TaskState.FINISHED
     }
-    good |= {n for n, m in reading.fleet.members.items() if m.row.cordoned}
-    sizes = worker_facts.sizes_by_pool(reading.fleet)
+    cleared_workers |= {
+        n for n, m in snapshot.fleet.members.items() if m.row.cordoned
+    }
+    capacities = worker_facts.capacities_by_pool(snapshot.fleet)
     return {
-        name: _judged(config, sizes, name, jobs.forgiven(state, good))
+        name: _set_aside_if_unrunnable(
+            config,
+            capacities,
+            name,
+            jobs.without_failures_on(state, cleared_workers),
+        )
         for name, state in found.items()
     }
 
 
-def _judged(
+def _set_aside_if_unrunnable(
     config: config_lib.Config,
-    sizes: Mapping[str, list[tasks.Need]],
+    capacities: Mapping[str, list[tasks.Need]],
     name: str,
-    state: jobs.JobState,
-) -> jobs.JobState:
+    state: jobs.JobProgress,
+) -> jobs.JobProgress:
     job = config.jobs[name]
-    quota = quotas.limit(config, job.team)
-    aside = jobs.verdict(state, job, sizes.get(job.pool, []), quota)
-    return dataclasses.replace(state, aside=aside)
+    quota = quotas.quota_of(config, job.team)
+    reason = jobs.unrunnable_reason(
+        state, job, capacities.get(job.pool, []), quota
+    )
+    return dataclasses.replace(state, aside=reason)
--- a/src/vanillaswitch/coordination/workloads/tasks.py
+++ b/src/vanillaswitch/coordination/workloads/tasks.py
@@ -1,8 +1,8 @@
-"""Rows of tasks: the intent to start one, and what becomes of it.
+"""Task rows: the intent to start a task, and the state of its run.
 
-A task's row is written before its start is sent, with the operation id that
-the worker starts at most once. Whoever holds the duty next finds the row and
-sends the same start again. The row is deleted once the task is over.
+The row of a task is written before its start is sent. It holds the operation
+id, which a worker starts at most once. The next holder of the duty finds the
+row and sends the same start again. The row is deleted once the task has ended.
 """
 
 import dataclasses
@@ -10,20 +10,20 @@
 from vanillaswitch.protocol import platform
 
 LEASE_S = 15.0
-"""Term of a task's lease on its worker: outlasts a change of controller."""
+"""Term of a task's lease on its worker; outlasts a change of controller."""
 
-LAPSE_MARGIN = 1.2
-"""Terms without a renewal after which a lease has lapsed on any clock."""
+EXPIRY_MARGIN = 1.2
+"""Terms without a renewal after which a lease has expired on any clock."""
 
 RENEWALS_PER_TERM = 3
 
-OVER = frozenset(platform.TaskState) - {platform.TaskState.RUNNING}
-"""States from which a task does not come back."""
+TERMINAL_STATES = frozenset(platform.TaskState) - {platform.TaskState.RUNNING}
+"""A task in one of these states never runs again."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Need:
-    """Resources of a task, a worker or a team."""
+    """Resources: what a task needs, a worker has or a team may use."""
 
     cores: float
     memory_mb: int
@@ -45,28 +45,28 @@
             self.accelerators - other.accelerators,
         )
 
-    def fits(self, room: "Need") -> bool:
-        """Tells whether no resource exceeds ``room``."""
+    def fits_within(self, capacity: "Need") -> bool:
+        """Returns whether no resource exceeds ``capacity``."""
         return (
-            self.cores <= room.cores
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
+            self.cores <= capacity.cores
+            and self.memory_mb <= capacity.memory_mb
+            and self.accelerators <= capacity.accelerators
         )
 
 
-NOTHING = Need(0.0, 0)
+NO_RESOURCES = Need(0.0, 0)
 
 
 @dataclasses.dataclass(frozen=True)
 class Task:
-    """``task/<name>``: a task that is to run, runs or is being stopped.
+    """``task/<name>``: a task that is starting, running or being stopped.
 
     Attributes:
-        index: which of the job's tasks it is, from 0.
+        index: number of the task within its job, from 0.
         operation: id of its start.
-        need: what was reserved for it when it was placed.
-        checkpoint: what it resumes from; empty for none.
-        stopping: why it is being stopped; empty while it is to run.
+        need: resources reserved for it when it was placed.
+        checkpoint: checkpoint to resume from; empty for none.
+        stopping: why it is being stopped; empty while it should run.
     """
 
     job: str
@@ -86,7 +86,7 @@
 
 
 def spec(task: Task) -> platform.TaskSpec:
-    """Returns what the worker is asked to run, the same at each asking."""
+    """Returns the start request for the worker, identical on each retry."""
     return platform.TaskSpec(
         task=name(task.job, task.index),
         job=task.job,
--- a/src/vanillaswitch/coordination/workloads/usage.py
+++ b/src/vanillaswitch/coordination/workloads/usage.py
@@ -1,7 +1,8 @@
-"""What tasks need, by the usage seen rather than by the declaration.
+"""Estimates of what tasks need, from observed usage and the declaration.
 
-Declared sizes are off by 0.5 to 3 times. Reports lag, and a young task may
-not yet use what it will, so that few samples can only raise the estimate.
+Declared sizes are wrong by a factor of 0.5 to 3. Reports lag, and a young task
+may not have reached its full usage yet. A few samples can therefore only raise
+the estimate above the declaration, never lower it.
 """
 
 import dataclasses
@@ -10,59 +11,67 @@
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 
-ENOUGH_SAMPLES = 8
-HEADROOM = 1.2
+MIN_SAMPLES = 8
+"""With fewer samples the estimate is at least the declaration."""
+
+SAFETY_FACTOR = 1.2
+"""Estimated need per observed peak usage."""
+
 DECAY = 0.99
-LEAST_OF_DECLARED = 0.5
-"""Tasks may need as little as this share of what was declared."""
+"""Factor by which the peak decays with each sample."""
+
+MIN_SHARE_OF_DECLARED = 0.5
+"""Tasks may need as little as this share of their declared size."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Seen:
-    """Usage of one task of a job: a peak that fades with each sample."""
+class ObservedUsage:
+    """Peak usage of a task of one job; the peak decays with each sample."""
 
     cores: float = 0.0
     memory_mb: float = 0.0
     samples: int = 0
 
 
-def observe(seen: Seen, report: platform.TaskReport, throttled: bool) -> Seen:
+def observe(
+    observed: ObservedUsage, report: platform.TaskReport, throttled: bool
+) -> ObservedUsage:
     """Returns the usage after one more report of a running task.
 
-    The processor use of a throttled task tells nothing about its need.
+    The processor usage of a throttled task does not show what it needs.
     """
     cores = 0.0 if throttled else report.cores_used
-    kept = 1.0 if throttled else DECAY
-    return Seen(
-        max(cores, seen.cores * kept),
-        max(float(report.memory_mb_used), seen.memory_mb * DECAY),
-        seen.samples + 1,
+    decay = 1.0 if throttled else DECAY
+    return ObservedUsage(
+        max(cores, observed.cores * decay),
+        max(float(report.memory_mb_used), observed.memory_mb * DECAY),
+        observed.samples + 1,
     )
 
 
-def need(job: config_lib.Job, seen: Seen) -> tasks.Need:
-    """Returns what to reserve for one task of a job."""
-    cores = seen.cores * HEADROOM
-    memory_mb = seen.memory_mb * HEADROOM
-    if seen.samples < ENOUGH_SAMPLES:
+def estimate_need(job: config_lib.Job, observed: ObservedUsage) -> tasks.Need:
+    """Returns the resources to reserve for one task of a job."""
+    cores = observed.cores * SAFETY_FACTOR
+    memory_mb = observed.memory_mb * SAFETY_FACTOR
+    if observed.samples < MIN_SAMPLES:
         cores = max(cores, job.cores)
         memory_mb = max(memory_mb, job.memory_mb)
     return tasks.Need(cores, round(memory_mb), job.accelerators)
 
 
-def least(job: config_lib.Job) -> tasks.Need:
-    """Returns the smallest need that the declaration may stand for."""
+def min_need(job: config_lib.Job) -> tasks.Need:
+    """Returns the least that a task with this declaration may need."""
     return tasks.Need(
-        job.cores * LEAST_OF_DECLARED,
-        round(job.memory_mb * LEAST_OF_DECLARED),
+        job.cores * MIN_SHARE_OF_DECLARED,
+        round(job.memory_mb * MIN_SHARE_OF_DECLARED),
         job.accelerators,
     )
 
 
-def capped(wanted: tasks.Need, largest: tasks.Need) -> tasks.Need:
-    """Returns a need that a whole worker can meet."""
+def cap_need(need: tasks.Need, capacity: tasks.Need) -> tasks.Need:
+    """Returns a need whose cores and memory do not exceed a capacity."""
     return tasks.Need(
-        min(wanted.cores, largest.cores),
-        min(wanted.memory_mb, largest.memory_mb),
-        wanted.accelerators,
+        min(need.cores, capacity.cores),
+        min(need.memory_mb, capacity.memory_mb),
+        need.accelerators,
     )
--- a/src/vanillaswitch/coordination/workloads/worker_facts.py
+++ b/src/vanillaswitch/coordination/workloads/worker_facts.py
@@ -1,4 +1,4 @@
-"""What placement has to know of workers: sizes, and whether they take tasks."""
+"""Capacity of workers, and whether they take tasks."""
 
 from collections.abc import Collection
 
@@ -9,48 +9,53 @@
 from vanillaswitch.protocol import platform
 
 
-def fleet(
+def read_fleet(
     context: controller.Context, services: Collection[str]
 ) -> fleet_state.Fleet | platform.Unavailable:
-    """Returns all members; the workers of some services have a status."""
+    """Returns all members of the fleet.
+
+    Only the workers of ``services`` are asked for their status.
+    """
     cache = fleet_cache.of(context)
-    outside = context.platform
+    source = context.platform
     now = context.clock.monotonic()
-    if not cache.refresh(outside, now):
-        return platform.Unavailable("the fleet can't be read")
-    if not cache.settle(outside, services, now):
-        return platform.Unavailable("budgets can't be read")
-    asked = {
+    if not cache.refresh(source, now):
+        return platform.Unavailable("the fleet's rows or list are unavailable")
+    if not cache.settle(source, services, now):
+        return platform.Unavailable("the budget rows are unavailable")
+    workers = {
         name
         for name, member in cache.fleet.members.items()
         if member.row.service in services
         and member.row.kind is platform.InstanceKind.WORKER
     }
-    said = cache.ask(outside, asked, now)
-    if isinstance(said, platform.Unavailable):
-        return said
-    return cache.fleet.hearing(said)
+    statuses = cache.ask(source, workers, now)
+    if isinstance(statuses, platform.Unavailable):
+        return statuses
+    return cache.fleet.hearing(statuses)
 
 
-def size_of(member: fleet_state.Member) -> tasks.Need | None:
-    """Returns a worker's size; None while the list does not show it."""
+def capacity_of(member: fleet_state.Member) -> tasks.Need | None:
+    """Returns a worker's capacity; None while the list does not show it."""
     listing = member.listing
     if listing is None or listing.cores <= 0 or listing.memory_mb <= 0:
         return None
     return tasks.Need(listing.cores, listing.memory_mb, listing.accelerators)
 
 
-def sizes_by_pool(fleet: fleet_state.Fleet) -> dict[str, list[tasks.Need]]:
-    """Returns the sizes of each pool's workers that the list shows."""
+def capacities_by_pool(
+    fleet: fleet_state.Fleet,
+) -> dict[str, list[tasks.Need]]:
+    """Returns the capacities of each pool's workers that the list shows."""
     found: dict[str, list[tasks.Need]] = {}
     for member in fleet.members.values():
-        size = size_of(member)
-        if size is not None:
-            found.setdefault(member.row.pool, []).append(size)
+        capacity = capacity_of(member)
+        if capacity is not None:
+            found.setdefault(member.row.pool, []).append(capacity)
     return found
 
 
-def leaving_reason(member: fleet_state.Member | None) -> str:
+def drain_reason(member: fleet_state.Member | None) -> str:
     """Returns why tasks must leave a worker; empty when they may stay."""
     if member is None:
         return ""
@@ -63,10 +68,10 @@
     return ""
 
 
-def is_open(member: fleet_state.Member) -> bool:
-    """Tells whether a worker takes new tasks."""
-    serves = (
+def is_schedulable(member: fleet_state.Member) -> bool:
+    """Returns whether a worker takes new tasks."""
+    is_serving = (
         member.status is not None
         and member.status.phase is platform.Phase.SERVING
     )
-    return serves and not member.row.cordoned and not leaving_reason(member)
+    return is_serving and not member.row.cordoned and not drain_reason(member)
--- a/tests/common/placing.py
+++ b/tests/common/placing.py
@@ -1,4 +1,4 @@
-"""One placement duty over the platform in memory, stepped by hand."""
+"""Harness that steps one placement duty over an in-memory platform."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -22,12 +22,12 @@
 
 
 def job(**changes: Any) -> config.Job:
-    """Returns a job of 4 cores and 4 GB for each task, with changes."""
+    """Returns a job whose tasks have 4 cores and 4 GB, with changes."""
     return dataclasses.replace(JOB, **changes)
 
 
 def listing(number: int) -> platform.Listing:
-    """Returns a worker of 16 cores and 64 GB."""
+    """Returns the listing of a worker with 16 cores and 64 GB."""
     return platform.Listing(
         f"w{number}",
         platform.InstanceKind.WORKER,
@@ -39,8 +39,12 @@
     )
 
 
-class Placing:
-    """A service with workers and jobs, and the duty that places them."""
+class PlacementHarness:
+    """A service with workers and jobs, and the duty that places them.
+
+    Attributes:
+        is_leased: whether the controller holds its session lease.
+    """
 
     def __init__(self, workers: int, jobs: Mapping[str, config.Job]):
         self.clock = clocks.ManualClock()
@@ -61,13 +65,13 @@
             jobs=jobs,
         )
         self.rng = random.Random(1)
-        self.holds = True
+        self.is_leased = True
         for member in members:
             self.put(keys.instance(member.listing.instance), _row(member))
-        self.take()
+        self.take_duty()
 
-    def take(self) -> None:
-        """Another controller takes the duty, with nothing in memory."""
+    def take_duty(self) -> None:
+        """Lets another controller take the duty, with no soft state."""
         found = self.platform.table.read([keys.duty(DUTY)])
         assert isinstance(found, platform.Rows)
         epoch = found.rows[0].value["epoch"] + 1 if found.rows else 1
@@ -76,7 +80,11 @@
         self.memory: dict[str, Any] = {}
 
     def put(self, key: str, row: object) -> int:
-        """Writes a row whatever it was."""
+        """Writes a row, whether it exists or not.
+
+        Returns:
+            Its new version.
+        """
         table = self.platform.table
         found = table.read([key])
         assert isinstance(found, platform.Rows)
@@ -88,12 +96,12 @@
         return outcome.version
 
     def set_jobs(self, **changes: config.Job) -> None:
-        """An operator changes jobs."""
+        """Adds or replaces jobs of the configuration."""
         wanted = {**self.config.jobs, **changes}
         self.config = dataclasses.replace(self.config, jobs=wanted)
 
     def context(self) -> controller.Context:
-        """Returns what the steps work with."""
+        """Returns the context of the next step."""
         return controller.Context(
             platform=self.platform.interface,
             clock=self.clock,
@@ -101,17 +109,17 @@
             config=self.config,
             broadcast=self.memory.setdefault("sent", []).append,
             memory=self.memory,
-            leased=lambda: self.holds,
+            leased=lambda: self.is_leased,
         )
 
     def step(self, count: int = 1) -> None:
-        """Runs steps, each followed by the pause between them."""
+        """Runs steps, each followed by the pause between two steps."""
         for _ in range(count):
             placement_duty.step(self.context(), DUTY, self.fence)
             self.clock.advance(controller.STEP_S)
 
-    def keep_alive(self, count: int) -> None:
-        """Runs what goes on while the session lease has lapsed."""
+    def renew_leases(self, count: int) -> None:
+        """Renews task leases as while the session lease has expired."""
         for _ in range(count):
             placement_duty.renew_leases(self.context(), DUTY, self.fence)
             self.clock.advance(controller.STEP_S)
@@ -127,22 +135,22 @@
         reports = workers.reports()
         workers._lag_s = lag
         assert not isinstance(reports, platform.Unavailable)
-        alive = platform.TaskState.RUNNING
-        found = [(r.task, r.worker) for r in reports if r.state is alive]
-        assert len(dict(found)) == len(found), f"runs twice: {found}"
+        running = platform.TaskState.RUNNING
+        found = [(r.task, r.worker) for r in reports if r.state is running]
+        assert len(dict(found)) == len(found), f"a task runs twice: {found}"
         return dict(found)
 
-    def starts(self, worker: str) -> int:
-        """Returns how many starts a worker has taken so far."""
+    def count_starts(self, worker: str) -> int:
+        """Returns how many starts a worker has accepted so far."""
         tasks_there = self.platform.workers._tasks.values()
         return sum(task.worker == worker for task in tasks_there)
 
-    def state(self, name: str) -> jobs.JobState:
-        """Returns what the table says of a job."""
+    def job_state(self, name: str) -> jobs.JobProgress:
+        """Returns the state in a job's row, the initial one if it has none."""
         found = self.platform.table.read([keys.job(name)])
         assert isinstance(found, platform.Rows)
-        kept = [rows.load(jobs.JobState, row.value) for row in found.rows]
-        return kept[0] if kept else jobs.JobState()
+        states = [rows.load(jobs.JobProgress, row.value) for row in found.rows]
+        return states[0] if states else jobs.JobProgress()
 
     def task_rows(self) -> dict[str, tasks.Task]:
         """Returns the task rows by name."""
@@ -153,8 +161,8 @@
             for r in found.rows
         }
 
-    def cordoned(self) -> set[str]:
-        """Returns the cordoned workers."""
+    def cordoned_workers(self) -> set[str]:
+        """Returns the names of the cordoned workers."""
         found = self.platform.table.scan(keys.INSTANCES)
         assert isinstance(found, platform.Rows)
         return {
