--- a/src/vanillaswitch/coordination/entry/__init__.py
+++ b/src/vanillaswitch/coordination/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on the way of one request through an entry."""
+"""Admission, retries and delivery of requests in an entry process."""
--- a/src/vanillaswitch/coordination/entry/admission.py
+++ b/src/vanillaswitch/coordination/entry/admission.py
@@ -1,17 +1,17 @@
-"""Decides which waiting request of a service starts next, and which cannot.
+"""Decides which waiting request of a service starts next or is refused.
 
-Requests go by the priority of their class. A lower class that is passed over
-earns credit, its weight's share of the work that went before it, and goes
-first once the credit pays for one of its requests. Credit was chosen over
-slots set aside for each class because it also holds with a single slot and
-with classes whose work times differ by orders of magnitude, and leaves no
-slot idle that somebody could use.
+Requests start in order of their class's priority. A lower class that is passed
+over earns credit, its share by weight of the slot time used by others, and goes
+first once the credit covers one of its requests. Credit works with a single
+slot too, and with classes whose slot times differ by orders of magnitude.
+Slots set aside for each class would not, and could stay idle while others need
+them.
 
-Some slots are kept free of long work, since work is not preempted; see
-``reserve``.
+Running requests are not preempted, so some slots are reserved for urgent ones;
+see ``reserve``.
 
-All of it is memory and arithmetic: time and slots are handed in with each
-call, which returns what is to be done.
+This module does no I/O: callers pass the time and the slots with each call and
+carry out the actions that it returns.
 """
 
 from collections.abc import Iterator
@@ -21,18 +21,18 @@
 from vanillaswitch.coordination.entry import reserve as reserve_lib
 from vanillaswitch.protocol import requests
 
-NO_MINIONS_RETRY_S = 1.0
+NO_MINIONS_RETRY_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Slots:
-    """A service's slots as this process knows them.
+    """Slot counts of a service as this process knows them.
 
     Attributes:
-        total: of all minions that may get new work.
+        total: slots of all minions that accept new requests.
         free: how many more requests this process may send now.
-        usable: how many of ``total`` this process may use at once at most;
-            None for all of them.
+        usable: maximum of ``total`` that this process may use at once; None
+            for all of them.
     """
 
     total: int
@@ -42,14 +42,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Start:
-    """The request has a slot now."""
+    """Start the request: a slot is free."""
 
     ticket: int
 
 
 @dataclasses.dataclass(frozen=True)
 class Refuse:
-    """The request is given up; it was not run."""
+    """Refuse the request without running it."""
 
     ticket: int
     refusal: requests.Refusal
@@ -59,56 +59,61 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Running:
-    lane: lanes_lib.Lane
-    started: float
+class _RunningRequest:
+    class_queue: lanes_lib.ClassQueue
+    started_at: float
 
 
 class ServiceQueue:
-    """The requests of one service in one process, waiting and running."""
+    """Waiting and running requests of one service in one process."""
 
     def __init__(self) -> None:
-        self._lanes = lanes_lib.Lanes()
-        self._running: dict[int, _Running] = {}
+        self._class_queues = lanes_lib.ClassQueues()
+        self._running: dict[int, _RunningRequest] = {}
         self._reserve = reserve_lib.Reserve()
 
     @property
     def waiting(self) -> int:
-        """How many requests wait."""
-        return sum(len(lane.waiting) for lane in self._lanes)
+        """Number of waiting requests."""
+        return sum(
+            len(class_queue.waiting) for class_queue in self._class_queues
+        )
 
     @property
     def running(self) -> int:
-        """How many requests hold a slot."""
+        """Number of requests that hold a slot."""
         return len(self._running)
 
     @property
     def first_priority(self) -> int:
-        """Priority of the most urgent request that waits.
+        """Priority of the most urgent waiting request.
 
         Raises:
-            IndexError: none waits.
+            IndexError: no request is waiting.
         """
-        return self._lanes.by_priority()[0].definition.priority
+        return self._class_queues.by_priority()[0].definition.priority
 
     def may_use_reserve(self, priority: int) -> bool:
         """Whether requests of a priority may use the reserved slots."""
         return not any(
-            self._lanes.is_long(lane)
-            for lane in self._lanes
-            if lane.definition.priority == priority
+            self._class_queues.is_long(class_queue)
+            for class_queue in self._class_queues
+            if class_queue.definition.priority == priority
         )
 
     def reserve(self, slots: Slots) -> int:
-        """Returns how many free slots long work may not take."""
+        """Returns the number of free slots closed to long requests."""
         usable = slots.total if slots.usable is None else slots.usable
         return self._reserve.slots(usable)
 
     def arrive(
         self, arrival: lanes_lib.Arrival, slots: Slots, now: float
     ) -> tuple[Action, ...]:
-        """Queues a request; it may start or be refused at once."""
-        self._lanes.of(arrival).waiting.append(arrival)
+        """Queues a request and returns the actions that follow.
+
+        The new request may be started or refused at once.
+        """
+        self._class_queues.queue_of(arrival).waiting.append(arrival)
         return self.poll(slots, now)
 
     def forecast(
@@ -116,130 +121,138 @@
     ) -> requests.Refusal | None:
         """Returns the refusal that a request would get now, if any.
 
-        Nothing is changed. Asked before a claim is written, so that overload
-        costs no writes.
+        Changes no state. Callers check this before they write a claim, so that
+        requests refused because of overload cause no writes.
         """
         if slots.total <= 0:
             return _no_minions()
-        lane = self._lanes.of(arrival)
+        class_queue = self._class_queues.queue_of(arrival)
         if slots.free > 0 and not self.waiting:
             return None
-        ahead = self._lanes.work_ahead(lane) + lane.work_s
-        wait = ahead / self._capacity(slots)
-        if len(lane.waiting) >= lane.definition.queue_limit:
-            return _queue_full(wait)
-        if now + wait + lane.work_s > arrival.deadline:
-            return _too_late(wait)
+        ahead_s = (
+            self._class_queues.backlog_ahead_s(class_queue)
+            + class_queue.slot_time_s
+        )
+        wait_s = ahead_s / self._capacity(slots)
+        if len(class_queue.waiting) >= class_queue.definition.queue_limit:
+            return _queue_full(wait_s)
+        if now + wait_s + class_queue.slot_time_s > arrival.deadline:
+            return _too_late(wait_s)
         return None
 
     def finish(self, ticket: int, now: float, measured: bool) -> None:
-        """Forgets a request, whether it waits, runs or is unknown.
+        """Removes a request, whether it is waiting, running or unknown.
 
         Args:
-            ticket: the request.
+            ticket: number of the request.
             now: monotonic seconds.
-            measured: its time since the start tells how long work takes.
+            measured: whether to record the time since its start as slot time.
         """
-        run = self._running.pop(ticket, None)
-        if run is None:
-            self._lanes.remove(ticket)
+        running_request = self._running.pop(ticket, None)
+        if running_request is None:
+            self._class_queues.remove(ticket)
         elif measured:
-            run.lane.measure(now - run.started)
-        self._observe(now)
+            running_request.class_queue.record_slot_time(
+                now - running_request.started_at
+            )
+        self._update_reserve(now)
 
     def poll(self, slots: Slots, now: float) -> tuple[Action, ...]:
-        """Starts what can start and refuses what can't start in time."""
-        self._observe(now)
+        """Starts requests in free slots and refuses those that are too late."""
+        self._update_reserve(now)
         if slots.total <= 0:
             return tuple(self._refuse_all())
         actions: list[Action] = []
         free = slots.free
-        while lane := self._lanes.next(free, self.reserve(slots)):
-            arrival = self._lanes.take(lane)
-            if _is_late(arrival, lane, now):
-                wait = lane.work_s / self._capacity(slots)
-                actions.append(Refuse(arrival.ticket, _too_late(wait)))
+        while class_queue := self._class_queues.choose_next(
+            free, self.reserve(slots)
+        ):
+            arrival = self._class_queues.pop_oldest(class_queue)
+            if _is_too_late(arrival, class_queue, now):
+                wait_s = class_queue.slot_time_s / self._capacity(slots)
+                actions.append(Refuse(arrival.ticket, _too_late(wait_s)))
                 continue
-            self._lanes.charge(lane)
-            self._running[arrival.ticket] = _Running(lane, now)
-            self._observe(now)
+            self._class_queues.account_start(class_queue)
+            self._running[arrival.ticket] = _RunningRequest(class_queue, now)
+            self._update_reserve(now)
             actions.append(Start(arrival.ticket))
             free -= 1
-        left = Slots(slots.total, free)
-        actions.extend(self._sweep(left, now))
+        remaining = Slots(slots.total, free)
+        actions.extend(self._prune_waiting(remaining, now))
         return tuple(actions)
 
-    def _observe(self, now: float) -> None:
-        urgent = sum(
-            not self._lanes.is_long(run.lane) for run in self._running.values()
+    def _update_reserve(self, now: float) -> None:
+        urgent_count = sum(
+            not self._class_queues.is_long(running_request.class_queue)
+            for running_request in self._running.values()
         )
-        self._reserve.observe(urgent, now)
+        self._reserve.observe(urgent_count, now)
 
     def _capacity(self, slots: Slots) -> int:
-        """Slots that this process works with: its own and the free ones."""
+        """Slots that this process can use: those it holds and the free ones."""
         return max(1, slots.free + len(self._running))
 
     def _refuse_all(self) -> Iterator[Action]:
-        for lane in self._lanes:
-            for arrival in lane.drain():
+        for class_queue in self._class_queues:
+            for arrival in class_queue.take_all():
                 yield Refuse(arrival.ticket, _no_minions())
 
-    def _sweep(self, slots: Slots, now: float) -> Iterator[Action]:
-        """Refuses the waiting requests that can't start in time any more.
+    def _prune_waiting(self, slots: Slots, now: float) -> Iterator[Action]:
+        """Refuses requests beyond the queue limit or too late to start.
 
-        Each is answered at this moment: one that was kept until its deadline
-        would leave its caller no time to go elsewhere.
+        They are refused right away: after waiting until its deadline, the
+        caller would have no time left to try elsewhere.
         """
         capacity = self._capacity(slots)
-        ahead = 0.0
-        for lane in self._lanes.by_priority():
+        ahead_s = 0.0
+        for class_queue in self._class_queues.by_priority():
             kept = 0
-            for arrival in lane.drain():
-                wait = (ahead + lane.work_s) / capacity
-                if kept >= lane.definition.queue_limit:
-                    yield Refuse(arrival.ticket, _queue_full(wait))
-                elif now + wait + lane.work_s > arrival.deadline:
-                    yield Refuse(arrival.ticket, _too_late(wait))
+            for arrival in class_queue.take_all():
+                wait_s = (ahead_s + class_queue.slot_time_s) / capacity
+                if kept >= class_queue.definition.queue_limit:
+                    yield Refuse(arrival.ticket, _queue_full(wait_s))
+                elif now + wait_s + class_queue.slot_time_s > arrival.deadline:
+                    yield Refuse(arrival.ticket, _too_late(wait_s))
                 else:
-                    lane.waiting.append(arrival)
-                    ahead += lane.work_s
+                    class_queue.waiting.append(arrival)
+                    ahead_s += class_queue.slot_time_s
                     kept += 1
 
 
-def _is_late(
-    arrival: lanes_lib.Arrival, lane: lanes_lib.Lane, now: float
+def _is_too_late(
+    arrival: lanes_lib.Arrival, class_queue: lanes_lib.ClassQueue, now: float
 ) -> bool:
-    """Whether a request that gets a slot now has too little time for work.
+    """Whether a request that gets a slot now has too little time left.
 
-    One that finds a slot as it arrives is let through whatever the measured
-    work time: if a slow spell has raised that time above what callers allow,
-    nothing else would ever run and lower it again.
+    A request that gets a slot on arrival starts whatever the mean slot time
+    is. Otherwise, after a slow period that raised the mean above what callers
+    allow, no request of the class would ever run and lower it again.
     """
-    needed = 0.0 if now <= arrival.arrived else lane.work_s
+    needed = 0.0 if now <= arrival.arrived else class_queue.slot_time_s
     return now + needed >= arrival.deadline
 
 
-def _refuse(code: str, detail: str, retry_s: float) -> requests.Refusal:
+def _refusal(code: str, detail: str, retry_s: float) -> requests.Refusal:
     return requests.Refusal(
         requests.Outcome.NOT_RUN, 503, code, detail, retry_s
     )
 
 
-def _queue_full(wait: float) -> requests.Refusal:
-    return _refuse("queue-full", "Too many requests wait already.", wait)
+def _queue_full(wait_s: float) -> requests.Refusal:
+    return _refusal("queue-full", "Too many requests wait already.", wait_s)
 
 
-def _too_late(wait: float) -> requests.Refusal:
-    return _refuse(
+def _too_late(wait_s: float) -> requests.Refusal:
+    return _refusal(
         "cannot-start-in-time",
         "The requests ahead leave no time before the deadline.",
-        wait,
+        wait_s,
     )
 
 
 def _no_minions() -> requests.Refusal:
-    return _refuse(
+    return _refusal(
         "no-minions",
         "No minion of the service takes new work.",
-        NO_MINIONS_RETRY_S,
+        NO_MINIONS_RETRY_AFTER_S,
     )
--- a/src/vanillaswitch/coordination/entry/delivery.py
+++ b/src/vanillaswitch/coordination/entry/delivery.py
@@ -1,4 +1,4 @@
-"""Sends one admitted request to minions until its outcome is settled."""
+"""Sends an admitted request to minions until it has a final reply."""
 
 from collections.abc import Callable
 import dataclasses
@@ -13,36 +13,36 @@
 from vanillaswitch.protocol import requests
 from vanillaswitch.state import config as config_lib
 
-RETRY_S = 1.0
-"""When to come back after minions failed, as opposed to a backlog."""
+RETRY_AFTER_S = 1.0
+"""Retry delay for callers after minions failed, as opposed to a backlog."""
 
-CATCH_UP_S = 1.0
-"""Longest wait for the view to be refreshed after a pause."""
+MAX_CATCH_UP_S = 1.0
+"""Maximum wait for the fleet view to be refreshed after a pause."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Work:
-    """A request with the part of the configuration that holds for it."""
+class ConfiguredRequest:
+    """A request and the configuration that applies to it."""
 
     request: requests.Request
     config: config_lib.Config
 
     @property
     def definition(self) -> config_lib.RequestClass:
-        """The request's class."""
+        """Configuration of the request's class."""
         return self.config.classes[self.request.request_class]
 
     @property
     def service(self) -> config_lib.Service:
-        """The request's service."""
+        """Configuration of the request's service."""
         return self.config.services[self.request.service]
 
 
-class Record:
-    """What may have become of a request, true at each moment.
+class AttemptHistory:
+    """State of a request's attempts, correct at every moment.
 
-    The task of a request can be killed while it waits for a minion. Whoever
-    cleans up after it then reads here that the request may have run.
+    A request's task can be killed while it waits for a minion. The code that
+    cleans up afterwards reads here whether the request may have run.
     """
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
 
     @property
     def attempts(self) -> retry.Attempts:
-        """The attempts so far; one under way may have run."""
+        """The attempts so far; one in progress counts as possibly run."""
         return self._attempts
 
     @attempts.setter
@@ -58,8 +58,8 @@
         self._attempts = attempts
 
 
-class Sender:
-    """Makes the attempts of requests."""
+class RequestSender:
+    """Sends requests to minions and retries failed attempts."""
 
     def __init__(
         self,
@@ -69,139 +69,151 @@
         client: minions_lib.MinionClient,
         counters: metrics_lib.Counters,
     ):
-        """Makes a sender.
+        """Initializes the sender.
 
         Args:
-            clock: time.
-            fleet: asked right before each send.
-            catch_up: refreshes the view within some seconds after a pause;
-                returns whether it is current.
-            client: sends.
-            counters: of attempts and retries.
+            clock: source of time.
+            fleet: view of the fleet, checked right before each attempt.
+            catch_up: refreshes the view after a pause, within the given number
+                of seconds; returns whether the view is current.
+            client: client that sends the requests.
+            counters: counters of attempts and retries.
         """
         self._clock = clock
         self._fleet = fleet
         self._catch_up = catch_up
         self._client = client
         self._counters = counters
-        self._budgets: dict[str, retry.RetryBudget] = {}
+        self._retry_budgets: dict[str, retry.RetryBudget] = {}
 
     def deliver(
         self,
-        work: Work,
-        place: dispatch_messages.Place,
+        configured: ConfiguredRequest,
+        slot: dispatch_messages.SlotHandle,
         minion: minions_lib.Minion,
-        record: Record,
+        history: AttemptHistory,
     ) -> requests.Reply:
-        """Returns the answer, or the final refusal once it is given up.
+        """Returns the answer, or the final refusal after the last attempt.
 
         Args:
-            work: the request.
-            place: its slot.
+            configured: the request.
+            slot: handle for the request's slot.
             minion: the first minion to try.
-            record: updated before and after each attempt.
+            history: updated before and after each attempt.
         """
-        avoided: frozenset[str] = frozenset()
+        excluded: frozenset[str] = frozenset()
         target: minions_lib.Minion | None = minion
-        last = _NO_ROOM
+        last_refusal = _NO_FREE_SLOT
         while target is not None:
-            refusal = self._not_ready(work)
+            refusal = self._check_ready(configured)
             if refusal:
-                return _settle(refusal, work, record)
-            avoided |= {target.instance}
-            if not self._fleet.allows(target, work.config):
-                target = place.move(avoided)
+                return _final_refusal(refusal, configured, history)
+            excluded |= {target.instance}
+            if not self._fleet.allows(target, configured.config):
+                target = slot.reassign(excluded)
                 continue
-            outcome = self._attempt(work, target, record)
-            place.learn(_verdict(outcome, work.service))
-            if isinstance(outcome, minions_lib.Answered) and not _declined(
-                outcome, work.service
+            outcome = self._send_attempt(configured, target, history)
+            slot.record_result(_attempt_result(outcome, configured.service))
+            if isinstance(outcome, minions_lib.Answered) and not _is_declined(
+                outcome, configured.service
             ):
                 return outcome.answer
-            last = _refusal_of(outcome)
-            if not self._take_retry(work, record):
+            last_refusal = _refusal_of(outcome)
+            if not self._try_take_retry(configured, history):
                 break
-            target = _elsewhere(place, avoided, target, outcome)
-        return _settle(last, work, record)
+            target = _next_target(slot, excluded, target, outcome)
+        return _final_refusal(last_refusal, configured, history)
 
-    def _not_ready(self, work: Work) -> requests.Refusal | None:
-        """Returns why nothing may be sent at this moment, if so.
+    def _check_ready(
+        self, configured: ConfiguredRequest
+    ) -> requests.Refusal | None:
+        """Returns why no attempt may be sent now, or None if one may.
 
-        Between admission and here the process may have been paused: the
-        deadline may have passed, and the view may be older than it looks.
+        The process may have been paused since admission: the deadline may have
+        passed, and the view of the fleet may be outdated.
         """
-        left = self._left(work)
-        if left > 0 and not self._fleet.tick(self._clock.monotonic()):
-            current = self._catch_up(min(left, CATCH_UP_S))
-            if not current or not self._fleet.tick(self._clock.monotonic()):
-                return _STALE
-        if self._left(work) <= 0:
-            return _DEADLINE
+        time_left_s = self._time_left_s(configured)
+        if time_left_s > 0 and not self._fleet.tick(self._clock.monotonic()):
+            is_current = self._catch_up(min(time_left_s, MAX_CATCH_UP_S))
+            if not is_current or not self._fleet.tick(self._clock.monotonic()):
+                return _VIEW_STALE
+        if self._time_left_s(configured) <= 0:
+            return _DEADLINE_PASSED
         return None
 
-    def _attempt(
-        self, work: Work, minion: minions_lib.Minion, record: Record
+    def _send_attempt(
+        self,
+        configured: ConfiguredRequest,
+        minion: minions_lib.Minion,
+        history: AttemptHistory,
     ) -> minions_lib.SendOutcome:
-        budget = self._budget(work)
-        before = record.attempts
+        budget = self._retry_budget(configured)
+        before = history.attempts
         if not before.count:
-            budget.first_attempt(work.config.policies.retry_ratio)
-        record.attempts = before.begun()
+            budget.first_attempt(configured.config.policies.retry_ratio)
+        history.attempts = before.begun()
         self._counters.add("attempts")
-        kind = work.definition.kind
-        left = self._left(work)
+        kind = configured.definition.kind
+        time_left_s = self._time_left_s(configured)
         can_retry = budget.available and retry.may_retry(
-            kind, record.attempts, left
+            kind, history.attempts, time_left_s
         )
         outcome = self._client.send(
             minion,
-            work.request,
-            retry.attempt_timeout_s(kind, work.service, left, can_retry),
-            # A pooled connection may have gone silent or been closed. For a
-            # request that must not run twice that is final, so it gets a new
-            # one; any other finds out by its first attempt.
+            configured.request,
+            retry.attempt_timeout_s(
+                kind, configured.service, time_left_s, can_retry
+            ),
+            # A pooled connection may be dead or closed. A request that must
+            # not run twice could then not be retried, so it gets a new
+            # connection. Other requests use a new one for retries only.
             fresh=before.count > 0 or kind is config_lib.RequestKind.ONCE,
         )
-        result = retry.effect(outcome, work.service.not_run_statuses)
-        record.attempts = record.attempts.ended(before, result)
+        result = retry.effect(outcome, configured.service.not_run_statuses)
+        history.attempts = history.attempts.ended(before, result)
         return outcome
 
-    def _take_retry(self, work: Work, record: Record) -> bool:
-        kind = work.definition.kind
-        if not retry.may_retry(kind, record.attempts, self._left(work)):
+    def _try_take_retry(
+        self, configured: ConfiguredRequest, history: AttemptHistory
+    ) -> bool:
+        kind = configured.definition.kind
+        if not retry.may_retry(
+            kind, history.attempts, self._time_left_s(configured)
+        ):
             return False
-        if not self._budget(work).take():
+        if not self._retry_budget(configured).take():
             self._counters.add("retries.over-budget")
             return False
         self._counters.add("retries")
         return True
 
-    def _left(self, work: Work) -> float:
-        return work.request.deadline - self._clock.monotonic()
+    def _time_left_s(self, configured: ConfiguredRequest) -> float:
+        return configured.request.deadline - self._clock.monotonic()
 
-    def _budget(self, work: Work) -> retry.RetryBudget:
-        return self._budgets.setdefault(
-            work.request.service, retry.RetryBudget()
+    def _retry_budget(self, configured: ConfiguredRequest) -> retry.RetryBudget:
+        return self._retry_budgets.setdefault(
+            configured.request.service, retry.RetryBudget()
         )
 
 
-def _elsewhere(
-    place: dispatch_messages.Place,
-    avoided: frozenset[str],
+def _next_target(
+    slot: dispatch_messages.SlotHandle,
+    excluded: frozenset[str],
     minion: minions_lib.Minion,
     outcome: minions_lib.SendOutcome,
 ) -> minions_lib.Minion | None:
-    """Returns where to try next: another minion, or the same one again.
+    """Returns the minion to try next: another one, or the same one again.
 
-    The same minion is worth a new connection unless it declined itself.
+    The same minion is tried again, over a new connection, only if it did not
+    decline the request.
     """
-    moved = place.move(avoided)
-    if moved is None and not isinstance(outcome, minions_lib.Answered):
-        moved = place.move(avoided - {minion.instance})
-    return moved
+    new_target = slot.reassign(excluded)
+    if new_target is None and not isinstance(outcome, minions_lib.Answered):
+        new_target = slot.reassign(excluded - {minion.instance})
+    return new_target
 
 
-def _declined(
+def _is_declined(
     outcome: minions_lib.SendOutcome, service: config_lib.Service
 ) -> bool:
     result = retry.effect(outcome, service.not_run_statuses)
@@ -209,10 +221,10 @@
     return is_answered and result is retry.Effect.NOT_RUN
 
 
-def _verdict(
+def _attempt_result(
     outcome: minions_lib.SendOutcome, service: config_lib.Service
 ) -> slot_book.Verdict:
-    if retry.is_leaving(outcome, service.not_run_statuses):
+    if retry.declines_new_requests(outcome, service.not_run_statuses):
         return slot_book.Verdict.DECLINED
     if isinstance(outcome, minions_lib.Answered):
         return slot_book.Verdict.ANSWERED
@@ -223,21 +235,21 @@
 
 def _not_run(status: int, code: str, detail: str) -> requests.Refusal:
     return requests.Refusal(
-        requests.Outcome.NOT_RUN, status, code, detail, RETRY_S
+        requests.Outcome.NOT_RUN, status, code, detail, RETRY_AFTER_S
     )
 
 
 def _unknown(status: int, code: str, detail: str) -> requests.Refusal:
     return requests.Refusal(
-        requests.Outcome.UNKNOWN, status, code, detail, RETRY_S
+        requests.Outcome.UNKNOWN, status, code, detail, RETRY_AFTER_S
     )
 
 
-_NO_ROOM = _not_run(503, "no-room", "No minion has a free slot.")
-_STALE = _not_run(
+_NO_FREE_SLOT = _not_run(503, "no-room", "No minion has a free slot.")
+_VIEW_STALE = _not_run(
     503, "view-stale", "The process was paused and is not up to date yet."
 )
-_DEADLINE = _not_run(504, "deadline-passed", "The deadline has passed.")
+_DEADLINE_PASSED = _not_run(504, "deadline-passed", "The deadline has passed.")
 
 
 def _refusal_of(outcome: minions_lib.SendOutcome) -> requests.Refusal:
@@ -252,19 +264,21 @@
             return _unknown(502, "answer-lost", "The answer broke off.")
 
 
-def _settle(
-    refusal: requests.Refusal, work: Work, record: Record
+def _final_refusal(
+    refusal: requests.Refusal,
+    configured: ConfiguredRequest,
+    history: AttemptHistory,
 ) -> requests.Refusal:
-    """Returns a refusal that is true of all attempts, not only the last.
+    """Returns a refusal that is true of all attempts, not just the last one.
 
-    The last attempt of a request may not have been sent while an earlier one
-    still runs somewhere; such a request is never called "not run".
+    The last attempt may not have been sent while an earlier one is still
+    running. Such a request must not be reported as "not run".
     """
-    if record.attempts.may_have_run:
+    if history.attempts.may_have_run:
         if refusal.outcome is requests.Outcome.NOT_RUN:
             refusal = _unknown(
                 504, "no-answer", "An earlier attempt may have run."
             )
-        if work.definition.kind is config_lib.RequestKind.ONCE:
+        if configured.definition.kind is config_lib.RequestKind.ONCE:
             return dataclasses.replace(refusal, retry_after_s=None)
     return refusal
--- a/src/vanillaswitch/coordination/entry/dispatch.py
+++ b/src/vanillaswitch/coordination/entry/dispatch.py
@@ -1,6 +1,6 @@
-"""The task that owns slots and queues, and gives each request its minion.
+"""The dispatcher: a task that owns slots and queues and assigns minions.
 
-Requests run in tasks of their own and talk to this one by messages.
+Each request runs in its own task and exchanges messages with the dispatcher.
 """
 
 from collections.abc import Callable
@@ -29,21 +29,28 @@
 from vanillaswitch.state import config as config_lib
 
 POLL_S = 0.01
-"""How often waiting requests are looked at when nothing else happens."""
+"""Interval at which waiting requests are checked without other events."""
 
 
 @dataclasses.dataclass(frozen=True)
-class _Placed:
-    """A request that was let in; ``minion`` once it has a slot."""
+class _AdmittedRequest:
+    """A request that is waiting or holds a slot.
+
+    Attributes:
+        service: name of the service.
+        reply: result for the request's task: its minion or a refusal.
+        minion: minion that the request has a slot at, if any.
+        taken_at: monotonic seconds when it took the slot.
+    """
 
     service: str
     reply: Any
     minion: minions_lib.Minion | None = None
-    since: float = 0.0
+    taken_at: float = 0.0
 
 
 class Dispatcher:
-    """Admits requests and counts what is in flight."""
+    """Admits requests and tracks which are in flight."""
 
     def __init__(
         self,
@@ -52,36 +59,36 @@
         slots: slot_book.SlotBook,
         send: Callable[[lending.Envelope], None],
     ):
-        """Makes a dispatcher; it answers while ``running``.
+        """Initializes the dispatcher; it works while ``running`` is entered.
 
         Args:
-            clock: time.
+            clock: source of time.
             rng: random source.
-            slots: owned by this dispatcher from now on.
-            send: sends a message about loans, without blocking.
+            slots: slot counts; only this dispatcher may use them from now on.
+            send: sends a message about slot loans without blocking.
         """
         self._clock = clock
         self._slots = slots
         self._send = send
-        self._lending = lending.Lending(rng, slots, self._queue)
+        self._lending = lending.Lending(rng, slots, self._queue_of)
         self._inbox = gevent.queue.Queue()
         self._tickets = itertools.count(1)
         self._queues: dict[str, admission.ServiceQueue] = {}
-        self._placed: dict[int, _Placed] = {}
-        self._polled = 0.0
+        self._admitted: dict[int, _AdmittedRequest] = {}
+        self._last_poll_at = 0.0
 
     @property
     def loads(self) -> Mapping[str, int]:
-        """Own requests in flight by minion instance, for the peers."""
+        """This process's requests in flight, by minion instance, for peers."""
         return self._slots.loads(self._clock.monotonic())
 
-    def told(self, message: lending.Message) -> None:
-        """Takes a peer's message about loans in; never blocks."""
-        self._inbox.put(dispatch_messages.Told(message))
+    def handle_peer_message(self, message: lending.Message) -> None:
+        """Queues a peer's message about slot loans; never blocks."""
+        self._inbox.put(dispatch_messages.PeerMessage(message))
 
     @contextlib.contextmanager
     def running(self) -> Iterator[None]:
-        """Answers requests until the block is left."""
+        """Runs the dispatcher's task until the block exits."""
         task = gevent.spawn(self._run)
         try:
             yield
@@ -93,7 +100,7 @@
     ) -> requests.Refusal | None:
         """Returns the refusal that a request would get now, if any."""
         reply = gevent.event.AsyncResult()
-        arrival = self._arrival(request, definition)
+        arrival = self._make_arrival(request, definition)
         self._inbox.put(
             dispatch_messages.Forecast(arrival, request.service, reply)
         )
@@ -101,30 +108,32 @@
         return refusal
 
     @contextlib.contextmanager
-    def admitted(
+    def admit(
         self, request: requests.Request, definition: config_lib.RequestClass
     ) -> Iterator[
-        tuple[dispatch_messages.Place, minions_lib.Minion | requests.Refusal]
+        tuple[
+            dispatch_messages.SlotHandle, minions_lib.Minion | requests.Refusal
+        ]
     ]:
-        """Yields a minion once a slot is free, and frees the slot after.
+        """Waits for a slot, yields its minion and releases the slot on exit.
 
         Yields:
-            The request's place and either its minion or the refusal.
+            A handle for the request's slot, and its minion or the refusal.
         """
-        arrival = self._arrival(request, definition)
-        place = dispatch_messages.Place(self._inbox.put, arrival.ticket)
+        arrival = self._make_arrival(request, definition)
+        slot = dispatch_messages.SlotHandle(self._inbox.put, arrival.ticket)
         reply = gevent.event.AsyncResult()
         self._inbox.put(
-            dispatch_messages.Enter(arrival, request.service, reply)
+            dispatch_messages.Admit(arrival, request.service, reply)
         )
         try:
-            yield place, reply.get()
+            yield slot, reply.get()
         finally:
             self._inbox.put(
-                dispatch_messages.Leave(arrival.ticket, place.verdict)
+                dispatch_messages.Finish(arrival.ticket, slot.attempt_result)
             )
 
-    def _arrival(
+    def _make_arrival(
         self, request: requests.Request, definition: config_lib.RequestClass
     ) -> lanes.Arrival:
         return lanes.Arrival(
@@ -136,32 +145,33 @@
         )
 
     def _run(self) -> None:
-        """Runs until killed; any error stops the process.
+        """Processes messages until killed; stops the process on any error.
 
-        A process that went on without this task would keep every request
+        If the process continued without this task, every request would wait
         until its deadline.
         """
         try:
-            self._answer_forever()
+            self._process_messages()
         except Exception:
             gevent.get_hub().handle_system_error(*sys.exc_info()[:2])
             raise
 
-    def _answer_forever(self) -> None:
+    def _process_messages(self) -> None:
         while True:
-            message = self._next()
+            message = self._next_message()
             now = self._clock.monotonic()
             if message is not None:
                 self._handle(message, now)
-            if message is None or now - self._polled >= POLL_S:
-                self._polled = now
+            if message is None or now - self._last_poll_at >= POLL_S:
+                self._last_poll_at = now
                 for service in self._queues:
                     self._poll(service, now)
 
-    def _next(self) -> dispatch_messages.Message | None:
+    def _next_message(self) -> dispatch_messages.Message | None:
         """Returns the next message, or None when it is time to poll.
 
-        Peers free slots and deadlines come near without any message here.
+        Polling is necessary while requests wait: no message announces that a
+        peer has freed a slot or that a deadline is near.
         """
         waiting = any(queue.waiting for queue in self._queues.values())
         try:
@@ -175,98 +185,110 @@
     def _handle(self, message: dispatch_messages.Message, now: float) -> None:
         match message:
             case dispatch_messages.Forecast(arrival, service, reply):
-                queue = self._queue(service)
+                queue = self._queue_of(service)
                 slots = self._slots.count(service, now)
                 reply.set(queue.forecast(arrival, slots, now))
-            case dispatch_messages.Enter(arrival, service, reply):
-                self._placed[arrival.ticket] = _Placed(service, reply)
+            case dispatch_messages.Admit(arrival, service, reply):
+                self._admitted[arrival.ticket] = _AdmittedRequest(
+                    service, reply
+                )
                 slots = self._slots.count(service, now)
-                actions = self._queue(service).arrive(arrival, slots, now)
-                self._act(actions, now)
-                self._settle(service, now)
-            case dispatch_messages.Move(ticket, verdict, excluded, reply):
-                reply.set(self._move(ticket, verdict, excluded, now))
-            case dispatch_messages.Leave(ticket, verdict):
-                self._leave(ticket, verdict, now)
-            case dispatch_messages.Told(told):
-                services, envelopes = self._lending.take(told, now)
-                self._post(envelopes)
+                actions = self._queue_of(service).arrive(arrival, slots, now)
+                self._apply(actions, now)
+                self._update_loans(service, now)
+            case dispatch_messages.Reassign(
+                ticket, attempt_result, excluded, reply
+            ):
+                reply.set(self._reassign(ticket, attempt_result, excluded, now))
+            case dispatch_messages.Finish(ticket, attempt_result):
+                self._finish(ticket, attempt_result, now)
+            case dispatch_messages.PeerMessage(peer_message):
+                services, envelopes = self._lending.take(peer_message, now)
+                self._send_all(envelopes)
                 for service in services:
                     self._poll(service, now)
 
-    def _queue(self, service: str) -> admission.ServiceQueue:
+    def _queue_of(self, service: str) -> admission.ServiceQueue:
         if service not in self._queues:
             self._queues[service] = admission.ServiceQueue()
         return self._queues[service]
 
     def _poll(self, service: str, now: float) -> None:
-        queue = self._queue(service)
+        queue = self._queue_of(service)
         if queue.waiting:
-            self._act(queue.poll(self._slots.count(service, now), now), now)
-        self._settle(service, now)
+            self._apply(queue.poll(self._slots.count(service, now), now), now)
+        self._update_loans(service, now)
 
-    def _settle(self, service: str, now: float) -> None:
-        self._post(self._lending.settle(service, now))
+    def _update_loans(self, service: str, now: float) -> None:
+        self._send_all(self._lending.settle(service, now))
 
-    def _post(self, envelopes: tuple[lending.Envelope, ...]) -> None:
+    def _send_all(self, envelopes: tuple[lending.Envelope, ...]) -> None:
         for envelope in envelopes:
             self._send(envelope)
 
-    def _act(self, actions: tuple[admission.Action, ...], now: float) -> None:
+    def _apply(self, actions: tuple[admission.Action, ...], now: float) -> None:
         for action in actions:
-            placed = self._placed[action.ticket]
+            admitted = self._admitted[action.ticket]
             match action:
                 case admission.Refuse(refusal=refusal):
-                    placed.reply.set(refusal)
+                    admitted.reply.set(refusal)
                 case admission.Start(ticket=ticket):
-                    placed.reply.set(self._start(ticket, placed, now))
+                    admitted.reply.set(
+                        self._start_request(ticket, admitted, now)
+                    )
 
-    def _start(
-        self, ticket: int, placed: _Placed, now: float
+    def _start_request(
+        self, ticket: int, admitted: _AdmittedRequest, now: float
     ) -> minions_lib.Minion:
-        minion = self._take(ticket, placed, frozenset(), now)
+        minion = self._take_slot(ticket, admitted, frozenset(), now)
         if minion is None:
-            raise errors.InvariantError("a request started without a slot")
+            raise errors.InvariantError(
+                "admission started a request although no minion has a free slot"
+            )
         return minion
 
-    def _take(
-        self, ticket: int, placed: _Placed, excluded: frozenset[str], now: float
+    def _take_slot(
+        self,
+        ticket: int,
+        admitted: _AdmittedRequest,
+        excluded: frozenset[str],
+        now: float,
     ) -> minions_lib.Minion | None:
-        minion = self._slots.take(placed.service, excluded, now, ticket)
-        self._placed[ticket] = dataclasses.replace(
-            placed, minion=minion, since=now
+        minion = self._slots.take(admitted.service, excluded, now, ticket)
+        self._admitted[ticket] = dataclasses.replace(
+            admitted, minion=minion, taken_at=now
         )
         return minion
 
-    def _move(
+    def _reassign(
         self,
         ticket: int,
-        verdict: slot_book.Verdict,
+        attempt_result: slot_book.Verdict,
         excluded: frozenset[str],
         now: float,
     ) -> minions_lib.Minion | None:
-        placed = self._placed[ticket]
-        self._release(ticket, placed, verdict, now)
-        return self._take(ticket, placed, excluded, now)
+        admitted = self._admitted[ticket]
+        self._release_slot(ticket, admitted, attempt_result, now)
+        return self._take_slot(ticket, admitted, excluded, now)
 
-    def _release(
+    def _release_slot(
         self,
         ticket: int,
-        placed: _Placed,
-        verdict: slot_book.Verdict,
+        admitted: _AdmittedRequest,
+        attempt_result: slot_book.Verdict,
         now: float,
     ) -> None:
-        if placed.minion:
+        if admitted.minion:
             self._slots.release(
-                placed.minion, verdict, placed.since, now, ticket
+                admitted.minion, attempt_result, admitted.taken_at, now, ticket
             )
 
-    def _leave(
-        self, ticket: int, verdict: slot_book.Verdict, now: float
+    def _finish(
+        self, ticket: int, attempt_result: slot_book.Verdict, now: float
     ) -> None:
-        placed = self._placed.pop(ticket)
-        self._release(ticket, placed, verdict, now)
-        queue = self._queues[placed.service]
-        worked = verdict is not slot_book.Verdict.UNUSED
-        queue.finish(ticket, now, measured=worked)
-        self._poll(placed.service, now)
+        admitted = self._admitted.pop(ticket)
+        self._release_slot(ticket, admitted, attempt_result, now)
+        queue = self._queues[admitted.service]
+        measured = attempt_result is not slot_book.Verdict.UNUSED
+        queue.finish(ticket, now, measured=measured)
+        self._poll(admitted.service, now)
--- a/src/vanillaswitch/coordination/entry/dispatch_messages.py
+++ b/src/vanillaswitch/coordination/entry/dispatch_messages.py
@@ -1,4 +1,4 @@
-"""What the tasks of requests tell the dispatcher, and their end of it."""
+"""Messages from request tasks to the dispatcher, and a handle to send them."""
 
 from collections.abc import Callable
 import dataclasses
@@ -22,8 +22,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Enter:
-    """Asks for a minion."""
+class Admit:
+    """Asks for a slot at a minion."""
 
     arrival: lanes.Arrival
     service: str
@@ -31,54 +31,60 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Move:
-    """Gives a minion up and asks for another one."""
+class Reassign:
+    """Releases the slot at a minion and asks for one at another."""
 
     ticket: int
-    verdict: slot_book.Verdict
+    attempt_result: slot_book.Verdict
     excluded: frozenset[str]
     reply: Any
 
 
 @dataclasses.dataclass(frozen=True)
-class Leave:
-    """The request is over; it may never have had a minion."""
+class Finish:
+    """Ends a request, which may never have had a slot."""
 
     ticket: int
-    verdict: slot_book.Verdict
+    attempt_result: slot_book.Verdict
 
 
 @dataclasses.dataclass(frozen=True)
-class Told:
-    """A peer's message about loans of slots."""
+class PeerMessage:
+    """A peer's message about slot loans."""
 
     message: lending.Message
 
 
-Message = Forecast | Enter | Move | Leave | Told
+Message = Forecast | Admit | Reassign | Finish | PeerMessage
 
 
-class Place:
-    """A request's slot, as its own task sees it."""
+class SlotHandle:
+    """A request's slot, for use by the request's own task."""
 
-    def __init__(self, post: Callable[[Message], None], ticket: int):
-        self._post = post
+    def __init__(self, send: Callable[[Message], None], ticket: int):
+        self._send = send
         self._ticket = ticket
-        self._verdict = slot_book.Verdict.UNUSED
+        self._attempt_result = slot_book.Verdict.UNUSED
 
     @property
-    def verdict(self) -> slot_book.Verdict:
-        """What was learnt of the minion at hand."""
-        return self._verdict
+    def attempt_result(self) -> slot_book.Verdict:
+        """What the last attempt showed about the current minion."""
+        return self._attempt_result
 
-    def learn(self, verdict: slot_book.Verdict) -> None:
-        """Notes what an attempt says of the minion at hand."""
-        self._verdict = verdict
+    def record_result(self, attempt_result: slot_book.Verdict) -> None:
+        """Records what an attempt showed about the current minion."""
+        self._attempt_result = attempt_result
 
-    def move(self, excluded: frozenset[str]) -> minions_lib.Minion | None:
-        """Gives up the minion and returns another one with room, if any."""
+    def reassign(self, excluded: frozenset[str]) -> minions_lib.Minion | None:
+        """Releases the slot and takes one at another minion.
+
+        Returns:
+            The new minion, or None if no other one has a free slot.
+        """
         reply = gevent.event.AsyncResult()
-        self._post(Move(self._ticket, self._verdict, excluded, reply))
-        self._verdict = slot_book.Verdict.UNUSED
+        self._send(
+            Reassign(self._ticket, self._attempt_result, excluded, reply)
+        )
+        self._attempt_result = slot_book.Verdict.UNUSED
         minion: minions_lib.Minion | None = reply.get()
         return minion
--- a/src/vanillaswitch/coordination/entry/intake.py
+++ b/src/vanillaswitch/coordination/entry/intake.py
@@ -1,8 +1,8 @@
-"""Checks an incoming request against the configuration in force.
+"""Validates incoming requests against the configuration in force.
 
-Nothing is sent before a request passed these checks, so every refusal made
-here is "not run", but for one: of a key whose claim may be gone, nobody knows
-what an earlier attempt came to.
+Requests are validated before anything is sent, so refusals here mean "not run".
+The exception is a key whose claim may have been deleted already: the outcome of
+an earlier attempt is unknown then.
 """
 
 from collections.abc import Mapping
@@ -19,7 +19,7 @@
 MAX_KEY_LENGTH = 255
 MAX_ISSUED_AHEAD_MS = 300_000
 
-_SINGLE_HEADERS = (
+_CONTROL_HEADERS = (
     requests.HEADER_CALLER,
     requests.HEADER_REQUEST,
     requests.HEADER_TIMEOUT_MS,
@@ -28,123 +28,128 @@
 )
 
 
-def check(
+def validate(
     incoming: requests.Incoming,
     config: config_lib.Config,
     now: float,
     wall_ms: int,
 ) -> requests.Request | requests.Refusal:
-    """Returns the checked request, or why it is refused.
+    """Returns the validated request, or the refusal.
 
     Args:
-        incoming: the request as it was received.
+        incoming: the request as received.
         config: the configuration in force.
         now: monotonic seconds.
         wall_ms: milliseconds since the Unix epoch.
     """
-    single = _single_headers(incoming.headers)
-    if isinstance(single, requests.Refusal):
-        return single
-    classified = _classify(incoming, config)
-    if isinstance(classified, requests.Refusal):
-        return classified
+    control_headers = _control_headers(incoming.headers)
+    if isinstance(control_headers, requests.Refusal):
+        return control_headers
+    route_match = _classify(incoming, config)
+    if isinstance(route_match, requests.Refusal):
+        return route_match
     refusal = (
         _check_body(incoming, config.policies)
-        or _check_names(single)
-        or _check_timeout(single)
+        or _check_names(control_headers)
+        or _check_timeout(control_headers)
     )
     if refusal:
         return refusal
-    deadline = incoming.received + _timeout_ms(single) / 1000
+    deadline = incoming.received + _timeout_ms(control_headers) / 1000
     if deadline <= now:
-        return _refuse(504, "deadline-passed", "The deadline has passed.")
+        return _refusal(504, "deadline-passed", "The deadline has passed.")
     request = requests.Request(
-        request_id=single[requests.HEADER_REQUEST],
-        caller=single[requests.HEADER_CALLER],
-        service=classified.service,
-        request_class=classified.request_class,
+        request_id=control_headers[requests.HEADER_REQUEST],
+        caller=control_headers[requests.HEADER_CALLER],
+        service=route_match.service,
+        request_class=route_match.request_class,
         method=incoming.method,
         target=incoming.target,
         headers=incoming.headers,
         body=incoming.body,
         deadline=deadline,
     )
-    kind = config.classes[classified.request_class].kind
-    if kind is config_lib.RequestKind.ONCE and requests.HEADER_KEY in single:
-        return _with_key(request, single, config.policies, wall_ms)
+    kind = config.classes[route_match.request_class].kind
+    if (
+        kind is config_lib.RequestKind.ONCE
+        and requests.HEADER_KEY in control_headers
+    ):
+        return _add_idempotency_key(
+            request, control_headers, config.policies, wall_ms
+        )
     return request
 
 
 @dataclasses.dataclass(frozen=True)
-class _Classified:
+class _RouteMatch:
     service: str
     request_class: str
 
 
-def _refuse(status: int, code: str, detail: str) -> requests.Refusal:
+def _refusal(status: int, code: str, detail: str) -> requests.Refusal:
     return requests.Refusal(requests.Outcome.NOT_RUN, status, code, detail)
 
 
-def _single_headers(
+def _control_headers(
     headers: requests.Headers,
 ) -> dict[str, str] | requests.Refusal:
-    """Returns the headers of ours by name; each may be given only once.
+    """Returns the control headers by name, or a refusal of repeated ones.
 
-    With two values, the two ends could act on different ones: one key would
-    be claimed here and another one seen by the minion.
+    If a header had two values, this process and the minion could use different
+    ones: the claim could be on one key while the minion sees another.
     """
-    ours = {name.lower(): name for name in _SINGLE_HEADERS}
+    control_names = {name.lower(): name for name in _CONTROL_HEADERS}
     found: dict[str, str] = {}
     for name, value in headers:
-        ours_name = ours.get(name.lower())
-        if ours_name is None:
+        control_name = control_names.get(name.lower())
+        if control_name is None:
             continue
-        if ours_name in found:
-            return _refuse(
-                400, "duplicate-header", f"{ours_name} is given twice."
+        if control_name in found:
+            return _refusal(
+                400, "duplicate-header", f"{control_name} is given twice."
             )
-        found[ours_name] = value.strip()
+        found[control_name] = value.strip()
     return found
 
 
 def _classify(
     incoming: requests.Incoming, config: config_lib.Config
-) -> _Classified | requests.Refusal:
-    segments = _segments(incoming.target)
+) -> _RouteMatch | requests.Refusal:
+    segments = _path_segments(incoming.target)
     if segments is None:
-        return _refuse(400, "bad-target", "The target's path is ambiguous.")
+        return _refusal(400, "bad-target", "The target's path is ambiguous.")
     service = config.services.get(segments[0]) if segments else None
     if service is None:
-        return _refuse(404, "unknown-service", "There is no such service.")
-    below = segments[1:]
+        return _refusal(404, "unknown-service", "There is no such service.")
+    subpath = segments[1:]
     matching = [
-        route for route in service.routes if _matches(route.path, below)
+        route for route in service.routes if _matches(route.path, subpath)
     ]
     if not matching:
-        return _refuse(404, "unknown-route", "The service has no such route.")
+        return _refusal(404, "unknown-route", "The service has no such route.")
     allowed = [route for route in matching if route.method == incoming.method]
     if not allowed:
-        return _refuse(
+        return _refusal(
             405, "method-not-allowed", "The route does not take this method."
         )
-    longest = max(allowed, key=lambda route: len(_split(route.path)))
-    return _Classified(segments[0], longest.request_class)
+    longest = max(allowed, key=lambda route: len(_split_path(route.path)))
+    return _RouteMatch(segments[0], longest.request_class)
 
 
-def _segments(target: str) -> tuple[str, ...] | None:
-    """Returns the decoded segments of a target's path, None if ambiguous.
+def _path_segments(target: str) -> tuple[str, ...] | None:
+    """Returns the decoded segments of a target's path, None if it is ambiguous.
 
-    A minion that resolves dots or encoded slashes would see another path than
-    the one classified here, and a charge could pass as an idempotent request
-    and be sent twice. Such paths are refused rather than resolved.
+    A minion that resolves dots or encoded slashes would see a path other than
+    the one classified here. A charge could then pass as an idempotent request
+    and be sent twice. So such paths are refused, not resolved.
     """
     path = target.partition("?")[0]
     if not path.startswith("/") or "#" in path:
         return None
-    raw = path[1:].split("/")
-    if raw[-1] == "":
-        raw.pop()
-    decoded = tuple(urllib.parse.unquote(segment) for segment in raw)
+    encoded = path[1:].split("/")
+    if encoded[-1] == "":
+        encoded.pop()
+    decoded = tuple(urllib.parse.unquote(segment) for segment in encoded)
     if any(_is_ambiguous(segment) for segment in decoded):
         return None
     return decoded
@@ -153,18 +158,18 @@
 def _is_ambiguous(segment: str) -> bool:
     return (
         segment in ("", ".", "..")
-        or any(sign in segment for sign in "/\\%")
+        or any(character in segment for character in "/\\%")
         or not segment.isprintable()
     )
 
 
-def _split(path: str) -> tuple[str, ...]:
-    return tuple(part for part in path.split("/") if part)
+def _split_path(path: str) -> tuple[str, ...]:
+    return tuple(segment for segment in path.split("/") if segment)
 
 
-def _matches(prefix: str, below: tuple[str, ...]) -> bool:
-    parts = _split(prefix)
-    return below[: len(parts)] == parts
+def _matches(prefix: str, subpath: tuple[str, ...]) -> bool:
+    prefix_segments = _split_path(prefix)
+    return subpath[: len(prefix_segments)] == prefix_segments
 
 
 def _check_body(
@@ -172,17 +177,19 @@
 ) -> requests.Refusal | None:
     if len(incoming.body) <= policies.max_body_bytes:
         return None
-    return _refuse(
+    return _refusal(
         413,
         "body-too-large",
         f"The body is longer than {policies.max_body_bytes} bytes.",
     )
 
 
-def _check_names(single: Mapping[str, str]) -> requests.Refusal | None:
+def _check_names(control_headers: Mapping[str, str]) -> requests.Refusal | None:
     for header in (requests.HEADER_CALLER, requests.HEADER_REQUEST):
-        if not _is_name(single.get(header, ""), MAX_NAME_LENGTH):
-            return _refuse(
+        if not _is_printable_ascii(
+            control_headers.get(header, ""), MAX_NAME_LENGTH
+        ):
+            return _refusal(
                 400,
                 f"missing-{header.lower()}",
                 f"{header} must have 1 to {MAX_NAME_LENGTH} characters.",
@@ -190,54 +197,62 @@
     return None
 
 
-def _is_name(value: str, limit: int) -> bool:
-    return 0 < len(value) <= limit and value.isascii() and value.isprintable()
+def _is_printable_ascii(value: str, max_length: int) -> bool:
+    return (
+        0 < len(value) <= max_length and value.isascii() and value.isprintable()
+    )
 
 
-def _number(value: str) -> int | None:
+def _parse_number(value: str) -> int | None:
     if value.isascii() and value.isdigit() and len(value) <= 15:
         return int(value)
     return None
 
 
-def _timeout_ms(single: Mapping[str, str]) -> int:
-    return _number(single.get(requests.HEADER_TIMEOUT_MS, "")) or 0
+def _timeout_ms(control_headers: Mapping[str, str]) -> int:
+    return (
+        _parse_number(control_headers.get(requests.HEADER_TIMEOUT_MS, "")) or 0
+    )
 
 
-def _check_timeout(single: Mapping[str, str]) -> requests.Refusal | None:
-    if 1 <= _timeout_ms(single) <= MAX_TIMEOUT_MS:
+def _check_timeout(
+    control_headers: Mapping[str, str],
+) -> requests.Refusal | None:
+    if 1 <= _timeout_ms(control_headers) <= MAX_TIMEOUT_MS:
         return None
-    return _refuse(
+    return _refusal(
         400,
         "missing-deadline",
         f"{requests.HEADER_TIMEOUT_MS} must be 1 to {MAX_TIMEOUT_MS}.",
     )
 
 
-def _with_key(
+def _add_idempotency_key(
     request: requests.Request,
-    single: Mapping[str, str],
+    control_headers: Mapping[str, str],
     policies: config_lib.Policies,
     wall_ms: int,
 ) -> requests.Request | requests.Refusal:
-    """Adds key and time of issue.
+    """Returns the request with its key and time of issue, or the refusal.
 
-    A claim is kept for ``claim_retention_s``. A request issued before that
-    may have run under a claim that is gone by now, so running it could be a
-    second run; it is refused, and so is one issued in the future, whose claim
-    would be gone before its time.
+    Claims are kept for ``claim_retention_s``. A request issued earlier may
+    have run under a claim that has been deleted, so another run could be a
+    second one. A request issued in the future is refused too, because its
+    claim would be deleted too early.
     """
-    key = single[requests.HEADER_KEY]
-    if not _is_name(key, MAX_KEY_LENGTH):
-        return _refuse(
+    key = control_headers[requests.HEADER_KEY]
+    if not _is_printable_ascii(key, MAX_KEY_LENGTH):
+        return _refusal(
             400,
             "bad-key",
             f"{requests.HEADER_KEY} must have 1 to {MAX_KEY_LENGTH} "
             "characters.",
         )
-    issued_ms = _number(single.get(requests.HEADER_ISSUED_MS, ""))
+    issued_ms = _parse_number(
+        control_headers.get(requests.HEADER_ISSUED_MS, "")
+    )
     if issued_ms is None:
-        return _refuse(
+        return _refusal(
             400,
             "missing-issued",
             f"{requests.HEADER_ISSUED_MS} is required with a key.",
@@ -245,7 +260,7 @@
     if claim_expiry.too_old(issued_ms, wall_ms, policies.claim_retention_s):
         return claim_rules.TOO_OLD
     if issued_ms > wall_ms + MAX_ISSUED_AHEAD_MS:
-        return _refuse(
+        return _refusal(
             422, "issued-ahead", "The time of issue lies in the future."
         )
     return dataclasses.replace(request, key=key, issued_ms=issued_ms)
--- a/src/vanillaswitch/coordination/entry/lanes.py
+++ b/src/vanillaswitch/coordination/entry/lanes.py
@@ -1,4 +1,4 @@
-"""The waiting requests of each class of one service."""
+"""Queues of waiting requests, one per request class of a service."""
 
 import collections
 from collections.abc import Iterator
@@ -7,18 +7,23 @@
 from vanillaswitch.state import config as config_lib
 
 LONG_FACTOR = 4.0
-"""Work this many times as long as that of a more urgent class is long."""
+"""Ratio of slot times from which requests of a lower class are long.
 
-_MEASURE_GAIN = 0.1
-_MIN_WORK_S = 0.0001
+It relates a class to each more urgent class; see ``ClassQueues.is_long``.
+"""
+
+_MIN_GAIN = 0.1
+_MIN_SLOT_TIME_S = 0.0001
 
 
 @dataclasses.dataclass(frozen=True)
 class Arrival:
-    """A request that asks for a slot.
+    """A request that waits for a slot.
 
     Attributes:
-        ticket: unique in this process and growing.
+        ticket: number of the request, unique in this process and increasing.
+        class_name: name of the request class.
+        definition: configuration of the request class.
         arrived: monotonic seconds.
         deadline: monotonic seconds.
     """
@@ -30,13 +35,13 @@
     deadline: float
 
 
-class Lane:
-    """One class: its queue, its measured work time and its credit."""
+class ClassQueue:
+    """Queue, mean slot time and scheduling credit of one request class."""
 
     def __init__(self, definition: config_lib.RequestClass):
         self._definition = definition
-        self._work_s = max(_MIN_WORK_S, definition.expected_ms / 1000)
-        self._measured = 0
+        self._slot_time_s = max(_MIN_SLOT_TIME_S, definition.expected_ms / 1000)
+        self._sample_count = 0
         self._credit_s = 0.0
         self._waiting: collections.deque[Arrival] = collections.deque()
 
@@ -50,158 +55,166 @@
         self._definition = definition
 
     @property
-    def work_s(self) -> float:
-        """Smoothed time that a request holds its slot."""
-        return self._work_s
+    def slot_time_s(self) -> float:
+        """Smoothed time that a request of this class holds a slot."""
+        return self._slot_time_s
 
     @property
     def waiting(self) -> collections.deque[Arrival]:
-        """The queue, oldest first."""
+        """The waiting requests, oldest first."""
         return self._waiting
 
     @property
-    def due(self) -> bool:
-        """Whether the credit pays for one request."""
-        return self._credit_s >= self._work_s
+    def has_credit(self) -> bool:
+        """Whether the credit covers one request."""
+        return self._credit_s >= self._slot_time_s
 
-    def measure(self, held_s: float) -> None:
-        """Takes the time of one finished request into account.
+    def record_slot_time(self, slot_time_s: float) -> None:
+        """Adds the slot time of one finished request to the average.
 
-        The first ones weigh more: the configured guess is often far off, and
-        would distort estimates and shares until it had faded.
+        The first samples weigh more: the configured estimate is often far off
+        and would otherwise distort wait estimates and shares for a long time.
         """
-        self._measured += 1
-        gain = max(_MEASURE_GAIN, 1 / self._measured)
-        smoothed = self._work_s + gain * (held_s - self._work_s)
-        self._work_s = max(_MIN_WORK_S, smoothed)
+        self._sample_count += 1
+        gain = max(_MIN_GAIN, 1 / self._sample_count)
+        smoothed = self._slot_time_s + gain * (slot_time_s - self._slot_time_s)
+        self._slot_time_s = max(_MIN_SLOT_TIME_S, smoothed)
 
-    def earn(self, credit_s: float) -> None:
-        """Adds credit, in seconds of a slot."""
+    def add_credit(self, credit_s: float) -> None:
+        """Adds credit, in seconds of slot time."""
         self._credit_s += credit_s
 
-    def spend(self) -> None:
-        """Pays for one request, on credit if need be.
+    def charge_start(self) -> None:
+        """Subtracts one request from the credit, which may become negative.
 
-        A class that started in slots which nobody else wanted has had its
-        share: were these starts free, it would go before urgent requests
-        although it is served well. The debt is bounded to one request, so
-        that much idle time never costs a class its share afterwards.
+        Starts in slots that no other class wanted are charged too. If they
+        were free, a class that is already served well would still go before
+        urgent requests. The debt is limited to one request, so a class that
+        used much idle capacity does not lose its share later.
         """
-        self._credit_s = max(self._credit_s, 0.0) - self._work_s
+        self._credit_s = max(self._credit_s, 0.0) - self._slot_time_s
 
-    def drain(self) -> list[Arrival]:
-        """Empties the queue and returns what was in it."""
-        drained = list(self._waiting)
+    def take_all(self) -> list[Arrival]:
+        """Empties the queue and returns its requests."""
+        taken = list(self._waiting)
         self._waiting.clear()
-        return drained
+        return taken
 
-    def settle(self) -> None:
-        """Drops the credit of a class that waits for nothing.
+    def reset_idle_credit(self) -> None:
+        """Resets the credit of a class without waiting requests.
 
-        Credit that was hoarded over an idle time would let a lower class go
-        first for as long afterwards.
+        Credit accumulated while idle would let a lower class go first for
+        equally long afterwards.
         """
         if not self._waiting:
             self._credit_s = 0.0
 
 
-class Lanes:
-    """All classes of one service that have been seen."""
+class ClassQueues:
+    """The queues of all request classes of one service seen so far."""
 
     def __init__(self) -> None:
-        self._lanes: dict[str, Lane] = {}
+        self._class_queues: dict[str, ClassQueue] = {}
+
+    def __iter__(self) -> Iterator[ClassQueue]:
+        """Iterates over the queues in no particular order."""
+        return iter(self._class_queues.values())
 
-    def __iter__(self) -> Iterator[Lane]:
-        """Iterates over the classes in no particular order."""
-        return iter(self._lanes.values())
+    def queue_of(self, arrival: Arrival) -> ClassQueue:
+        """Returns the queue for a request, creating it if necessary.
 
-    def of(self, arrival: Arrival) -> Lane:
-        """Returns a request's class, as the request knows it."""
-        lane = self._lanes.get(arrival.class_name)
-        if lane is None:
-            lane = self._lanes[arrival.class_name] = Lane(arrival.definition)
-        lane.definition = arrival.definition
-        return lane
+        Updates the queue's class definition to that of the request.
+        """
+        queue = self._class_queues.get(arrival.class_name)
+        if queue is None:
+            queue = self._class_queues[arrival.class_name] = ClassQueue(
+                arrival.definition
+            )
+        queue.definition = arrival.definition
+        return queue
 
-    def by_priority(self) -> list[Lane]:
-        """Returns the classes with waiting requests, the most urgent first.
+    def by_priority(self) -> list[ClassQueue]:
+        """Returns the queues with waiting requests, most urgent first.
 
-        Classes of one priority go by their oldest request.
+        Queues of equal priority are ordered by their oldest request.
         """
-        waiting = [lane for lane in self if lane.waiting]
+        waiting = [queue for queue in self if queue.waiting]
         waiting.sort(
-            key=lambda lane: (
-                lane.definition.priority,
-                lane.waiting[0].ticket,
+            key=lambda queue: (
+                queue.definition.priority,
+                queue.waiting[0].ticket,
             )
         )
         return waiting
 
-    def next(self, free: int, reserve: int) -> Lane | None:
-        """Returns the class whose oldest request starts next.
+    def choose_next(self, free: int, reserved: int) -> ClassQueue | None:
+        """Returns the queue whose oldest request starts next, if any.
 
         Args:
-            free: slots that may be used now.
-            reserve: how many of them long work may not use, unless its
-                class is due by its credit.
+            free: number of slots that may be used now.
+            reserved: how many of them are closed to long requests, unless the
+                credit of their class covers one request.
         """
         waiting = self.by_priority()
         if free <= 0 or not waiting:
             return None
-        for lane in waiting[1:]:
-            if lane.due:
-                return lane
+        for queue in waiting[1:]:
+            if queue.has_credit:
+                return queue
         first = waiting[0]
-        if free <= reserve and self.is_long(first) and not first.due:
+        if free <= reserved and self.is_long(first) and not first.has_credit:
             return None
         return first
 
-    def is_long(self, lane: Lane) -> bool:
-        """Whether a class would keep a more urgent one waiting for long.
+    def is_long(self, queue: ClassQueue) -> bool:
+        """Whether requests of a class can block a more urgent class for long.
 
-        Work is not preempted. A class whose work is short frees its slots
-        soon enough, whatever its priority.
+        Running requests are not preempted. Classes with short slot times free
+        their slots soon enough, whatever their priority.
         """
         return any(
-            other.definition.priority < lane.definition.priority
-            and other.work_s * LONG_FACTOR <= lane.work_s
+            other.definition.priority < queue.definition.priority
+            and other.slot_time_s * LONG_FACTOR <= queue.slot_time_s
             for other in self
         )
 
-    def take(self, lane: Lane) -> Arrival:
-        """Takes the oldest request out of a class's queue."""
-        return lane.waiting.popleft()
+    def pop_oldest(self, queue: ClassQueue) -> Arrival:
+        """Removes and returns the oldest request of a queue."""
+        return queue.waiting.popleft()
 
-    def charge(self, started: Lane) -> None:
-        """Books the start of a request: who pays for it, and who earns.
+    def account_start(self, started: ClassQueue) -> None:
+        """Charges the started class and credits the lower classes.
 
-        Each lower class that waits earns its weight's share of every start,
-        its own ones included, so that over time it gets just that share.
+        Every lower class with waiting requests, and the started class if it is
+        a lower one, earns its share by weight of the slot time of each start,
+        so that over time it gets exactly that share.
         """
-        started.spend()
-        rivals = [lane for lane in self if lane.waiting or lane is started]
-        top = min(lane.definition.priority for lane in rivals)
-        weights = sum(lane.definition.weight for lane in rivals)
-        for lane in rivals:
-            if lane.definition.priority > top:
-                share = lane.definition.weight / max(1, weights)
-                lane.earn(started.work_s * share)
-        for lane in self:
-            lane.settle()
-
-    def work_ahead(self, lane: Lane) -> float:
-        """Returns seconds of work that go before a new request of a class."""
-        priority = lane.definition.priority
+        started.charge_start()
+        competing = [
+            queue for queue in self if queue.waiting or queue is started
+        ]
+        highest_priority = min(queue.definition.priority for queue in competing)
+        total_weight = sum(queue.definition.weight for queue in competing)
+        for queue in competing:
+            if queue.definition.priority > highest_priority:
+                share = queue.definition.weight / max(1, total_weight)
+                queue.add_credit(started.slot_time_s * share)
+        for queue in self:
+            queue.reset_idle_credit()
+
+    def backlog_ahead_s(self, queue: ClassQueue) -> float:
+        """Returns the slot time queued ahead of a new request of a class."""
+        priority = queue.definition.priority
         return sum(
-            len(other.waiting) * other.work_s
+            len(other.waiting) * other.slot_time_s
             for other in self
             if other.definition.priority <= priority
         )
 
     def remove(self, ticket: int) -> None:
-        """Takes a request out of whichever queue it waits in."""
-        for lane in self:
-            for arrival in lane.waiting:
+        """Removes a request from the queue that it waits in, if any."""
+        for queue in self:
+            for arrival in queue.waiting:
                 if arrival.ticket == ticket:
-                    lane.waiting.remove(arrival)
+                    queue.waiting.remove(arrival)
                     return
--- a/src/vanillaswitch/coordination/entry/request_path.py
+++ b/src/vanillaswitch/coordination/entry/request_path.py
@@ -1,4 +1,4 @@
-"""The way of a request: checks, claim, admission, attempts, reply."""
+"""Handles a request: validation, claim, admission, attempts and reply."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -19,11 +19,11 @@
 from vanillaswitch.protocol import requests
 from vanillaswitch.state import config_view
 
-NOT_READY_RETRY_S = 1.0
+NOT_READY_RETRY_AFTER_S = 1.0
 
 
 class RequestPath:
-    """Answers requests; each call of ``handle`` blocks its own task only."""
+    """Answers requests; ``handle`` blocks only the task that calls it."""
 
     def __init__(
         self,
@@ -41,23 +41,24 @@
         boot: str = "",
         lend: Callable[[lending.Envelope], None] = lambda _: None,
     ):
-        """Puts the parts together.
+        """Connects the components that handle requests.
 
         Args:
-            clock: time.
-            rng: random source of routing.
-            data_centre: where this process runs.
+            clock: source of time.
+            rng: random source for routing.
+            data_centre: data centre of this process.
             config: the configuration in force.
-            fleet: the minions that may get new work.
+            fleet: the minions that accept new requests.
             catch_up: ``fleet_task.FleetTask.catch_up``.
             peer_loads: returns the requests that all other entries have in
                 flight, by minion instance.
-            entries: returns the names of the living entries, this one first.
+            entries: returns the names of the live entries, this one first.
             client: sends requests to minions.
-            claims: keeps non-idempotent requests with a key to one run.
+            claims: ensures that a non-idempotent request with a key runs at
+                most once.
             metrics: counts replies and records durations.
             boot: random id of this start of the process.
-            lend: sends a message about slots to a peer, without blocking.
+            lend: sends a message about slot loans without blocking.
         """
         self._clock = clock
         self._config = config
@@ -72,33 +73,33 @@
             ),
             lend,
         )
-        self._sender = delivery.Sender(
+        self._sender = delivery.RequestSender(
             clock, fleet, catch_up, client, metrics.counters
         )
         self._in_flight = 0
 
     @property
     def loads(self) -> Mapping[str, int]:
-        """Own requests in flight by minion instance, for the peers."""
+        """This process's requests in flight, by minion instance, for peers."""
         return self._dispatcher.loads
 
     @property
     def in_flight(self) -> int:
-        """How many requests have no reply yet."""
+        """Number of requests without a reply yet."""
         return self._in_flight
 
     def told(self, message: lending.Message) -> None:
-        """Takes a peer's message about loans of slots in; never blocks."""
-        self._dispatcher.told(message)
+        """Queues a peer's message about slot loans; never blocks."""
+        self._dispatcher.handle_peer_message(message)
 
     @contextlib.contextmanager
     def running(self) -> Iterator[None]:
-        """Runs the task behind ``handle`` until the block is left."""
+        """Runs the dispatcher that ``handle`` needs until the block exits."""
         with self._dispatcher.running():
             yield
 
     def handle(self, incoming: requests.Incoming) -> requests.Reply:
-        """Returns the whole answer to a request, or its final refusal."""
+        """Returns the complete answer to a request, or the final refusal."""
         self._in_flight += 1
         try:
             return self._handle(incoming)
@@ -108,78 +109,92 @@
     def _handle(self, incoming: requests.Incoming) -> requests.Reply:
         config = self._config.config
         if config is None or not self._fleet.loaded:
-            return self._count(_NOT_READY)
+            return self._count_reply(_NOT_READY)
         wall_ms = int(self._clock.wall() * 1000)
-        checked = intake.check(
+        request = intake.validate(
             incoming, config, self._clock.monotonic(), wall_ms
         )
-        if isinstance(checked, requests.Refusal):
-            return self._count(checked)
-        work = delivery.Work(checked, config)
-        reply = self._claimed(work) if checked.key else self._deliver(work)
-        taken = self._clock.monotonic() - incoming.received
+        if isinstance(request, requests.Refusal):
+            return self._count_reply(request)
+        configured = delivery.ConfiguredRequest(request, config)
+        reply = (
+            self._claim_and_deliver(configured)
+            if request.key
+            else self._deliver(configured)
+        )
+        elapsed_s = self._clock.monotonic() - incoming.received
         self._metrics.record(
-            checked.request_class, checked.caller, int(taken * 1_000_000)
+            request.request_class, request.caller, int(elapsed_s * 1_000_000)
         )
-        return self._count(reply)
+        return self._count_reply(reply)
 
     def _deliver(
-        self, work: delivery.Work, record: delivery.Record | None = None
+        self,
+        configured: delivery.ConfiguredRequest,
+        history: delivery.AttemptHistory | None = None,
     ) -> requests.Reply:
-        admitted = self._dispatcher.admitted(work.request, work.definition)
-        with admitted as (place, minion):
+        admission = self._dispatcher.admit(
+            configured.request, configured.definition
+        )
+        with admission as (slot, minion):
             if isinstance(minion, requests.Refusal):
                 return minion
             return self._sender.deliver(
-                work, place, minion, record or delivery.Record()
+                configured, slot, minion, history or delivery.AttemptHistory()
             )
 
-    def _claimed(self, work: delivery.Work) -> requests.Reply:
-        """Delivers a request under a claim on its key.
+    def _claim_and_deliver(
+        self, configured: delivery.ConfiguredRequest
+    ) -> requests.Reply:
+        """Delivers a request under a claim on its idempotency key.
 
-        The claim comes before the slot: were it the other way round, charges
-        would hold all slots while the table is slow, and quotes could not go
-        on. What would be refused anyway is refused before the claim, so that
-        overload costs no writes.
+        The claim is written before a slot is taken. Otherwise, while the table
+        is slow, charges would hold all slots and block quotes. A request that
+        would be refused anyway is refused before the claim, so that overload
+        causes no writes.
         """
-        refusal = self._dispatcher.forecast(work.request, work.definition)
+        refusal = self._dispatcher.forecast(
+            configured.request, configured.definition
+        )
         if refusal:
             return refusal
-        begun = self._claims.begin(work.request)
+        begun = self._claims.begin(configured.request)
         match begun:
             case claims_lib.Replay(answer):
                 return answer
             case requests.Refusal():
                 return begun
             case claims_lib.Proceed(ticket):
-                return self._settled(ticket, work)
+                return self._deliver_claimed(ticket, configured)
 
-    def _settled(self, ticket: str, work: delivery.Work) -> requests.Reply:
-        record = delivery.Record()
+    def _deliver_claimed(
+        self, ticket: str, configured: delivery.ConfiguredRequest
+    ) -> requests.Reply:
+        history = delivery.AttemptHistory()
         try:
-            reply = self._deliver(work, record)
+            reply = self._deliver(configured, history)
         except BaseException:
-            # The caller went away or the process stops, and this task was
-            # killed. A claim that stayed open would be answered "unknown"
-            # for a request that may never have been sent.
-            if record.attempts.may_have_run:
+            # The task was killed because the caller disconnected or the
+            # process is stopping. If the claim stayed open, retries would
+            # be answered "unknown" though the request may not have been sent.
+            if history.attempts.may_have_run:
                 self._claims.lost(ticket)
             else:
                 self._claims.release(ticket)
             raise
         if isinstance(reply, requests.Refusal):
-            self._give_up(ticket, reply)
+            self._close_claim(ticket, reply)
         else:
             self._claims.finish(ticket, reply)
         return reply
 
-    def _give_up(self, ticket: str, refusal: requests.Refusal) -> None:
+    def _close_claim(self, ticket: str, refusal: requests.Refusal) -> None:
         if refusal.outcome is requests.Outcome.NOT_RUN:
             self._claims.release(ticket)
         else:
             self._claims.lost(ticket)
 
-    def _count(self, reply: requests.Reply) -> requests.Reply:
+    def _count_reply(self, reply: requests.Reply) -> requests.Reply:
         counters = self._metrics.counters
         if isinstance(reply, requests.Refusal):
             counters.add(f"replies.{reply.outcome}.{reply.code}")
@@ -193,5 +208,5 @@
     503,
     "not-ready",
     "This process has no configuration or no list of minions yet.",
-    NOT_READY_RETRY_S,
+    NOT_READY_RETRY_AFTER_S,
 )
--- a/src/vanillaswitch/coordination/entry/reserve.py
+++ b/src/vanillaswitch/coordination/entry/reserve.py
@@ -1,49 +1,52 @@
-"""How many slots are kept free of long work, for urgent requests to come."""
+"""Computes how many slots are reserved for urgent requests."""
 
 import math
 
 URGENT_SHARE = 8
-"""At least one slot of this many is kept, rounded."""
+"""At least one slot in this many is reserved; the quotient is rounded."""
 
 HEADROOM = 1.0
-"""Slots kept beyond what urgent requests use on average, at most.
+"""Maximum number of slots reserved beyond the average urgent use.
 
-No more than the average itself: a rare urgent request would otherwise shut
-long work out of a process that has a single slot.
+It is also limited to the average itself. Otherwise a rare urgent request would
+close the only slot of a process to long requests.
 """
 
 SMOOTHING_S = 1.0
-"""Time over which the use by urgent requests is averaged."""
+"""Time constant of the exponential average of urgent use."""
 
 
 class Reserve:
-    """The use by urgent requests, averaged over time.
+    """Average number of slots that urgent requests use.
 
-    Long work is not preempted. If it took every slot that urgent requests
-    leave free in a lull, those that come right after the lull would wait for
-    its end. So long work leaves the slots free that urgent requests use on
-    average. In quiet times that is next to nothing.
+    Running requests are not preempted. If long requests took every slot that
+    urgent ones leave free during a lull, the urgent ones that arrive right
+    after it would have to wait for them. So long requests leave as many slots
+    free as urgent requests use on average. In quiet times that is close to
+    none.
     """
 
     def __init__(self) -> None:
-        self._average = 0.0
+        self._mean_urgent = 0.0
         self._urgent = 0
-        self._seen: float | None = None
+        self._observed_at: float | None = None
 
     def observe(self, urgent: int, now: float) -> None:
-        """Notes how many urgent requests run from now on."""
-        if self._seen is not None:
-            kept = math.exp(-max(0.0, now - self._seen) / SMOOTHING_S)
-            self._average = kept * self._average + (1 - kept) * self._urgent
-        self._seen = now
+        """Records the number of urgent requests that run from now on."""
+        if self._observed_at is not None:
+            decay = math.exp(-max(0.0, now - self._observed_at) / SMOOTHING_S)
+            self._mean_urgent = (
+                decay * self._mean_urgent + (1 - decay) * self._urgent
+            )
+        self._observed_at = now
         self._urgent = urgent
 
     def slots(self, usable: int) -> int:
-        """Returns how many free slots long work may not take.
+        """Returns the number of free slots closed to long requests.
 
         Args:
-            usable: how many slots this process may use at once.
+            usable: number of slots that this process may use at once.
         """
-        least = round(usable / URGENT_SHARE)
-        expected = self._average + min(HEADROOM, self._average)
-        return max(least, round(expected - self._urgent))
+        minimum = round(usable / URGENT_SHARE)
+        expected = self._mean_urgent + min(HEADROOM, self._mean_urgent)
+        return max(minimum, round(expected - self._urgent))
--- a/src/vanillaswitch/coordination/entry/retry.py
+++ b/src/vanillaswitch/coordination/entry/retry.py
@@ -1,4 +1,4 @@
-"""Decides whether a request is sent again after an attempt failed."""
+"""Decides whether a request is sent again after a failed attempt."""
 
 import dataclasses
 import enum
@@ -9,16 +9,22 @@
 
 MAX_ATTEMPTS = 3
 BUDGET_BURST = 10.0
+
 SUSPECT_FAILURES = 3
+"""Consecutive failures from which a minion is suspected."""
+
 SUSPECT_S = 1.0
-FORGET_S = 60.0
+"""Time after a failure during which a suspected minion gets no requests."""
+
+FAILURE_EXPIRY_S = 60.0
+"""Time after which recorded failures of a minion are dropped."""
 
 
 class RetryBudget:
-    """Token bucket that keeps retries to a share of the first attempts.
+    """Token bucket that limits retries to a share of the first attempts.
 
-    Without it, a service that is down gets each request several times over,
-    which keeps it down.
+    Without it, every request to a failing service is sent several times, which
+    keeps the service overloaded.
     """
 
     def __init__(self) -> None:
@@ -26,15 +32,15 @@
 
     @property
     def available(self) -> bool:
-        """Whether a retry could be paid for now."""
+        """Whether there is a token for a retry."""
         return self._tokens >= 1
 
     def first_attempt(self, ratio: float) -> None:
-        """Pays in for a first attempt; ``ratio`` retries are earned by it."""
+        """Adds ``ratio`` tokens for a first attempt, up to the burst limit."""
         self._tokens = min(BUDGET_BURST, self._tokens + ratio)
 
     def take(self) -> bool:
-        """Pays for one retry; returns whether there was enough."""
+        """Takes a token for one retry; returns False if there is none."""
         if not self.available:
             return False
         self._tokens -= 1
@@ -42,54 +48,54 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Failures:
+class _FailureCount:
     count: int
-    last: float
+    last_at: float
 
 
 class Suspicion:
-    """Minions that refused or reset connections several times in a row.
+    """Tracks minions that refused or reset several connections in a row.
 
-    They are passed over for a short while and then tried by few requests,
-    until one of them is answered. One failure proves nothing, and a
-    connection that goes silent proves nothing of the minion: new connections
-    to it work.
+    Such minions get no requests for a short time and then only a few as probes,
+    until one of these is answered. A single failure is no sufficient evidence.
+    Neither is a connection on which no answer arrives, as new connections to
+    the minion work.
     """
 
     def __init__(self) -> None:
-        self._failures: dict[str, _Failures] = {}
+        self._failures: dict[str, _FailureCount] = {}
 
     def failed(self, instance: str, now: float) -> None:
-        """Notes a refused connect or a reset."""
+        """Records a refused or reset connection."""
         self._failures = {
             name: failures
             for name, failures in self._failures.items()
-            if now < failures.last + FORGET_S
+            if now < failures.last_at + FAILURE_EXPIRY_S
         }
-        known = self._failures.get(instance, _Failures(0, now))
-        self._failures[instance] = _Failures(known.count + 1, now)
+        known = self._failures.get(instance, _FailureCount(0, now))
+        self._failures[instance] = _FailureCount(known.count + 1, now)
 
     def answered(self, instance: str) -> None:
-        """Notes a whole answer, which ends all suspicion."""
+        """Records a complete answer, which clears the minion's failures."""
         self._failures.pop(instance, None)
 
     def suspects(self, now: float) -> frozenset[str]:
-        """Returns the instances to pass over now."""
+        """Returns the instances that get no requests for now."""
         return frozenset(
             name
             for name, failures in self._failures.items()
             if failures.count >= SUSPECT_FAILURES
-            and now < failures.last + SUSPECT_S
+            and now < failures.last_at + SUSPECT_S
         )
 
     def is_doubtful(self, instance: str) -> bool:
-        """Whether an instance has failed often and not answered since."""
+        """Whether an instance failed often and has not answered since."""
         failures = self._failures.get(instance)
         return failures is not None and failures.count >= SUSPECT_FAILURES
 
 
 class Effect(enum.Enum):
-    """What an attempt means for the request."""
+    """What the outcome of an attempt means for the request."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -99,7 +105,12 @@
 def effect(
     outcome: minions.SendOutcome, not_run_statuses: tuple[int, ...]
 ) -> Effect:
-    """Returns what an outcome means, given a service's "not run" statuses."""
+    """Returns what an outcome means for the request.
+
+    Args:
+        outcome: outcome of the attempt.
+        not_run_statuses: statuses by which the service says "not run".
+    """
     match outcome:
         case minions.Answered(answer):
             if answer.status in not_run_statuses:
@@ -112,10 +123,10 @@
 
 
 def is_failure_of_minion(outcome: minions.SendOutcome) -> bool:
-    """Whether an outcome counts against the minion.
+    """Whether an outcome counts as a failure of the minion.
 
-    A silent connection doesn't: something between the two ends lost track of
-    it, and the minion answers on new ones.
+    A connection without any answer does not: some device between the two ends
+    lost its state, and the minion answers on new connections.
     """
     match outcome:
         case minions.NotSent():
@@ -126,13 +137,13 @@
             return False
 
 
-def is_leaving(
+def declines_new_requests(
     outcome: minions.SendOutcome, not_run_statuses: tuple[int, ...]
 ) -> bool:
-    """Whether a minion says that it takes no new work for now.
+    """Whether the outcome says that the minion accepts no new requests for now.
 
-    The sign is "service unavailable" (503), provided that the service declares
-    it as "not run".
+    The minion says so by status 503 (service unavailable), provided that the
+    service declares this status as "not run".
     """
     return (
         isinstance(outcome, minions.Answered)
@@ -143,40 +154,40 @@
 
 @dataclasses.dataclass(frozen=True)
 class Attempts:
-    """What happened to a request so far.
+    """State of a request after the attempts so far.
 
     Attributes:
-        count: how often it was handed to the client.
-        may_have_run: some attempt may have run, or may still.
+        count: number of attempts started.
+        may_have_run: whether some attempt may have run or may still run.
     """
 
     count: int = 0
     may_have_run: bool = False
 
     def begun(self) -> "Attempts":
-        """Returns the state while an attempt is under way."""
+        """Returns the state while another attempt is in progress."""
         return Attempts(self.count + 1, True)
 
     def ended(self, before: "Attempts", result: Effect) -> "Attempts":
-        """Returns the state after an attempt.
+        """Returns the state after the attempt in progress.
 
         Args:
-            before: the state before the attempt was begun.
-            result: what the attempt means.
+            before: the state before this attempt started.
+            result: what its outcome means.
         """
         ran = before.may_have_run or result is not Effect.NOT_RUN
         return Attempts(self.count, ran)
 
 
 def may_retry(
-    kind: config.RequestKind, attempts: Attempts, left_s: float
+    kind: config.RequestKind, attempts: Attempts, time_left_s: float
 ) -> bool:
-    """Whether one more attempt is allowed, leaving the budget aside.
+    """Whether one more attempt is allowed, apart from the retry budget.
 
-    A request that must not run twice is only sent again when no attempt of it
+    A request that must not run twice is sent again only if no attempt so far
     can have run.
     """
-    if attempts.count >= MAX_ATTEMPTS or left_s <= 0:
+    if attempts.count >= MAX_ATTEMPTS or time_left_s <= 0:
         return False
     return kind is config.RequestKind.IDEMPOTENT or not attempts.may_have_run
 
@@ -184,23 +195,23 @@
 def attempt_timeout_s(
     kind: config.RequestKind,
     service: config.Service,
-    left_s: float,
+    time_left_s: float,
     can_retry: bool,
 ) -> float:
-    """Returns how long to wait for an attempt's whole answer.
+    """Returns the timeout for the complete answer to an attempt.
 
-    A connection may be silent for good, which shows only as a missing answer.
-    An idempotent request therefore keeps half its time for one more attempt,
-    as long as there can be one. A request that must not run twice gains
-    nothing by an early end: it waits until its deadline.
+    A dead connection shows only as a missing answer. An idempotent request
+    therefore keeps half of its time for another attempt if one is possible.
+    A request that must not run twice gains nothing from a shorter timeout, so
+    it waits until its deadline.
 
     Args:
         kind: whether the request may run twice.
-        service: whose limit holds.
-        left_s: time to the deadline.
-        can_retry: another attempt could follow this one.
+        service: the service; its attempt timeout is the upper limit.
+        time_left_s: time until the deadline.
+        can_retry: whether another attempt may follow this one.
     """
     if kind is config.RequestKind.ONCE:
-        return left_s
+        return time_left_s
     share = 0.5 if can_retry else 1.0
-    return min(service.attempt_timeout_ms / 1000, left_s * share)
+    return min(service.attempt_timeout_ms / 1000, time_left_s * share)
--- a/tests/cover/test_intake.py
+++ b/tests/cover/test_intake.py
@@ -16,7 +16,7 @@
 
 
 def _check(incoming: requests.Incoming) -> requests.Request | requests.Refusal:
-    return intake.check(
+    return intake.validate(
         incoming, paths.make_config(), _CLOCK.monotonic(), _WALL_MS
     )
 
--- a/tests/cover/test_retry.py
+++ b/tests/cover/test_retry.py
@@ -34,7 +34,7 @@
     assert risky <= 1
     assert attempts.may_have_run == (risky == 1)
     assert attempts.count <= retry.MAX_ATTEMPTS
-    assert not retry.may_retry(_IDEMPOTENT, attempts, left_s=0)
+    assert not retry.may_retry(_IDEMPOTENT, attempts, time_left_s=0)
 
 
 @hypothesis.given(st.lists(st.booleans(), max_size=300))
