--- a/src/vanillaswitch/coordination/entry/intake.py
+++ b/src/vanillaswitch/coordination/entry/intake.py
@@ -140,8 +140,9 @@
     """Returns the decoded segments of a target's path, None if it is ambiguous.
 
     A minion that resolves dots or encoded slashes would see a path other than
-    the one classified here. A charge could then pass as an idempotent request
-    and be sent twice. So such paths are refused, not resolved.
+    the one classified here. A request that must not run twice could then pass
+    as an idempotent one and be sent twice. So such paths are refused, not
+    resolved.
     """
     path = target.partition("?")[0]
     if not path.startswith("/") or "#" in path:
--- a/src/vanillaswitch/coordination/entry/request_path.py
+++ b/src/vanillaswitch/coordination/entry/request_path.py
@@ -149,9 +149,9 @@
         """Delivers a request under a claim on its idempotency key.
 
         The claim is written before a slot is taken. Otherwise, while the table
-        is slow, charges would hold all slots and block quotes. A request that
-        would be refused anyway is refused before the claim, so that overload
-        causes no writes.
+        is slow, requests with a key would hold all slots and block the others.
+        A request that would be refused anyway is refused before the claim, so
+        that overload causes no writes.
         """
         refusal = self._dispatcher.forecast(
             configured.request, configured.definition
--- a/tests/common/paths.py
+++ b/tests/common/paths.py
@@ -1,4 +1,4 @@
-"""A request path over small fakes, for tests."""
+"""Sets up a request path over fakes for tests."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -23,13 +23,13 @@
 QUOTE = "/berthing/quote"
 CHARGE = "/berthing/charge"
 
-Answering = Callable[
+Responder = Callable[
     [minions.Minion, requests.Request, float], minions.SendOutcome
 ]
 
 
 def make_config(**service_changes: object) -> config.Config:
-    """Returns one service with a class of each kind."""
+    """Returns a configuration of one service with three request classes."""
     idempotent, once = config.RequestKind
     service = config.Service(
         availability_budget=config.AvailabilityBudget(1, 1),
@@ -53,13 +53,14 @@
 
 
 def make_minion(name: str = "m0", slots: int = 8) -> minions.Minion:
+    """Returns a minion of the service that ``make_config`` defines."""
     return minions.Minion(name, "berthing", name, "recife", "r", slots, 64)
 
 
 def listings(
     *names: str, state: platform.ListedState = platform.ListedState.LIVE
 ) -> tuple[platform.Listing, ...]:
-    """Returns minions as the platform lists them."""
+    """Returns list entries of minions as the platform reports them."""
     kind = platform.InstanceKind.MINION
     return tuple(
         platform.Listing(name, kind, state, "recife", "r", name, "berthing")
@@ -75,7 +76,7 @@
     timeout_ms: int = 1000,
     request_id: str = "r1",
 ) -> requests.Incoming:
-    """Returns a request as it comes over the wire."""
+    """Returns a request as received over HTTP."""
     headers = {
         requests.HEADER_CALLER: "caller-1",
         requests.HEADER_REQUEST: request_id,
@@ -90,12 +91,13 @@
 
 
 def answer_to(request: requests.Request, status: int = 200) -> minions.Answered:
+    """Returns an answer whose body is the request's id."""
     body = request.request_id.encode()
     return minions.Answered(requests.Answer(status, (), body))
 
 
 class FakeClaims:
-    """Lets every request proceed and notes how each claim was settled."""
+    """Lets every request proceed and records how each claim was settled."""
 
     def __init__(self) -> None:
         self.settled: list[tuple[str, str]] = []
@@ -107,24 +109,31 @@
         return claims.Proceed(request.request_id)
 
     def release(self, ticket: str) -> None:
-        """Notes a release."""
+        """Records a release."""
         self.settled.append((ticket, "released"))
 
     def finish(self, ticket: str, answer: requests.Answer) -> None:
-        """Notes a whole answer, which must be the request's own."""
+        """Records a complete answer and checks that it is the request's."""
         assert answer.body == ticket.encode()
         self.settled.append((ticket, "finished"))
 
     def lost(self, ticket: str) -> None:
-        """Notes an unknown outcome."""
+        """Records an unknown outcome."""
         self.settled.append((ticket, "lost"))
 
 
-class Sends:
-    """A minion client whose answers a test gives; notes every send."""
+class FakeMinionClient:
+    """A minion client that records attempts and gets outcomes from the test.
 
-    def __init__(self, answering: Answering | None = None):
-        self.answering = answering or (
+    Attributes:
+        responder: returns the outcome of an attempt.
+        minions: instance of each attempt.
+        fresh: whether each attempt required a new connection.
+        timeouts: timeout of each attempt in seconds.
+    """
+
+    def __init__(self, responder: Responder | None = None):
+        self.responder = responder or (
             lambda _, request, __: answer_to(request)
         )
         self.minions: list[str] = []
@@ -138,26 +147,26 @@
         timeout_s: float,
         fresh: bool,
     ) -> minions.SendOutcome:
-        """Notes a send and returns what the test wants."""
+        """Records an attempt and returns the outcome that the test defines."""
         self.minions.append(minion.instance)
         self.fresh.append(fresh)
         self.timeouts.append(timeout_s)
-        return self.answering(minion, request, timeout_s)
+        return self.responder(minion, request, timeout_s)
 
 
 class Rig:
-    """A request path and all that a test may want to turn."""
+    """A request path and the parts that tests control."""
 
     def __init__(
         self,
-        answering: Answering | None = None,
+        responder: Responder | None = None,
         minions_up: int = 3,
-        given: config.Config | None = None,
+        configuration: config.Config | None = None,
         entries: tuple[str, ...] = ("entry",),
         lend: Callable[[lending.Envelope], None] = lambda _: None,
     ):
         self.clock = clocks.ManualClock()
-        self.sends = Sends(answering)
+        self.sends = FakeMinionClient(responder)
         self.claims = FakeClaims()
         self.metrics = metrics.Metrics()
         self.config = config_view.ConfigView()
@@ -166,7 +175,7 @@
         self.catch_up: Callable[[float], bool] = lambda _: self.refresh()
         names = (f"m{number}" for number in range(minions_up))
         self.fleet.take_list(listings(*names), 0)
-        self.config.offer(1, "digest", given or make_config())
+        self.config.offer(1, "digest", configuration or make_config())
         self.path = request_path.RequestPath(
             clock=self.clock,
             rng=random.Random(1),
@@ -182,8 +191,8 @@
             metrics=self.metrics,
         )
 
-    def peers_take(self, **slots: int) -> None:
-        """Has peers use slots, whatever the routing policy counts."""
+    def occupy_slots_by_peers(self, **slots: int) -> None:
+        """Has peers use slots, for each routing policy."""
         self.peer_loads.update(slots)
         loans = self.path._dispatcher._slots.loans
         for name, count in slots.items():
@@ -191,35 +200,38 @@
                 ask = peers.SlotAsk("peer", f"{name}-{number}", "", 1, 0)
                 loans.lend(ask, (name,), self.clock.monotonic())
 
-    def peers_free(self, name: str) -> None:
+    def free_slot_of_peer(self, name: str) -> None:
         """Has peers free the first slot that they took at a minion."""
         self.peer_loads[name] -= 1
         self.path.told(peers.SlotReturn("peer", (f"{name}-0/0",)))
 
     def refresh(self) -> bool:
-        """Refreshes the view at once."""
+        """Refreshes the view of the fleet immediately."""
         now = self.clock.monotonic()
         self.fleet.refreshed(self.fleet.pauses, now, whole=True)
         return True
 
-    def handle(self, target: str = QUOTE, **given: Any) -> requests.Reply:
-        """Handles one request; see ``incoming``."""
-        return self.path.handle(incoming(self.clock, target, **given))
+    def handle(self, target: str = QUOTE, **options: Any) -> requests.Reply:
+        """Handles one request; see ``incoming`` for the arguments."""
+        return self.path.handle(incoming(self.clock, target, **options))
 
-    def charge(self, key: str = "", **given: Any) -> requests.Reply:
+    def charge(self, key: str = "", **options: Any) -> requests.Reply:
         """Handles one request that must not run twice."""
-        return self.handle(CHARGE, method="POST", key=key, **given)
+        return self.handle(CHARGE, method="POST", key=key, **options)
 
 
 @contextlib.contextmanager
 def running(
-    answering: Answering | None = None, minions_up: int = 3, routing: str = ""
+    responder: Responder | None = None, minions_up: int = 3, routing: str = ""
 ) -> Iterator[Rig]:
-    """Yields a running request path, under the default policy if not told."""
-    given = make_config()
+    """Yields a running request path.
+
+    Uses the default routing policy unless ``routing`` names one.
+    """
+    configuration = make_config()
     if routing:
         policies = config.Policies(routing=routing)
-        given = dataclasses.replace(given, policies=policies)
-    rig = Rig(answering, minions_up, given)
+        configuration = dataclasses.replace(configuration, policies=policies)
+    rig = Rig(responder, minions_up, configuration)
     with rig.path.running():
         yield rig
--- a/tests/cover/test_admission.py
+++ b/tests/cover/test_admission.py
@@ -1,4 +1,4 @@
-"""Which waiting request starts, and which is given up."""
+"""Tests which waiting requests start and which are refused."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -24,12 +24,12 @@
 
 
 def _started(actions: tuple[admission.Action, ...]) -> list[int]:
-    starts = (each for each in actions if isinstance(each, admission.Start))
+    starts = (item for item in actions if isinstance(item, admission.Start))
     return [start.ticket for start in starts]
 
 
-class Model:
-    """A queue and what a test knows of its requests."""
+class QueueModel:
+    """A service queue and the requests that the test expects in it."""
 
     def __init__(self):
         self.queue = admission.ServiceQueue()
@@ -37,34 +37,36 @@
         self.waiting: dict[int, lanes.Arrival] = {}
         self.running: list[int] = []
 
-    def act(self, event: str, ticket: int, number: int) -> None:
-        """Does one event; ``number`` chooses what it is about."""
+    def apply(self, event: str, ticket: int, number: int) -> None:
+        """Applies one event; ``number`` is its parameter."""
         slots = self._slots()
         if event == "wait":
             self.now += number / 100
         elif event == "resize":
             self.total = number % 16
         elif event == "finish" and self.running:
-            ended = self.running.pop(number % len(self.running))
-            self.queue.finish(ended, self.now, measured=True)
+            finished = self.running.pop(number % len(self.running))
+            self.queue.finish(finished, self.now, measured=True)
         elif event == "abandon" and self.waiting:
-            gone = self.waiting.pop(sorted(self.waiting)[0]).ticket
-            self.queue.finish(gone, self.now, measured=False)
+            abandoned = self.waiting.pop(sorted(self.waiting)[0]).ticket
+            self.queue.finish(abandoned, self.now, measured=False)
         elif event == "arrive":
             name = sorted(_CLASSES)[number % 3]
             deadline = self.now + (number + 1) / 50
             arrival = _arrival(ticket, name, deadline, self.now)
             self.waiting[ticket] = arrival
-            self._take(self.queue.arrive(arrival, slots, self.now), slots)
+            self._check_actions(
+                self.queue.arrive(arrival, slots, self.now), slots
+            )
         slots = self._slots()
-        self._take(self.queue.poll(slots, self.now), slots)
+        self._check_actions(self.queue.poll(slots, self.now), slots)
 
     def _slots(self) -> admission.Slots:
         return admission.Slots(
             self.total, max(0, self.total - len(self.running))
         )
 
-    def _take(
+    def _check_actions(
         self, actions: tuple[admission.Action, ...], slots: admission.Slots
     ) -> None:
         assert len(_started(actions)) <= slots.free
@@ -85,71 +87,80 @@
 
 @hypothesis.given(st.lists(st.tuples(_EVENTS, st.integers(0, 99)), max_size=60))
 @hypothesis.settings(max_examples=100, deadline=None)
-def test_in_any_order_each_request_starts_or_is_refused_once(events):
-    model = Model()
+def test_each_request_starts_or_is_refused_exactly_once(events):
+    model = QueueModel()
     for ticket, (event, number) in enumerate(events):
-        model.act(event, ticket, number)
+        model.apply(event, ticket, number)
         assert model.queue.waiting == len(model.waiting) <= 4 * len(_CLASSES)
         assert model.queue.running == len(model.running)
-        assert all(each.deadline > model.now for each in model.waiting.values())
+        assert all(item.deadline > model.now for item in model.waiting.values())
         assert model.total or not model.waiting
 
 
 @hypothesis.given(slots=st.integers(1, 3), work=st.floats(0.001, 0.5))
 @hypothesis.settings(max_examples=10, deadline=None)
-def test_a_lower_class_gets_its_share_under_overload(slots, work):
-    """Quotes without end leave reports their quarter of the work.
+def test_a_lower_class_gets_its_weighted_share_under_overload(slots, work):
+    """Endless quotes leave reports a quarter of the slot time.
 
-    It holds once each class was measured; a guess that is too high delays the
-    first request of a lower class.
+    This holds once each class has been measured. An estimate that is too high
+    delays the first request of a lower class.
     """
     queue = admission.ServiceQueue()
-    none, all_free = admission.Slots(slots, 0), admission.Slots(slots, slots)
-    done = {"quote": 0, "report": 0}
+    no_slot_free, all_free = (
+        admission.Slots(slots, 0),
+        admission.Slots(slots, slots),
+    )
+    finished_counts = {"quote": 0, "report": 0}
     names: dict[int, str] = {}
-    for ticket, name in enumerate(sorted(done), start=-2):
+    for ticket, name in enumerate(sorted(finished_counts), start=-2):
         queue.arrive(_arrival(ticket, name), all_free, 0)
         queue.finish(ticket, work, measured=True)
     for step in range(1, 101):
         now = step * work
-        for name in sorted(done) * slots:
+        for name in sorted(finished_counts) * slots:
             ticket = len(names)
             names[ticket] = name
-            queue.arrive(_arrival(ticket, name, now=now), none, now)
+            queue.arrive(_arrival(ticket, name, now=now), no_slot_free, now)
         for ticket in _started(queue.poll(all_free, now)):
-            done[names[ticket]] += 1
+            finished_counts[names[ticket]] += 1
             queue.finish(ticket, now + work, measured=True)
-    assert sum(done.values()) == 100 * slots
-    assert 0.23 <= done["report"] / (100 * slots) <= 0.27
+    assert sum(finished_counts.values()) == 100 * slots
+    assert 0.23 <= finished_counts["report"] / (100 * slots) <= 0.27
 
 
-def test_lower_classes_leave_the_last_slots_to_the_most_urgent_one():
+def test_lower_classes_leave_the_reserved_slots_to_the_most_urgent_class():
     queue = admission.ServiceQueue()
     queue.arrive(_arrival(1, "quote"), admission.Slots(16, 16), 0)
-    last = admission.Slots(16, 2)
-    assert not _started(queue.arrive(_arrival(2, "report"), last, 0))
-    assert _started(queue.arrive(_arrival(3, "quote"), last, 0)) == [3]
+    two_free = admission.Slots(16, 2)
+    assert not _started(queue.arrive(_arrival(2, "report"), two_free, 0))
+    assert _started(queue.arrive(_arrival(3, "quote"), two_free, 0)) == [3]
 
 
-def test_a_request_that_cannot_start_in_time_is_refused_at_once():
-    """Its caller hears when the backlog ahead will be worked off."""
+def test_a_request_that_cannot_start_in_time_is_refused_immediately():
+    """The refusal says when the backlog ahead will have been processed."""
     queue = admission.ServiceQueue()
-    full = admission.Slots(1, 0)
+    no_slot_free = admission.Slots(1, 0)
     for ticket in (1, 2):
-        assert not queue.arrive(_arrival(ticket, "quote"), full, 0)
-    (refused,) = queue.arrive(_arrival(3, "quote", deadline=0.07), full, 0)
+        assert not queue.arrive(_arrival(ticket, "quote"), no_slot_free, 0)
+    (refused,) = queue.arrive(
+        _arrival(3, "quote", deadline=0.07), no_slot_free, 0
+    )
     assert isinstance(refused, admission.Refuse)
     assert refused.refusal.code == "cannot-start-in-time"
     assert refused.refusal.retry_after_s == pytest.approx(0.06)
 
 
-def test_a_slow_spell_does_not_shut_a_class_out_for_good():
-    """Work took 10 s; callers allow 1 s; a free slot is used all the same."""
+def test_a_slow_period_does_not_block_a_class_permanently():
+    """A free slot is used although the mean slot time exceeds the deadline.
+
+    Requests took 10 s and callers allow 1 s. If none started, the mean would
+    never fall again.
+    """
     queue = admission.ServiceQueue()
-    one = admission.Slots(1, 1)
+    one_slot_free = admission.Slots(1, 1)
     for ticket in range(20):
-        queue.arrive(_arrival(ticket, "quote"), one, 0)
+        queue.arrive(_arrival(ticket, "quote"), one_slot_free, 0)
         queue.finish(ticket, 10, measured=True)
     arrival = _arrival(99, "quote", deadline=21, now=20)
-    assert queue.forecast(arrival, one, 20) is None
-    assert _started(queue.arrive(arrival, one, 20)) == [99]
+    assert queue.forecast(arrival, one_slot_free, 20) is None
+    assert _started(queue.arrive(arrival, one_slot_free, 20)) == [99]
--- a/tests/cover/test_intake.py
+++ b/tests/cover/test_intake.py
@@ -1,4 +1,4 @@
-"""Checks of incoming requests."""
+"""Tests the validation of incoming requests."""
 
 import dataclasses
 
@@ -15,17 +15,19 @@
 _WALL_MS = int(_CLOCK.wall() * 1000)
 
 
-def _check(incoming: requests.Incoming) -> requests.Request | requests.Refusal:
+def _validate(
+    incoming: requests.Incoming,
+) -> requests.Request | requests.Refusal:
     return intake.validate(
         incoming, paths.make_config(), _CLOCK.monotonic(), _WALL_MS
     )
 
 
-def _code(incoming: requests.Incoming) -> str:
-    checked = _check(incoming)
-    assert isinstance(checked, requests.Refusal)
-    assert checked.outcome is requests.Outcome.NOT_RUN
-    return checked.code
+def _refusal_code(incoming: requests.Incoming) -> str:
+    validated = _validate(incoming)
+    assert isinstance(validated, requests.Refusal)
+    assert validated.outcome is requests.Outcome.NOT_RUN
+    return validated.code
 
 
 def _with_header(
@@ -37,11 +39,11 @@
 
 
 def test_a_request_gets_the_class_of_its_route_and_keeps_its_target():
-    checked = _check(paths.incoming(_CLOCK, "/berthing/quote/7?a=%2F"))
-    assert isinstance(checked, requests.Request)
-    assert (checked.service, checked.request_class) == ("berthing", "quote")
-    assert checked.target == "/berthing/quote/7?a=%2F"
-    assert checked.deadline == _CLOCK.monotonic() + 1
+    validated = _validate(paths.incoming(_CLOCK, "/berthing/quote/7?a=%2F"))
+    assert isinstance(validated, requests.Request)
+    assert (validated.service, validated.request_class) == ("berthing", "quote")
+    assert validated.target == "/berthing/quote/7?a=%2F"
+    assert validated.deadline == _CLOCK.monotonic() + 1
 
 
 @pytest.mark.parametrize(
@@ -58,8 +60,8 @@
         ("berthing/quote", "GET", "bad-target"),
     ],
 )
-def test_a_target_that_is_unknown_or_ambiguous_is_refused(target, method, code):
-    assert _code(paths.incoming(_CLOCK, target, method)) == code
+def test_an_unknown_or_ambiguous_target_is_refused(target, method, code):
+    assert _refusal_code(paths.incoming(_CLOCK, target, method)) == code
 
 
 @pytest.mark.parametrize(
@@ -76,21 +78,22 @@
         (requests.HEADER_ISSUED_MS, str(_WALL_MS + 300_001), "issued-ahead"),
     ],
 )
-def test_a_header_that_is_missing_or_wrong_is_refused(name, value, code):
+def test_a_missing_or_invalid_header_is_refused(name, value, code):
     charge = paths.incoming(_CLOCK, paths.CHARGE, "POST", key="k")
-    assert isinstance(_check(charge), requests.Request)
-    assert _code(_with_header(charge, name, value)) == code
+    assert isinstance(_validate(charge), requests.Request)
+    assert _refusal_code(_with_header(charge, name, value)) == code
 
 
-def test_a_key_past_the_retention_has_an_unknown_outcome():
-    """A clerk is told "not run" of last week's charge, and charges anew.
+def test_an_expired_key_has_an_unknown_outcome():
+    """Guards against a second charge after a wrong "not run".
 
-    The charge ran under its key, and the claim that showed it was deleted.
-    The attempt that comes now is not run, but nobody knows of the earlier.
+    A charge ran under its key, and its claim was deleted after the retention
+    time. A later request with the key is not run, but whether the first one ran
+    is unknown. If it were reported as "not run", the caller would charge again.
     """
     charge = paths.incoming(_CLOCK, paths.CHARGE, "POST", key="k")
     old = str(_WALL_MS - 86_400_001)
-    refusal = _check(_with_header(charge, requests.HEADER_ISSUED_MS, old))
+    refusal = _validate(_with_header(charge, requests.HEADER_ISSUED_MS, old))
     assert isinstance(refusal, requests.Refusal)
     assert refusal.outcome is requests.Outcome.UNKNOWN
     assert refusal.retry_after_s is None
@@ -101,18 +104,18 @@
     st.text("abc123", max_size=3),
     st.booleans(),
 )
-def test_a_second_value_of_a_header_of_ours_is_refused(first, value, lower):
+def test_a_repeated_control_header_is_refused(first, value, lower):
     charge = paths.incoming(_CLOCK, paths.CHARGE, "POST", key="k")
     second = (first[0].lower() if lower else first[0], value)
-    doubled = dataclasses.replace(charge, headers=(*charge.headers, second))
-    assert _code(doubled) == "duplicate-header"
+    repeated = dataclasses.replace(charge, headers=(*charge.headers, second))
+    assert _refusal_code(repeated) == "duplicate-header"
 
 
-def test_a_request_whose_deadline_passed_on_the_way_is_refused():
+def test_a_request_past_its_deadline_is_refused():
     late = dataclasses.replace(paths.incoming(_CLOCK), received=0.0)
-    assert _code(late) == "deadline-passed"
+    assert _refusal_code(late) == "deadline-passed"
 
 
-def test_a_body_that_is_too_large_is_refused():
+def test_a_too_large_body_is_refused():
     large = dataclasses.replace(paths.incoming(_CLOCK), body=b"x" * 1_048_577)
-    assert _code(large) == "body-too-large"
+    assert _refusal_code(large) == "body-too-large"
--- a/tests/cover/test_request_path.py
+++ b/tests/cover/test_request_path.py
@@ -1,4 +1,4 @@
-"""A request from its arrival to its reply."""
+"""Tests a request from its arrival to its reply."""
 
 import gevent
 import gevent.event
@@ -13,15 +13,17 @@
 _NOT_RUN = requests.Outcome.NOT_RUN
 _UNKNOWN = requests.Outcome.UNKNOWN
 
-_COUNTING = pytest.mark.parametrize("routing", ("lent-share", "two-choices"))
+_ROUTING_POLICIES = pytest.mark.parametrize(
+    "routing", ("lent-share", "two-choices")
+)
 
 
-def _refused(reply: requests.Reply) -> tuple[requests.Outcome, str]:
+def _refusal_of(reply: requests.Reply) -> tuple[requests.Outcome, str]:
     assert isinstance(reply, requests.Refusal)
     return reply.outcome, reply.code
 
 
-def test_an_answer_is_counted_and_measured():
+def test_an_answer_is_counted_and_its_duration_recorded():
     with paths.running() as rig:
         reply = rig.handle()
         assert reply == requests.Answer(200, (), b"r1")
@@ -30,23 +32,23 @@
     assert snapshot["callers"]["caller-1"]["count"] == 1
 
 
-def test_nothing_is_sent_before_there_is_a_configuration_and_a_list():
+def test_requests_are_refused_without_a_configuration_or_list_of_minions():
     with paths.running() as rig:
         rig.path._config = config_view.ConfigView()
-        assert _refused(rig.handle()) == (_NOT_RUN, "not-ready")
+        assert _refusal_of(rig.handle()) == (_NOT_RUN, "not-ready")
     with paths.running() as rig:
         rig.fleet._listed = None
-        assert _refused(rig.handle()) == (_NOT_RUN, "not-ready")
+        assert _refusal_of(rig.handle()) == (_NOT_RUN, "not-ready")
 
 
-def test_without_minions_a_request_is_refused_at_once_and_not_claimed():
+def test_a_request_without_minions_is_refused_and_not_claimed():
     with paths.running(minions_up=0) as rig:
-        assert _refused(rig.handle()) == (_NOT_RUN, "no-minions")
-        assert _refused(rig.charge("k")) == (_NOT_RUN, "no-minions")
+        assert _refusal_of(rig.handle()) == (_NOT_RUN, "no-minions")
+        assert _refusal_of(rig.charge("k")) == (_NOT_RUN, "no-minions")
         assert not rig.claims.begun
 
 
-def test_a_replayed_answer_and_a_refused_claim_are_passed_on():
+def test_a_replayed_answer_or_claim_refusal_is_returned():
     answer = requests.Answer(201, (), b"first")
     refusal = requests.Refusal(_UNKNOWN, 409, "in-progress", "")
     with paths.running() as rig:
@@ -59,7 +61,7 @@
         assert not rig.sends.minions
 
 
-def test_a_charge_gets_a_fresh_connection_and_all_the_time_there_is():
+def test_a_charge_gets_a_new_connection_and_all_its_remaining_time():
     with paths.running() as rig:
         rig.charge()
         rig.handle()
@@ -67,7 +69,7 @@
     assert rig.sends.timeouts == pytest.approx([1.0, 0.5])
 
 
-def test_a_request_that_was_surely_not_sent_goes_elsewhere_once_too():
+def test_a_charge_that_was_not_sent_is_retried_at_other_minions():
     def answer(_, request, __):
         if len(rig.sends.minions) < 3:
             return minions.NotSent("refused")
@@ -79,17 +81,17 @@
 
 
 @pytest.mark.parametrize("silent", [False, True])
-def test_a_charge_that_may_have_run_is_unknown_and_sent_once(silent):
+def test_a_charge_that_may_have_run_is_sent_once_and_unknown(silent):
     with paths.running(lambda *_: minions.Lost("", silent)) as rig:
         reply = rig.charge("k")
         code = "no-answer" if silent else "answer-lost"
-        assert _refused(reply) == (_UNKNOWN, code)
+        assert _refusal_of(reply) == (_UNKNOWN, code)
         assert reply.retry_after_s is None
         assert rig.claims.settled == [("r1", "lost")]
     assert len(rig.sends.minions) == 1
 
 
-def test_the_only_minion_is_tried_again_within_the_retry_budget():
+def test_the_only_minion_is_retried_within_the_retry_budget():
     replies = [minions.Lost("", silent=True)]
 
     def answer(_, request, __):
@@ -98,65 +100,65 @@
     with paths.running(answer, minions_up=1) as rig:
         assert isinstance(rig.handle(), requests.Answer)
         assert rig.sends.fresh == [False, True]
-        rig.sends.answering = lambda *_: minions.Lost("", silent=False)
+        rig.sends.responder = lambda *_: minions.Lost("", silent=False)
         for _ in range(50):
             rig.handle()
     assert len(rig.sends.minions) <= 2 + 50 + 10 + 5
 
 
-@_COUNTING
-def test_no_minion_is_sent_more_than_its_slots_and_the_rest_waits(routing):
-    end = gevent.event.Event()
+@_ROUTING_POLICIES
+def test_requests_beyond_the_slots_of_the_minions_wait(routing):
+    finish = gevent.event.Event()
 
-    def hold(_, request, __):
-        end.wait()
+    def wait_for_finish(_, request, __):
+        finish.wait()
         return paths.answer_to(request)
 
-    with paths.running(hold, routing=routing) as rig:
-        rig.peers_take(m0=6)
+    with paths.running(wait_for_finish, routing=routing) as rig:
+        rig.occupy_slots_by_peers(m0=6)
         tasks = [
             gevent.spawn(rig.handle, timeout_ms=60_000, request_id=str(number))
             for number in range(2 + 8 + 8 + 3)
         ]
         gevent.idle()
         assert rig.path.loads == {"m0": 2, "m1": 8, "m2": 8}
-        end.set()
+        finish.set()
         bodies = [task.get().body for task in tasks]
     assert bodies == [str(number).encode() for number in range(21)]
 
 
-@_COUNTING
+@_ROUTING_POLICIES
 def test_a_request_that_cannot_start_in_time_is_refused_and_not_claimed(
     routing,
 ):
     with paths.running(routing=routing) as rig:
-        rig.peers_take(m0=8, m1=8, m2=8)
+        rig.occupy_slots_by_peers(m0=8, m1=8, m2=8)
         reply = rig.handle(timeout_ms=10)
-        assert _refused(reply) == (_NOT_RUN, "cannot-start-in-time")
+        assert _refusal_of(reply) == (_NOT_RUN, "cannot-start-in-time")
         assert 0 < reply.retry_after_s < 1
         charge = rig.charge("k", timeout_ms=10)
-        assert _refused(charge) == (_NOT_RUN, "cannot-start-in-time")
+        assert _refusal_of(charge) == (_NOT_RUN, "cannot-start-in-time")
         assert not rig.claims.begun
 
 
-@_COUNTING
-def test_a_waiting_request_is_answered_when_it_is_given_up(routing):
-    """It is not kept until its deadline, of which 19 ms are left."""
+@_ROUTING_POLICIES
+def test_a_waiting_request_is_refused_before_its_deadline(routing):
+    """It is refused with 19 ms left, when it can no longer start in time."""
     with paths.running(routing=routing) as rig:
-        rig.peers_take(m0=8, m1=8, m2=8)
+        rig.occupy_slots_by_peers(m0=8, m1=8, m2=8)
         task = gevent.spawn(rig.handle, timeout_ms=1000)
         gevent.idle()
         assert not task.ready()
         rig.clock.advance(0.981)
-        assert _refused(task.get()) == (_NOT_RUN, "cannot-start-in-time")
+        assert _refusal_of(task.get()) == (_NOT_RUN, "cannot-start-in-time")
 
 
-@_COUNTING
-def test_a_slot_that_a_peer_frees_is_used(routing):
+@_ROUTING_POLICIES
+def test_a_slot_freed_by_a_peer_is_used(routing):
     with paths.running(routing=routing) as rig:
-        rig.peers_take(m0=8, m1=8, m2=8)
+        rig.occupy_slots_by_peers(m0=8, m1=8, m2=8)
         task = gevent.spawn(rig.handle)
         gevent.idle()
-        rig.peers_free("m1")
+        rig.free_slot_of_peer("m1")
         assert isinstance(task.get(), requests.Answer)
     assert rig.sends.minions == ["m1"]
--- a/tests/failures/test_dead_minion.py
+++ b/tests/failures/test_dead_minion.py
@@ -7,12 +7,12 @@
 from vanillaswitch.coordination.entry import slot_book
 from vanillaswitch.state import config_view
 
-_NONE: frozenset[str] = frozenset()
+_NO_EXCLUSIONS: frozenset[str] = frozenset()
 _ANSWERED = slot_book.Verdict.ANSWERED
 _FAILED = slot_book.Verdict.FAILED
 
 
-def _book(minions_up: int, slots: int = 2) -> slot_book.SlotBook:
+def _make_slot_book(minions_up: int, slots: int = 2) -> slot_book.SlotBook:
     rig = paths.Rig(minions_up=minions_up)
     view = config_view.ConfigView()
     view.offer(1, "d", paths.make_config(slots_per_minion=slots))
@@ -21,90 +21,100 @@
     )
 
 
-def _fail(book: slot_book.SlotBook, name: str, now: float) -> None:
-    """Gives up requests at one minion until it is suspected."""
+def _fail_until_suspected(
+    book: slot_book.SlotBook, name: str, now: float
+) -> None:
+    """Fails requests at one minion until it is suspected."""
     for _ in range(retry.SUSPECT_FAILURES):
-        taken = book.take("berthing", _NONE, now)
+        taken = book.take("berthing", _NO_EXCLUSIONS, now)
         while taken.instance != name:
             book.release(taken, _ANSWERED, now, now)
-            taken = book.take("berthing", _NONE, now)
+            taken = book.take("berthing", _NO_EXCLUSIONS, now)
         book.release(taken, _FAILED, now, now)
 
 
-def test_a_dead_minion_is_no_free_slot():
-    """A third of all quotes are refused although five of six minions work.
+def test_the_slots_of_a_dead_minion_are_not_free():
+    """Guards against a dead minion that attracts most of the requests.
 
-    A minion dies. It fails each request at once, so it always has the most
-    free slots, and whenever the others are busy the next requests go there
-    and fail, faster than any budget pays for their retries.
+    It fails each request immediately and so always has the most free slots.
+    Whenever the other minions are busy, new requests are sent there and fail,
+    faster than the retry budget can cover. With one of six minions dead, a
+    third of all quotes was refused.
     """
-    book = _book(2)
-    _fail(book, "m1", 0.0)
+    book = _make_slot_book(2)
+    _fail_until_suspected(book, "m1", 0.0)
     assert book.count("berthing", 0.0).free == 2
     for _ in range(2):
-        assert book.take("berthing", _NONE, 0.0).instance == "m0"
+        assert book.take("berthing", _NO_EXCLUSIONS, 0.0).instance == "m0"
     assert book.count("berthing", 0.0).free == 0
-    assert book.take("berthing", _NONE, 0.0) is None
+    assert book.take("berthing", _NO_EXCLUSIONS, 0.0) is None
 
 
-def test_a_dead_minion_gets_one_request_at_a_time_until_it_answers():
-    """Each second a burst of quotes fails, as long as a minion is dead.
+def test_a_dead_minion_gets_one_probe_at_a_time_until_it_answers():
+    """Guards against a burst of failures each second while a minion is dead.
 
-    It is tried again after a while, and by all requests that wait then.
+    A suspected minion is tried again after a while. Without a limit, all
+    requests that wait then would be sent to it.
     """
-    book = _book(2)
-    _fail(book, "m1", 0.0)
-    later = retry.SUSPECT_S
-    assert book.count("berthing", later).free == 3
-    taken = [book.take("berthing", _NONE, later) for _ in range(3)]
-    probes = [one for one in taken if one.instance == "m1"]
+    book = _make_slot_book(2)
+    _fail_until_suspected(book, "m1", 0.0)
+    probe_at = retry.SUSPECT_S
+    assert book.count("berthing", probe_at).free == 3
+    taken = [book.take("berthing", _NO_EXCLUSIONS, probe_at) for _ in range(3)]
+    probes = [minion for minion in taken if minion.instance == "m1"]
     assert len(probes) == 1
-    assert book.take("berthing", _NONE, later) is None
-    book.release(probes[0], _FAILED, later, later)
-    assert book.count("berthing", later).free == 0
-    again = 2 * retry.SUSPECT_S
-    probe = book.take("berthing", _NONE, again)
-    book.release(probe, _ANSWERED, again, again)
-    assert book.count("berthing", again).free == 2
-
-
-def test_when_all_minions_fail_requests_hear_of_it_at_once():
-    """A clerk waits until the deadline for "nothing can be reached"."""
-    book = _book(1)
-    _fail(book, "m0", 0.0)
+    assert book.take("berthing", _NO_EXCLUSIONS, probe_at) is None
+    book.release(probes[0], _FAILED, probe_at, probe_at)
+    assert book.count("berthing", probe_at).free == 0
+    second_probe_at = 2 * retry.SUSPECT_S
+    probe = book.take("berthing", _NO_EXCLUSIONS, second_probe_at)
+    book.release(probe, _ANSWERED, second_probe_at, second_probe_at)
+    assert book.count("berthing", second_probe_at).free == 2
+
+
+def test_requests_still_get_slots_when_all_minions_fail():
+    """Guards against requests that wait for a slot until their deadline.
+
+    If all minions are suspected, they still get requests, so that callers get
+    the failure immediately.
+    """
+    book = _make_slot_book(1)
+    _fail_until_suspected(book, "m0", 0.0)
     assert book.count("berthing", 0.0).free == 2
-    assert book.take("berthing", _NONE, 0.0).instance == "m0"
+    assert book.take("berthing", _NO_EXCLUSIONS, 0.0).instance == "m0"
 
 
-def test_the_slot_of_a_request_given_up_on_is_not_free_at_once():
-    """A minion gets slow, and then more and more requests wait inside it.
+def test_the_slot_of_an_abandoned_request_is_not_free_immediately():
+    """Guards against requests that pile up at a slow minion.
 
-    Requests time out there while the minion still works on them. If their
-    slots were free at once, new ones would be sent on top of them.
+    Requests time out while the minion still works on them. If their slots were
+    free immediately, new requests would be sent on top of them.
     """
-    book = _book(1)
+    book = _make_slot_book(1)
     for _ in range(2):
-        taken = book.take("berthing", _NONE, 0.0)
+        taken = book.take("berthing", _NO_EXCLUSIONS, 0.0)
     book.release(taken, slot_book.Verdict.UNCLEAR, 0.0, 0.4)
     assert book.count("berthing", 0.7).free == 0
     assert book.count("berthing", 0.8).free == 1
-    taken = book.take("berthing", _NONE, 0.8)
-    late = 0.8 + 2 * slot_book.MAX_LINGER_S
-    book.release(taken, slot_book.Verdict.UNCLEAR, 0.8, late)
-    assert book.count("berthing", late + slot_book.MAX_LINGER_S).free == 1
+    taken = book.take("berthing", _NO_EXCLUSIONS, 0.8)
+    released_at = 0.8 + 2 * slot_book.MAX_LINGER_S
+    book.release(taken, slot_book.Verdict.UNCLEAR, 0.8, released_at)
+    assert (
+        book.count("berthing", released_at + slot_book.MAX_LINGER_S).free == 1
+    )
 
 
 def test_a_retry_may_use_the_slot_of_its_own_lost_attempt():
-    """A quote is refused for want of a slot after a silent connection.
+    """Guards against a retry that is refused because all slots are busy.
 
-    All other slots are busy. The one that it holds already is good for a new
-    connection to the same minion.
+    After an attempt on a dead connection, the quote still holds its slot at the
+    minion. It may use this slot for a new connection to the same minion.
     """
-    book = _book(1, slots=1)
-    taken = book.take("berthing", _NONE, 0.0, 7)
+    book = _make_slot_book(1, slots=1)
+    taken = book.take("berthing", _NO_EXCLUSIONS, 0.0, 7)
     book.release(taken, slot_book.Verdict.UNCLEAR, 0.0, 0.5, 7)
-    assert book.take("berthing", _NONE, 0.5, 8) is None
+    assert book.take("berthing", _NO_EXCLUSIONS, 0.5, 8) is None
     assert book.take("berthing", frozenset({"m0"}), 0.5, 7) is None
-    assert book.take("berthing", _NONE, 0.5, 7) == taken
+    assert book.take("berthing", _NO_EXCLUSIONS, 0.5, 7) == taken
     book.release(taken, _ANSWERED, 0.5, 0.6, 7)
     assert book.count("berthing", 0.6).free == 1
--- a/tests/failures/test_leaving_minion.py
+++ b/tests/failures/test_leaving_minion.py
@@ -1,4 +1,4 @@
-"""A minion that is leaving gets no new work."""
+"""A minion that drains or shuts down gets no new requests."""
 
 import pytest
 
@@ -7,22 +7,22 @@
 from vanillaswitch.protocol import peers
 from vanillaswitch.protocol import requests
 
-_DRAIN = peers.DrainNotice("berthing", 7, ("m0", "m1"))
+_DRAIN_NOTICE = peers.DrainNotice("berthing", 7, ("m0", "m1"))
 
 
-def test_a_paused_process_learns_of_drains_before_it_sends():
-    """A ship's charge goes to a minion that is rebooted under it.
+def test_a_process_refreshes_drains_after_a_pause_before_it_sends():
+    """Guards against a charge that is sent to a minion about to reboot.
 
-    The entry is paused for a minute after it admitted the charge. Meanwhile a
-    wave drains two minions. It goes on as if no time had passed and would
-    send to one that is about to reboot.
+    The entry is paused for longer than its view of the fleet is valid.
+    Meanwhile a maintenance wave drains two minions. Without a refresh, the
+    entry would continue with the outdated view.
     """
     with paths.running() as rig:
         rig.fleet.tick(rig.clock.monotonic())
         rig.clock.advance(fleet_view.PAUSE_S + 1)
 
         def catch_up(_):
-            rig.fleet.take_drain(_DRAIN)
+            rig.fleet.take_drain(_DRAIN_NOTICE)
             return rig.refresh()
 
         rig.catch_up = catch_up
@@ -32,11 +32,11 @@
     assert set(rig.sends.minions) == {"m2"}
 
 
-def test_a_paused_process_that_cannot_refresh_sends_nothing():
-    """A charge right after a pause is refused, and it was not run.
+def test_a_process_that_cannot_refresh_after_a_pause_sends_nothing():
+    """A charge right after a pause is refused as "not run".
 
-    The refresh after the pause takes longer than the charge can wait: whether
-    its minion is being drained is not known.
+    The refresh takes longer than the charge can wait, so the entry cannot know
+    whether its minion is being drained.
     """
     with paths.running() as rig:
         rig.fleet.tick(rig.clock.monotonic())
@@ -50,19 +50,20 @@
 
 
 @pytest.mark.parametrize("kind", ["quote", "charge"])
-def test_a_minion_that_declines_by_itself_is_left_alone(kind):
-    """Every third request is slow while a minion shuts down.
+def test_a_minion_that_declines_a_request_gets_no_more_for_a_while(kind):
+    """Guards against slow requests while a minion shuts down.
 
-    The minion answers "service unavailable", which the service declares as
-    not run, before list and drains tell of it. The request goes elsewhere
-    and no other one is sent there for a while.
+    The minion answers 503, which the service declares as "not run", before the
+    list of minions or a drain notice shows it. The request is sent elsewhere,
+    and so are other requests for a while. Otherwise every third one would be
+    tried there first.
     """
 
-    def leaving_m0(minion, request, __):
+    def decline_at_m0(minion, request, __):
         status = 503 if minion.instance == "m0" else 200
         return paths.answer_to(request, status)
 
-    with paths.running(leaving_m0) as rig:
+    with paths.running(decline_at_m0) as rig:
         for number in range(30):
             handle = rig.charge if kind == "charge" else rig.handle
             reply = handle(request_id=f"r{number}")
--- a/tests/failures/test_not_run_is_true.py
+++ b/tests/failures/test_not_run_is_true.py
@@ -1,4 +1,4 @@
-"""A request that is refused as "not run" was not run, nor will be."""
+"""A request refused as "not run" has not run and will not run."""
 
 import collections
 import dataclasses
@@ -18,7 +18,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """What happens to one send; ``runs`` also tells of a run long after."""
+    """What happens to one attempt.
+
+    Attributes:
+        outcome: what the client reports.
+        runs: whether the request runs, possibly long after the attempt.
+        pause_s: how long the process is paused meanwhile.
+    """
 
     outcome: minions.SendOutcome
     runs: bool = False
@@ -27,7 +33,7 @@
 
 _REFUSED = minions.NotSent("refused")
 _RESET = minions.Lost("reset", silent=False)
-_SILENT = minions.Lost("no answer", silent=True)
+_NO_ANSWER = minions.Lost("no answer", silent=True)
 _DECLINED = minions.Answered(requests.Answer(503, (), b""))
 _FAULTS = (
     Fault(_REFUSED),
@@ -35,38 +41,38 @@
     Fault(_DECLINED),
     Fault(_RESET),
     Fault(_RESET, runs=True),
-    Fault(_SILENT),
-    Fault(_SILENT, runs=True),
+    Fault(_NO_ANSWER),
+    Fault(_NO_ANSWER, runs=True),
 )
 
 
 class FaultyMinions:
-    """Has the next fault with each send, answers when none is left."""
+    """Applies the next fault to each attempt; answers when none is left."""
 
     def __init__(self, clock: clocks.ManualClock, faults: list[Fault | None]):
         self._clock = clock
         self._faults = collections.deque(faults)
         self.runs: collections.Counter[str] = collections.Counter()
-        self.risky_sends: collections.Counter[str] = collections.Counter()
+        self.possible_runs: collections.Counter[str] = collections.Counter()
 
     def answer(
         self, _: minions.Minion, request: requests.Request, timeout_s: float
     ) -> minions.SendOutcome:
-        """Has the next fault."""
+        """Returns the outcome of the next fault."""
         assert timeout_s > 0
-        whole = Fault(paths.answer_to(request), runs=True)
-        fault = (self._faults.popleft() if self._faults else None) or whole
+        success = Fault(paths.answer_to(request), runs=True)
+        fault = (self._faults.popleft() if self._faults else None) or success
         if fault.outcome not in (_REFUSED, _DECLINED):
-            self.risky_sends[request.request_id] += 1
+            self.possible_runs[request.request_id] += 1
         self.runs[request.request_id] += fault.runs
-        is_silent = fault.outcome is _SILENT
-        self._clock.advance(timeout_s if is_silent else fault.pause_s)
+        is_unanswered = fault.outcome is _NO_ANSWER
+        self._clock.advance(timeout_s if is_unanswered else fault.pause_s)
         return fault.outcome
 
 
 _KINDS = st.sampled_from(("quote", "charge", "charge with key"))
-_LISTS = st.lists(st.sampled_from((None, *_FAULTS)), max_size=5)
-_SCRIPTS = st.lists(st.tuples(_KINDS, _LISTS), min_size=1, max_size=6)
+_FAULT_LISTS = st.lists(st.sampled_from((None, *_FAULTS)), max_size=5)
+_SCENARIOS = st.lists(st.tuples(_KINDS, _FAULT_LISTS), min_size=1, max_size=6)
 
 
 def _handle(rig: paths.Rig, kind: str, request_id: str) -> requests.Reply:
@@ -76,7 +82,7 @@
     return rig.charge(key, request_id=request_id)
 
 
-def _check_reply(
+def _check_request(
     rig: paths.Rig, faulty: FaultyMinions, kind: str, name: str
 ) -> None:
     reply = _handle(rig, kind, name)
@@ -88,55 +94,57 @@
         assert faulty.runs[name] == 0
     else:
         outcome = "lost"
-        assert faulty.risky_sends[name] > 0
+        assert faulty.possible_runs[name] > 0
     if kind != "quote":
-        assert faulty.risky_sends[name] <= 1
-    settled = [how for ticket, how in rig.claims.settled if ticket == name]
+        assert faulty.possible_runs[name] <= 1
+    settled = [state for ticket, state in rig.claims.settled if ticket == name]
     assert settled == ([outcome] if kind == "charge with key" else [])
 
 
 @hypothesis.settings(deadline=None, max_examples=150)
-@hypothesis.given(_SCRIPTS, st.booleans())
-def test_not_run_is_true_under_any_order_of_faults(script, can_catch_up):
-    """A clerk is told "not run", charges again, and the ship pays twice.
-
-    Any faults in any order: refused, declined, reset or silent connections,
-    minions that run a request long after it was given up, pauses of the
-    process. The cause would be a retry whose own failure is told instead of
-    what an earlier attempt may still do.
+@hypothesis.given(_SCENARIOS, st.booleans())
+def test_a_request_reported_as_not_run_never_runs(scenario, can_catch_up):
+    """Guards against a double charge after a wrong "not run".
+
+    Faults occur in any order: refused, declined, reset or dead connections,
+    minions that run a request long after it was given up, and pauses of the
+    process. The cause would be a retry that reports its own failure although an
+    earlier attempt may still run.
     """
-    faults = [fault for _, faults in script for fault in faults]
+    faults = [fault for _, faults in scenario for fault in faults]
     with paths.running() as rig:
         faulty = FaultyMinions(rig.clock, faults)
-        rig.sends.answering = faulty.answer
+        rig.sends.responder = faulty.answer
         if not can_catch_up:
             rig.catch_up = lambda _: False
-        for number, (kind, _) in enumerate(script):
-            _check_reply(rig, faulty, kind, f"r{number}")
+        for number, (kind, _) in enumerate(scenario):
+            _check_request(rig, faulty, kind, f"r{number}")
         gevent.idle()
         assert rig.path.in_flight == 0
-        # A lost attempt may still run; its slot is counted a while longer.
+        # A lost attempt may still run, so its slot stays counted for a while.
         outcomes = (fault.outcome for fault in faults if fault)
-        lost = sum(isinstance(one, minions.Lost) for one in outcomes)
-        assert sum(rig.path.loads.values()) <= lost
+        lost_count = sum(
+            isinstance(outcome, minions.Lost) for outcome in outcomes
+        )
+        assert sum(rig.path.loads.values()) <= lost_count
         rig.clock.advance(slot_book.MAX_LINGER_S)
         assert rig.path.loads == {}
 
 
-def test_a_charge_whose_task_is_killed_while_it_is_sent_is_unknown():
-    """The terminal hangs up during a charge; asked again, it was charged.
+def test_a_charge_killed_while_it_is_sent_has_an_unknown_outcome():
+    """Guards against a second run of a charge whose caller disconnects.
 
-    The charge is at the minion when the task that waits for it is killed.
-    Were its claim released then, the same key would run a second time.
+    The charge is at the minion when the task that waits for it is killed. If
+    its claim were released then, the same key would run a second time.
     """
-    sent, never = gevent.event.Event(), gevent.event.Event()
+    sent, never_set = gevent.event.Event(), gevent.event.Event()
 
-    def hang(*_: object) -> minions.SendOutcome:
+    def block(*_: object) -> minions.SendOutcome:
         sent.set()
-        never.wait()
+        never_set.wait()
         raise AssertionError
 
-    with paths.running(hang) as rig:
+    with paths.running(block) as rig:
         task = gevent.spawn(rig.charge, "k")
         sent.wait()
         task.kill()
@@ -145,14 +153,14 @@
         assert rig.path.loads == {}
 
 
-def test_a_charge_whose_task_is_killed_in_the_queue_is_released():
-    """A terminal hangs up while its charge waits, and can't charge again.
+def test_the_claim_of_a_charge_killed_in_the_queue_is_released():
+    """Guards against a charge that cannot be repeated although it never ran.
 
-    The charge was claimed and waits for a slot when its task is killed. It
-    surely never ran; a claim left open would be answered "unknown" for good.
+    The charge was claimed and waits for a slot when its task is killed. A claim
+    left open would be answered "unknown" permanently.
     """
     with paths.running() as rig:
-        rig.peers_take(m0=8, m1=8, m2=8)
+        rig.occupy_slots_by_peers(m0=8, m1=8, m2=8)
         task = gevent.spawn(rig.charge, "k")
         while not rig.claims.begun:
             gevent.sleep(0)
@@ -163,11 +171,11 @@
 
 @pytest.mark.parametrize("timeout_ms", [1000, 4000])
 def test_a_charge_is_not_sent_after_its_deadline(timeout_ms):
-    """A charge that was told to have failed is made a minute later.
+    """Guards against a charge that runs after it was reported as failed.
 
-    The process is paused while it writes the claim, and needs a while to
-    refresh its view then. It goes on after the deadline, when the terminal
-    has long stopped waiting.
+    The process is paused while it writes the claim and needs time to refresh
+    its view afterwards. It continues after the deadline, when the caller no
+    longer waits.
     """
     with paths.running() as rig:
         begin = rig.claims.begin
--- a/tests/failures/test_retry_storm.py
+++ b/tests/failures/test_retry_storm.py
@@ -1,4 +1,4 @@
-"""Retries while much goes wrong at once."""
+"""Many attempts fail and are retried at the same time."""
 
 import gevent
 import hypothesis
@@ -9,7 +9,7 @@
 from vanillaswitch.protocol import minions
 from vanillaswitch.protocol import requests
 
-_RATIO = 0.1
+_RETRY_RATIO = 0.1
 _OUTCOMES = st.sampled_from(
     (
         None,
@@ -27,54 +27,59 @@
     st.integers(1, 120),
 )
 @hypothesis.settings(max_examples=30, deadline=None)
-def test_retries_add_a_tenth_to_the_load_in_any_storm(storm, before, count):
-    """A service that stumbled stays down until its callers give up.
+def test_retries_add_at_most_a_tenth_to_the_load_plus_the_burst(
+    repeated, prefix, count
+):
+    """Guards against an outage that retries prolong.
 
-    Minions refuse, reset, decline or go silent in any pattern, one that
-    repeats for as long as it likes. Were each request sent three times, three
-    times the load would hold the minions down after the cause is gone.
+    Minions refuse, reset, decline or do not answer, in any pattern that
+    repeats. If each request were sent three times, three times the load would
+    keep the minions overloaded after the cause is gone.
     """
-    script = [*before, *storm * (count // len(storm) + 1)]
-    sent = 0
+    outcomes = [*prefix, *repeated * (count // len(repeated) + 1)]
+    sent_count = 0
 
-    def answering(_minion, request, _timeout):
-        nonlocal sent
-        outcome = script[min(sent, len(script) - 1)]
-        sent += 1
+    def answer(_minion, request, _timeout):
+        nonlocal sent_count
+        outcome = outcomes[min(sent_count, len(outcomes) - 1)]
+        sent_count += 1
         return outcome or paths.answer_to(request)
 
-    with paths.running(answering) as rig:
+    with paths.running(answer) as rig:
         for number in range(count):
             task = gevent.spawn(rig.handle, request_id=f"r{number}")
-            # It may wait for a minion that is suspected to be tried again.
+            # The request may wait until a suspected minion is probed again.
             while not task.ready():
                 gevent.sleep(0)
                 rig.clock.advance(0.01)
                 rig.refresh()
             task.get()
-        firsts = rig.metrics.counters.get(
+        first_attempts = rig.metrics.counters.get(
             "attempts"
         ) - rig.metrics.counters.get("retries")
-        assert sent == rig.metrics.counters.get("attempts")
-        assert firsts <= count
-        assert sent - firsts <= retry.BUDGET_BURST + _RATIO * firsts
+        assert sent_count == rig.metrics.counters.get("attempts")
+        assert first_attempts <= count
+        assert (
+            sent_count - first_attempts
+            <= retry.BUDGET_BURST + _RETRY_RATIO * first_attempts
+        )
 
 
 @hypothesis.given(
     st.lists(st.booleans(), max_size=200), st.data(), st.floats(0, 0.1)
 )
-def test_the_burst_is_all_that_a_storm_may_add_to_its_tenth(
+def test_the_retry_limit_holds_for_a_storm_that_starts_at_any_time(
     events, data, ratio
 ):
-    """Whenever the storm begins and ends, and whatever was saved before."""
+    """Tokens saved before the storm add no more than the burst."""
     budget = retry.RetryBudget()
-    begin = data.draw(st.integers(0, len(events)))
-    firsts = retries = 0
+    storm_start = data.draw(st.integers(0, len(events)))
+    first_attempts = retries = 0
     for number, is_first in enumerate(events):
         if is_first:
             budget.first_attempt(ratio)
         taken = not is_first and budget.take()
-        if number >= begin:
-            firsts += is_first
+        if number >= storm_start:
+            first_attempts += is_first
             retries += taken
-    assert retries <= retry.BUDGET_BURST + ratio * firsts + 1e-6
+    assert retries <= retry.BUDGET_BURST + ratio * first_attempts + 1e-6
