--- a/src/vanillaswitch/coordination/maintenance/__init__.py
+++ b/src/vanillaswitch/coordination/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Budgets, waves, moves between pools, the spare, explanations."""
+"""Maintenance waves, budgets, pool moves, spare workers, decision records."""
--- a/src/vanillaswitch/coordination/maintenance/budgets.py
+++ b/src/vanillaswitch/coordination/maintenance/budgets.py
@@ -1,9 +1,9 @@
-"""Availability budgets: how much more of a service may be taken down.
+"""Availability budgets: how many more instances of a service may go down.
 
-Everything that is down counts, on purpose or not: what the budget row has
-down, what is in maintenance or a move, what the list does not show or shows
-as leaving, what does not say of itself that it serves, and what is cordoned
-and carries nothing new.
+Planned and unplanned downtime both count against a budget. An instance counts
+as down when the budget row names it, when it is in maintenance or in a move,
+when the platform's list omits it or shows it as leaving, when its own status
+is not SERVING, or when it is cordoned and takes no new work.
 """
 
 from collections.abc import Iterable
@@ -17,13 +17,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Standing:
-    """How a service stands against its budget, for one kind of instance.
+    """How much of a service's budget is used, for one kind of instance.
 
     Attributes:
-        meant: how many instances the configuration asks for.
-        members: how many belong to its pools.
-        allowed: how many may be down at once.
-        down: instance to the reason why it does not count as up.
+        service: the service.
+        kind: the kind of instance.
+        meant: number of instances that the configuration asks for.
+        members: number of instances that belong to the service's pools.
+        allowed: number of instances that may be down at once.
+        down: maps each instance that counts as down to the reason.
     """
 
     service: str
@@ -35,23 +37,23 @@
 
     @property
     def down_count(self) -> int:
-        """How many are down, those that were never there included."""
+        """Number of instances that are down, missing ones included."""
         return len(self.down) + max(0, self.meant - self.members)
 
     @property
     def headroom(self) -> int:
-        """How many more may be taken down; below zero when overdrawn."""
+        """How many more may go down; negative when the budget is exceeded."""
         return self.allowed - self.down_count
 
 
 def down_reason(
     member: fleet_state.Member, planned: Mapping[str, str]
 ) -> str | None:
-    """Returns why an instance counts as down; None when it is up.
+    """Returns why an instance counts as down, or None when it is up.
 
     Args:
         member: the instance.
-        planned: ``down`` of its service's budget row.
+        planned: ``down`` field of its service's budget row.
     """
     if member.name in planned:
         return "taken down on purpose"
@@ -61,8 +63,8 @@
         return "missing from the platform's list"
     if member.listing.state is not platform.ListedState.LIVE:
         return "listed as leaving"
-    # The list lags: an instance that died seconds ago is still listed live.
-    # It can't answer for itself, so that silence counts as down.
+    # The list lags: an instance that failed seconds ago is still listed as
+    # live. It can't report a status, so a missing status counts as down.
     if member.status is None:
         return "does not answer"
     if member.status.phase is not platform.Phase.SERVING:
@@ -75,9 +77,9 @@
 def only_cordoned(
     member: fleet_state.Member, planned: Mapping[str, str]
 ) -> bool:
-    """Tells whether a cordon alone makes an instance count as down.
+    """Returns whether a cordon is the only reason why an instance is down.
 
-    It can be taken down without one more being down.
+    Draining such an instance does not raise the number of down instances.
     """
     if not member.row.cordoned:
         return False
@@ -90,7 +92,7 @@
 def members_of(
     fleet: fleet_state.Fleet, service: str, kind: platform.InstanceKind
 ) -> tuple[fleet_state.Member, ...]:
-    """Returns the instances of one kind that serve a service, by name."""
+    """Returns a service's instances of one kind, sorted by name."""
     return fleet.groups.get((service, kind), ())
 
 
@@ -100,7 +102,7 @@
     service: str,
     kind: platform.InstanceKind,
 ) -> Standing:
-    """Returns how a service of the configuration stands."""
+    """Returns the budget status of a service that is in the configuration."""
     planned = fleet.budget(service).row.down
     members = members_of(fleet, service, kind)
     reasons = {m.name: down_reason(m, planned) for m in members}
@@ -122,7 +124,7 @@
 ) -> int:
     """Returns how many more instances of a service may be taken down.
 
-    Nothing may be taken from a service that the configuration lacks.
+    It is 0 for a service that is not in the configuration.
     """
     if service not in config.services:
         return 0
@@ -135,7 +137,7 @@
     service: str,
     kind: platform.InstanceKind,
 ) -> bool:
-    """Tells whether rows alone leave room; needs no word of any instance."""
+    """Returns whether rows alone leave headroom; needs no instance status."""
     if service not in config.services:
         return False
     planned = fleet.budget(service).row.down
@@ -146,7 +148,7 @@
 def planned_domains(
     members: Iterable[fleet_state.Member], planned: Mapping[str, str]
 ) -> frozenset[str]:
-    """Returns the failure domains that have something down on purpose."""
+    """Returns the failure domains that have planned downtime."""
     return frozenset(
         member.domain
         for member in members
@@ -160,15 +162,15 @@
     config: config_lib.Config,
     draining: Iterable[fleet_state.Member],
 ) -> frozenset[str]:
-    """Returns the drains to take back because a budget is overdrawn.
+    """Returns the instances whose drain to undo because of exceeded budgets.
 
-    Instances can fail by themselves while others are down on purpose. Those
-    that only drain can serve again at once.
+    Instances can fail while others are down for maintenance. An instance that
+    is only draining can serve again at once.
 
     Args:
-        fleet: the fleet as it is.
+        fleet: current state of the fleet.
         config: the configuration in force.
-        draining: members that drain and nothing more yet.
+        draining: members that are draining and have not gone further.
     """
     groups: dict[tuple[str, platform.InstanceKind], list[str]] = {}
     for member in draining:
--- a/src/vanillaswitch/coordination/maintenance/buffer.py
+++ b/src/vanillaswitch/coordination/maintenance/buffer.py
@@ -1,8 +1,8 @@
-"""The smallest spare that keeps every budget when any one rack is lost.
+"""Sizes the spare pool so that budgets hold when any one rack is lost.
 
-Spare workers belong to the pool ``SPARE_POOL``, which serves no service, and
-stand in for any pool. A rack is lost with the spares in it, and on top of what
-maintenance has down at that moment.
+Spare workers belong to the pool ``SPARE_POOL``, which serves no service. They
+can replace a worker of any pool. The loss of a rack includes the spare workers
+in it, and adds to the workers that are down for maintenance at that moment.
 """
 
 from collections.abc import Callable
@@ -14,18 +14,19 @@
 from vanillaswitch.internal import registry
 
 SPARE_POOL = "spare"
-"""Pool of the spare workers; the configuration has no pool of this name."""
+"""Pool of the spare workers; never the name of a configured pool."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Demand:
-    """What one service needs of the spare.
+    """Input for sizing the spare pool: the workers and budget of a service.
 
     Attributes:
-        pools: how many pools it has.
-        by_rack: how many of its workers are in each rack.
-        allowed: how many of them may be down.
-        planned: how many maintenance has down meanwhile.
+        service: the service.
+        pools: number of its pools.
+        by_rack: number of its workers in each rack.
+        allowed: number of its workers that may be down.
+        planned: number of its workers that are down for maintenance.
     """
 
     service: str
@@ -35,79 +36,83 @@
     planned: int = 0
 
     @functools.cached_property
-    def short_unharmed(self) -> int:
-        """How many workers it is short of when it has none in a lost rack."""
-        return self._short(0)
+    def shortage_without_loss(self) -> int:
+        """Workers missing beyond the budget when it loses no rack."""
+        return self._shortage(0)
 
     @functools.cached_property
-    def _workers(self) -> int:
+    def _worker_count(self) -> int:
         return sum(self.by_rack.values())
 
-    def short_without(self, rack: str) -> int:
-        """Returns how many workers it is short of when a rack is lost."""
-        return self._short(self.by_rack.get(rack, 0))
+    def shortage_after_loss(self, rack: str) -> int:
+        """Returns the workers missing beyond the budget after a rack's loss."""
+        return self._shortage(self.by_rack.get(rack, 0))
 
-    def _short(self, lost: int) -> int:
-        down = min(self._workers, lost + self.planned)
+    def _shortage(self, lost: int) -> int:
+        down = min(self._worker_count, lost + self.planned)
         return max(0, down - self.allowed)
 
 
 Sizing = Callable[[Sequence[Demand]], int]
-"""Demands of all services -> number of spare workers."""
+"""Maps the demands of all services to a number of spare workers."""
 
 SIZINGS: registry.Registry[Sizing] = registry.Registry("buffer sizing")
-DEFAULT_SIZING = "shared"
+DEFAULT_SIZING_POLICY = "shared"
 
 
 def lower_bound(demands: Sequence[Demand]) -> int:
-    """Returns the spare that no sizing can go below: the worst rack's need."""
-    return max(_needs(demands).values(), default=0)
+    """Returns the smallest sufficient spare: the need of the worst rack."""
+    return max(_required_by_rack(demands).values(), default=0)
 
 
 @SIZINGS.register("shared")
 def shared(demands: Sequence[Demand]) -> int:
-    """One spare for all: as much as the worst rack needs, placed apart.
+    """Sizes one spare pool for all services by the need of the worst rack.
 
-    Placed well, what is left of the spare after a loss covers the loss of
-    each rack. A rack without workers of any service takes the rest, so that
-    the worst rack's need is enough wherever the racks of now have no room.
+    With the placement of ``place``, the spare workers outside a lost rack
+    cover its loss. Spare workers that fit in none of the current racks go to
+    a rack without workers of any service, so the need of the worst rack is
+    always enough.
     """
     return lower_bound(demands)
 
 
 @SIZINGS.register("guard-per-pool")
-def guard_per_pool(demands: Sequence[Demand]) -> int:
-    """One guard worker for each pool: the baseline."""
+def size_per_pool(demands: Sequence[Demand]) -> int:
+    """Sizes one spare worker for each pool; a baseline for comparisons."""
     return sum(demand.pools for demand in demands)
 
 
 def uncovered(
     demands: Sequence[Demand], spares_by_rack: Mapping[str, int]
 ) -> dict[str, int]:
-    """Returns the racks whose loss the spare does not cover, and by how much.
+    """Returns the spare workers missing for each rack that is not covered.
 
     Args:
-        demands: of all services.
-        spares_by_rack: where the spare workers are; those in the rack that
-            is lost are lost with it.
+        demands: the demands of all services.
+        spares_by_rack: number of spare workers in each rack. The loss of a
+            rack includes its spare workers.
     """
     total = sum(spares_by_rack.values())
     gaps = {
         rack: need - (total - spares_by_rack.get(rack, 0))
-        for rack, need in _needs(demands).items()
+        for rack, need in _required_by_rack(demands).items()
     }
     return {rack: gap for rack, gap in gaps.items() if gap > 0}
 
 
 def place(demands: Sequence[Demand], size: int) -> dict[str, int]:
-    """Returns a placing of ``size`` spares that leaves no avoidable gap.
+    """Places ``size`` spare workers so that no avoidable gap remains.
 
-    A rack may hold as many spares as the spare exceeds its need. What fits
-    in no rack of now is placed in a rack of its own, named "".
+    A rack may hold at most ``size`` minus its own need. Spare workers that
+    fit in none of the current racks go to a separate rack named "".
+
+    Returns:
+        The number of spare workers by rack.
     """
     placed = {}
     left = size
-    for rack, need in sorted(_needs(demands).items()):
+    for rack, need in sorted(_required_by_rack(demands).items()):
         count = min(left, max(0, size - need))
         if count:
             placed[rack] = count
@@ -117,16 +122,18 @@
     return placed
 
 
-def _needs(demands: Sequence[Demand]) -> dict[str, int]:
-    """Returns how many spares the loss of each rack calls for.
+def _required_by_rack(demands: Sequence[Demand]) -> dict[str, int]:
+    """Returns the number of spare workers that the loss of each rack needs.
 
-    Most racks have workers of few services. The others are short of the same
-    number whichever of these racks is lost, so that it is summed up once.
+    Most racks have workers of few services. The shortage of all other services
+    is the same whichever rack is lost, so it is summed up once.
     """
-    unharmed = sum(demand.short_unharmed for demand in demands)
+    base = sum(demand.shortage_without_loss for demand in demands)
     racks = {rack for demand in demands for rack in demand.by_rack}
-    needs = dict.fromkeys(sorted(racks), unharmed)
+    needs = dict.fromkeys(sorted(racks), base)
     for demand in demands:
         for rack in demand.by_rack:
-            needs[rack] += demand.short_without(rack) - demand.short_unharmed
+            needs[rack] += (
+                demand.shortage_after_loss(rack) - demand.shortage_without_loss
+            )
     return needs
--- a/src/vanillaswitch/coordination/maintenance/changes.py
+++ b/src/vanillaswitch/coordination/maintenance/changes.py
@@ -1,4 +1,4 @@
-"""What one planning step changes, and the one transaction that does it."""
+"""The changes of one planning step, committed in one transaction."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -17,20 +17,21 @@
 from vanillaswitch.state import keys
 from vanillaswitch.state import rows
 
-COMMIT_S = 2.0
-"""How long a step tries to settle a commit whose answer was lost."""
+COMMIT_TIMEOUT_S = 2.0
+"""How long a step retries a commit whose answer was lost."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Changes:
-    """New rows by name; they happen together or not at all.
+    """Rows to write by name, all in one transaction.
 
     Attributes:
-        instances: instance rows; None deletes one.
-        budgets: what each service has down on purpose from now on.
-        waves: wave rows.
-        decisions: why.
-        checked: waves whose rows have to be as they were.
+        instances: new instance rows; None deletes a row.
+        budgets: new budget rows by service.
+        waves: new wave rows.
+        decisions: decision records that explain the changes.
+        unchanged_waves: waves whose rows must not have changed since they
+            were read.
     """
 
     instances: Mapping[str, rows.Instance | None] = dataclasses.field(
@@ -41,69 +42,78 @@
         default_factory=dict
     )
     decisions: tuple[explain.Decision, ...] = ()
-    checked: tuple[str, ...] = ()
+    unchanged_waves: tuple[str, ...] = ()
 
     @property
     def empty(self) -> bool:
-        """There is nothing to write."""
+        """Whether there is no row to write."""
         return not (self.instances or self.budgets or self.waves)
 
 
 @dataclasses.dataclass(frozen=True)
 class Decided:
-    """What to write, and what to ask of the platform as written before."""
+    """Result of a planning step.
+
+    Attributes:
+        changes: rows to write.
+        calls: platform calls whose intent is already in the table.
+    """
 
     changes: Changes
     calls: tuple[instance_steps.Call, ...]
 
 
 class Draft:
-    """Collects the changes of one step, budgets kept in line with rows."""
+    """Collects the changes of one step and updates budget rows to match."""
 
     def __init__(self, fleet: fleet_state.Fleet):
-        """Begins with no change of ``fleet``."""
+        """Starts without changes.
+
+        Args:
+            fleet: the fleet that the changes apply to.
+        """
         self._fleet = fleet
         self._instances: dict[str, rows.Instance | None] = {}
         self._down: dict[str, dict[str, str]] = {}
         self._waves: dict[str, wave_state.Wave] = {}
         self._decisions: list[explain.Decision] = []
-        self._checked: set[str] = set()
+        self._unchanged_waves: set[str] = set()
 
     def put_instance(self, name: str, row: rows.Instance) -> None:
-        """Writes an instance's row, and its service's budget accordingly.
+        """Adds a write of an instance's row and of its service's budget row.
 
-        An instance is in the budget row of the service that its row names
-        for as long as its phase is not SERVING, and in no other. The budget
-        row is written also where it stays as it is, see ``rows.Budget``.
+        An instance is in the budget row of its own service while its phase is
+        not SERVING, and in no other budget row. The budget row is written even
+        if its content stays the same, see ``rows.Budget``.
         """
         before = self._fleet.members.get(name)
         if before and before.row.service != row.service:
-            self._take_out(before.row.service, name)
+            self._mark_up(before.row.service, name)
         if row.phase is platform.Phase.SERVING:
-            self._take_out(row.service, name)
+            self._mark_up(row.service, name)
         else:
-            self._put_in(row.service, name, row.operation)
+            self._mark_down(row.service, name, row.operation)
         self._instances[name] = row
 
     def delete_instance(self, name: str) -> None:
-        """Deletes the row of an instance that is gone."""
-        self._take_out(self._fleet.members[name].row.service, name)
+        """Adds the deletion of an instance's row."""
+        self._mark_up(self._fleet.members[name].row.service, name)
         self._instances[name] = None
 
     def put_wave(self, name: str, wave: wave_state.Wave) -> None:
-        """Writes a wave's row."""
+        """Adds a write of a wave's row."""
         self._waves[name] = wave
 
     def check_wave(self, name: str) -> None:
-        """Writes nothing unless a wave's row is as it was."""
-        self._checked.add(name)
+        """Makes the commit fail if a wave's row has changed since its read."""
+        self._unchanged_waves.add(name)
 
     def explain(self, decision: explain.Decision) -> None:
-        """Adds a decision to the record."""
+        """Adds a decision record."""
         self._decisions.append(decision)
 
     def build(self) -> Changes:
-        """Returns what was collected."""
+        """Returns the collected changes."""
         budgets = {
             service: rows.Budget(down) for service, down in self._down.items()
         }
@@ -112,21 +122,21 @@
             budgets,
             self._waves,
             tuple(self._decisions),
-            tuple(sorted(self._checked - self._waves.keys())),
+            tuple(sorted(self._unchanged_waves - self._waves.keys())),
         )
 
-    def _copy_of(self, service: str) -> dict[str, str]:
+    def _down_in(self, service: str) -> dict[str, str]:
         if service not in self._down:
             self._down[service] = dict(self._fleet.budget(service).row.down)
         return self._down[service]
 
-    def _put_in(self, service: str, name: str, operation: str) -> None:
+    def _mark_down(self, service: str, name: str, operation: str) -> None:
         if service:
-            self._copy_of(service).setdefault(name, operation)
+            self._down_in(service).setdefault(name, operation)
 
-    def _take_out(self, service: str, name: str) -> None:
+    def _mark_up(self, service: str, name: str) -> None:
         if service:
-            self._copy_of(service).pop(name, None)
+            self._down_in(service).pop(name, None)
 
 
 def carry_out(
@@ -135,23 +145,23 @@
     fleet: fleet_state.Fleet,
     decided: Decided,
 ) -> None:
-    """Writes what was decided, then asks the platform for what is written.
+    """Commits the changes, then calls the platform for recorded operations.
 
-    What is written now is asked for only where its commit is certain: an
-    operation without its intent in the table would be nobody's.
+    The calls for new operations are sent only after a confirmed commit: no
+    duty would follow up on an operation without its intent in the table.
     """
     calls = list(decided.calls)
     if not decided.changes.empty:
         outcome = commit(context, fence, fleet, decided.changes)
         if isinstance(outcome, platform.Committed):
-            calls += _written_calls(decided.changes)
+            calls += _calls_for(decided.changes)
     for call in calls:
-        instance_steps.perform(context.platform.instances, call)
+        instance_steps.send(context.platform.instances, call)
 
 
-def _written_calls(changes: Changes) -> list[instance_steps.Call]:
+def _calls_for(changes: Changes) -> list[instance_steps.Call]:
     return [
-        instance_steps.call_of(name, row)
+        instance_steps.call_for(name, row)
         for name, row in sorted(changes.instances.items())
         if row is not None and instance_steps.is_under_way(row)
     ]
@@ -160,10 +170,10 @@
 def puts(
     fleet: fleet_state.Fleet, changes: Changes
 ) -> tuple[platform.Put, ...]:
-    """Returns the writes of all but the decisions.
+    """Returns the writes of all changes except the decision records.
 
-    Each names the version that the view was built on, so that a step which
-    decided on an old view writes nothing.
+    Each write names the version that the step has read, so a step that worked
+    on an outdated fleet fails with a conflict and writes nothing.
     """
     written = []
     for name, row in sorted(changes.instances.items()):
@@ -189,10 +199,10 @@
     fleet: fleet_state.Fleet,
     changes: Changes,
 ) -> platform.CommitOutcome:
-    """Writes changes under a duty and tells the peers what is down.
+    """Commits changes under a duty's fence and broadcasts what is down.
 
     Returns:
-        The outcome; a conflict means that the step has to look again.
+        The outcome. After a conflict the step must read again and decide anew.
     """
     table = context.platform.table
     subjects = explain.keys_of(changes.decisions)
@@ -204,13 +214,13 @@
         puts(fleet, changes) + explain.puts(changes.decisions, found.rows),
         (fence.check, *_checks(fleet, changes)),
     )
-    deadline = context.clock.monotonic() + COMMIT_S
+    deadline = context.clock.monotonic() + COMMIT_TIMEOUT_S
     outcome = commits.settle(table, transaction, context.clock, deadline)
-    fleet_cache.of(context).learn(transaction.puts, outcome)
+    fleet_cache.of(context).record_commit(transaction.puts, outcome)
     if fence.broken_by(outcome):
         context.drop(fence)
     if isinstance(outcome, platform.Committed):
-        _notify(context, fleet, changes, outcome.version)
+        _broadcast_drains(context, fleet, changes, outcome.version)
     return outcome
 
 
@@ -219,11 +229,11 @@
 ) -> tuple[platform.Check, ...]:
     return tuple(
         platform.Check(keys.wave(name), fleet.waves[name].version)
-        for name in changes.checked
+        for name in changes.unchanged_waves
     )
 
 
-def _notify(
+def _broadcast_drains(
     context: controller.Context,
     fleet: fleet_state.Fleet,
     changes: Changes,
--- a/src/vanillaswitch/coordination/maintenance/correlation.py
+++ b/src/vanillaswitch/coordination/maintenance/correlation.py
@@ -1,9 +1,9 @@
-"""Tells failures that a wave causes from those of an ordinary day."""
+"""Separates failures that a wave causes from background failures."""
 
 import math
 
 SIGNIFICANCE = 0.01
-"""Chance of stopping a wave for failures that came by themselves."""
+"""Probability of stopping a wave because of background failures only."""
 
 _DAY_S = 86_400.0
 
@@ -11,13 +11,13 @@
 def expected_failures(
     per_day: float, elapsed_s: float, touched: int, total: int
 ) -> float:
-    """Returns how many touched instances fail by themselves on average.
+    """Returns the expected background failures among touched instances.
 
     Args:
-        per_day: background failures of all ``total`` instances.
-        elapsed_s: how long the wave has run.
-        touched: instances that the wave has begun to maintain.
-        total: instances of the wave.
+        per_day: background failures per day of all ``total`` instances.
+        elapsed_s: seconds that the wave has run.
+        touched: number of instances whose maintenance has begun.
+        total: number of instances in the wave.
     """
     if total == 0:
         return 0.0
@@ -25,10 +25,13 @@
 
 
 def most_explained(mean: float) -> int:
-    """Returns the most failures that the background rate explains.
+    """Returns the largest number of failures that the background explains.
 
-    It is the smallest k for which more than k events of a Poisson
-    distribution of this mean have a chance below ``SIGNIFICANCE``.
+    It is the smallest k for which more than k events have a probability below
+    ``SIGNIFICANCE`` in a Poisson distribution with this mean.
+
+    Args:
+        mean: expected number of background failures.
     """
     count = 0
     term = math.exp(-mean)
--- a/src/vanillaswitch/coordination/maintenance/explain.py
+++ b/src/vanillaswitch/coordination/maintenance/explain.py
@@ -1,8 +1,8 @@
-"""Decision records: why the system did what it did.
+"""Decision records: why the system acted as it did.
 
-Each subject (a wave, a pool, a service) has one bounded row, written in the
-same transaction as the decision itself, so that no decision goes unexplained
-and no explanation is of something that did not happen.
+Each subject (wave, pool, instance or job) has one row of bounded length. It is
+written in the same transaction as the change itself, so no such change lacks
+a record, and no record describes a change that was not committed.
 """
 
 from collections.abc import Iterable
@@ -13,8 +13,8 @@
 from vanillaswitch.state import keys
 from vanillaswitch.state import rows
 
-KEPT = 50
-"""Decisions kept for each subject; the oldest go first."""
+MAX_DECISIONS = 50
+"""Decisions kept for each subject; the oldest are dropped first."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -22,12 +22,12 @@
     """One decision.
 
     Attributes:
-        subject: what it is about, "wave/kernel" or "pool/berthing-batch".
-        cause: what was seen.
-        rule: which rule turned the cause into the decision.
-        figures: the numbers that the rule was fed, by name.
-        actor: duty or operator that decided.
-        wall_s: when, seconds since the Unix epoch.
+        subject: what it concerns, "wave/kernel" or "pool/berthing-batch".
+        cause: what was observed.
+        rule: the rule that was applied to the cause.
+        figures: the rule's numeric inputs, by name.
+        actor: duty or operator that made the decision.
+        wall_s: time of the decision, seconds since the Unix epoch.
     """
 
     subject: str
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class History:
-    """``decision/<subject>``: the newest decisions, oldest first."""
+    """Row ``decision/<subject>``: the latest decisions, oldest first."""
 
     entries: tuple[Decision, ...] = ()
 
@@ -66,18 +66,18 @@
 
 
 def key_of(subject: str) -> str:
-    """Returns the row of one subject's decisions."""
+    """Returns the key of the row with a subject's decisions."""
     return keys.decisions(subject)
 
 
 def keys_of(decisions: Iterable[Decision]) -> tuple[str, ...]:
-    """Returns the rows that must be read before ``puts`` can write them."""
+    """Returns the keys of the rows to read before calling ``puts``."""
     subjects = {decision.subject for decision in decisions}
     return tuple(keys.decisions(subject) for subject in sorted(subjects))
 
 
 def history(row: platform.Row | None) -> History:
-    """Returns the decisions in a row, none when there is no row."""
+    """Decodes the decisions of a row; returns an empty history without one."""
     if row is None or row.version == platform.ABSENT:
         return History()
     return rows.load(History, row.value)
@@ -89,8 +89,8 @@
     """Returns the writes that append decisions to their subjects' rows.
 
     Args:
-        decisions: what was decided, oldest first.
-        found: the rows of ``keys_of(decisions)`` that exist.
+        decisions: new decisions, oldest first.
+        found: the existing rows of ``keys_of(decisions)``.
     """
     by_key = {row.key: row for row in found}
     by_subject: dict[str, list[Decision]] = {}
@@ -105,7 +105,7 @@
 def _put(
     row: platform.Row | None, subject: str, new: list[Decision]
 ) -> platform.Put:
-    entries = (*history(row).entries, *new)[-KEPT:]
+    entries = (*history(row).entries, *new)[-MAX_DECISIONS:]
     version = row.version if row else platform.ABSENT
     value = rows.dump(History(entries))
     return platform.Put(keys.decisions(subject), version, value)
--- a/src/vanillaswitch/coordination/maintenance/fleet_rows.py
+++ b/src/vanillaswitch/coordination/maintenance/fleet_rows.py
@@ -1,4 +1,4 @@
-"""The rows and the list that a process knows, kept as typed members."""
+"""Decoded rows of instances, budgets and waves, and the platform's list."""
 
 from collections.abc import Collection
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 
 class FleetRows:
-    """Instances, budgets, waves and the list; never goes back to older ones."""
+    """Stores decoded rows and the list; keeps the newest version of a row."""
 
     def __init__(self) -> None:
         self._members: dict[str, fleet_state.Member] = {}
@@ -24,7 +24,7 @@
 
     @property
     def fleet(self) -> fleet_state.Fleet:
-        """All that is known, made anew after each change."""
+        """The stored rows as a fleet; rebuilt after each change."""
         if self._fleet is None:
             self._fleet = fleet_state.Fleet(
                 dict(self._members),
@@ -35,7 +35,7 @@
         return self._fleet
 
     def set_list(self, listed: Iterable[platform.Listing]) -> None:
-        """Takes over the platform's list."""
+        """Replaces the platform's list."""
         self._listings = {one.instance: one for one in listed}
         for name, member in self._members.items():
             self._members[name] = dataclasses.replace(
@@ -43,17 +43,27 @@
             )
         self._fleet = None
 
-    def forget(self, before: Mapping[str, int], found: Collection[str]) -> None:
-        """Drops rows that are gone, unless written while they were read."""
+    def drop_missing(
+        self, before: Mapping[str, int], found: Collection[str]
+    ) -> None:
+        """Drops rows that a read did not find.
+
+        A row that was written while the read ran has another version and
+        stays.
+
+        Args:
+            before: version of each requested key before the read.
+            found: keys that the read found.
+        """
         gone = [
             platform.Row(key, platform.ABSENT, {}, "")
             for key, version in before.items()
             if key not in found and self.version_of(key) == version
         ]
-        self.take(gone)
+        self.merge(gone)
 
     def version_of(self, key: str) -> int:
-        """Returns the version of a row, ABSENT when it is not known."""
+        """Returns the version of a row, ABSENT if it is not stored."""
         for prefix, kept in (
             (keys.INSTANCES, self._members),
             (keys.BUDGETS, self._budgets),
@@ -64,10 +74,11 @@
                 return found.version if found else platform.ABSENT
         return platform.ABSENT
 
-    def take(self, found: Iterable[platform.Row]) -> None:
-        """Takes rows, but none that is older than what is known.
+    def merge(self, found: Iterable[platform.Row]) -> None:
+        """Stores rows that are newer than the stored ones.
 
-        Versions only grow, and a slow answer may come after a newer one.
+        A slow answer may arrive after a newer one. Versions only increase, so
+        the older row is recognised and ignored.
         """
         for row in found:
             if row.version == platform.ABSENT:
--- a/src/vanillaswitch/coordination/maintenance/fleet_state.py
+++ b/src/vanillaswitch/coordination/maintenance/fleet_state.py
@@ -1,8 +1,8 @@
-"""The fleet as one planning step sees it: rows, list and own words.
+"""The fleet as input of one planning step: rows, list and statuses.
 
-Rows are read before instances are asked. A take-down that another task
-commits in between changes the budget row, so that a transaction built on this
-view conflicts; what an instance said is never older than the rows.
+Rows are read before statuses, so a status is never older than the rows. If
+another process takes an instance down in between, its commit changes the budget
+row, and a transaction based on the rows read here fails with a conflict.
 """
 
 from collections.abc import Collection
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Versioned(Generic[T]):
-    """A typed row with the version that a write of it has to name."""
+    """A decoded row and its version, which a write of the row must name."""
 
     version: int
     row: T
@@ -35,8 +35,12 @@
     """One instance that belongs to a pool.
 
     Attributes:
-        listing: its line of the lagging list; None when it has none.
-        status: what it says of itself; None when it did not answer.
+        name: name of the instance.
+        version: version of its row.
+        row: its row.
+        listing: its entry in the platform's list, which lags; None without
+            an entry.
+        status: its own status; None when it did not answer.
     """
 
     name: str
@@ -47,7 +51,7 @@
 
     @property
     def domain(self) -> str:
-        """Its failure domain: data centre of a minion, rack of a worker."""
+        """The failure domain: data centre of a minion, rack of a worker."""
         if self.row.kind is platform.InstanceKind.WORKER:
             return f"{self.row.data_centre}/{self.row.rack}"
         return self.row.data_centre
@@ -58,7 +62,7 @@
     """All members, budgets and waves, by name.
 
     Attributes:
-        strangers: listed minions and workers that belong to no pool yet.
+        strangers: listed minions and workers that have no pool yet.
     """
 
     members: Mapping[str, Member]
@@ -70,7 +74,7 @@
     def groups(
         self,
     ) -> Mapping[tuple[str, platform.InstanceKind], tuple[Member, ...]]:
-        """Members by service and kind, in the order of their names."""
+        """Members by service and kind, sorted by name."""
         found: dict[tuple[str, platform.InstanceKind], list[Member]] = {}
         for _, member in sorted(self.members.items()):
             group = (member.row.service, member.row.kind)
@@ -78,7 +82,7 @@
         return {group: tuple(members) for group, members in found.items()}
 
     def budget(self, service: str) -> Versioned[rows.Budget]:
-        """Returns a service's budget row, an empty one before the first."""
+        """Returns a service's budget row, or an empty one if none exists."""
         empty = Versioned(platform.ABSENT, rows.Budget({}))
         return self.budgets.get(service, empty)
 
@@ -87,23 +91,23 @@
         names: Iterable[str],
         statuses: Mapping[str, platform.InstanceStatus],
     ) -> "Fleet":
-        """Returns the fleet with these members only, and what they say."""
+        """Returns the fleet with these members only, and their statuses."""
         kept = {n: self.members[n] for n in names if n in self.members}
-        said = {n: one for n, one in statuses.items() if n in kept}
-        return dataclasses.replace(self, members=kept).hearing(said)
+        known = {n: one for n, one in statuses.items() if n in kept}
+        return dataclasses.replace(self, members=kept).hearing(known)
 
     def hearing(
         self, statuses: Mapping[str, platform.InstanceStatus]
     ) -> "Fleet":
-        """Returns the fleet with what some of its members say."""
-        said = {
+        """Returns the fleet with the statuses of some of its members."""
+        changed = {
             name: dataclasses.replace(self.members[name], status=status)
             for name, status in statuses.items()
         }
-        return dataclasses.replace(self, members={**self.members, **said})
+        return dataclasses.replace(self, members={**self.members, **changed})
 
     def joined(self, wave: str) -> wave_state.Wave:
-        """Returns a wave's row with all instances that are done by now.
+        """Returns a wave's row with all instances that are done so far.
 
         Raises:
             KeyError: the wave was never started.
@@ -121,7 +125,7 @@
 
 
 def read(source: platform.Platform) -> Fleet | platform.Unavailable:
-    """Reads the whole fleet and asks each instance, for operators."""
+    """Reads the whole fleet and fetches all statuses, for operators."""
     recorded = read_recorded(source)
     if isinstance(recorded, platform.Unavailable):
         return recorded
@@ -132,7 +136,7 @@
 
 
 def read_recorded(source: platform.Platform) -> Fleet | platform.Unavailable:
-    """Reads rows and list only; no member has a status."""
+    """Reads rows and list only; the members have no status."""
     found = []
     for prefix in (keys.BUDGETS, keys.INSTANCES, keys.WAVES):
         outcome = source.table.scan(prefix)
@@ -142,16 +146,16 @@
     listed = source.instances.list()
     if isinstance(listed, platform.Unavailable):
         return listed
-    return assemble(found[1], found[0], found[2], listed.instances)
+    return build_fleet(found[1], found[0], found[2], listed.instances)
 
 
-def assemble(
+def build_fleet(
     instance_rows: Mapping[str, platform.Row],
     budget_rows: Mapping[str, platform.Row],
     wave_rows: Mapping[str, platform.Row],
     listed: Collection[platform.Listing],
 ) -> Fleet:
-    """Returns the fleet of rows by name and the list."""
+    """Builds a fleet from rows by name and the platform's list."""
     listings = {listing.instance: listing for listing in listed}
     members = {
         name: Member(
@@ -174,7 +178,7 @@
 def strangers(
     members: Container[str], listed: Iterable[platform.Listing]
 ) -> tuple[platform.Listing, ...]:
-    """Returns listed minions and workers that belong to no pool, by name."""
+    """Returns listed minions and workers without a pool, sorted by name."""
     found = (
         listing
         for listing in listed
@@ -185,7 +189,7 @@
 
 
 def versioned(kind: type[T], row: platform.Row) -> Versioned[T]:
-    """Returns a typed row with its version."""
+    """Decodes a row and returns it with its version."""
     return Versioned(row.version, rows.load(kind, row.value))
 
 
--- a/src/vanillaswitch/coordination/maintenance/instance_steps.py
+++ b/src/vanillaswitch/coordination/maintenance/instance_steps.py
@@ -1,17 +1,17 @@
 """The steps that take one instance through maintenance or a move.
 
-Intent first: each step is written with an operation id before the platform is
-asked, so that the next holder of the duty asks for the same operation again
-and never for a second one. A row moves on only when the instance itself names
-that operation: a copy of the call that is still under way then finds it done,
-and has no effect when it arrives late.
+Each step is recorded with an operation id before the platform is called. The
+next holder of the duty therefore repeats the same operation and never starts a
+second one. A row advances only when the instance's own status names that
+operation. A delayed duplicate of the call then finds the operation done and
+has no effect.
 
-Row and what is asked of the platform meanwhile::
+Phase of the row, and the platform call that is sent during it::
 
     SERVING -> DRAINING (drain) -> REBOOTING (reboot) -> DRAINED (resume)
             -> SERVING
 
-A move skips the reboot; an undone step goes from DRAINING to DRAINED.
+A move skips the reboot. An undone drain goes from DRAINING to DRAINED.
 """
 
 from collections.abc import Callable
@@ -22,8 +22,8 @@
 from vanillaswitch.state import rows
 
 
-class Verb(enum.StrEnum):
-    """What the platform is asked to do."""
+class Action(enum.StrEnum):
+    """An operation of the platform."""
 
     DRAIN = "drain"
     REBOOT = "reboot"
@@ -32,31 +32,31 @@
 
 @dataclasses.dataclass(frozen=True)
 class Call:
-    """Ask the platform for an operation whose intent is written."""
+    """Call the platform for an operation that is already recorded."""
 
-    verb: Verb
+    action: Action
     instance: str
     operation: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Advance:
-    """Write this row next; nothing is asked before it is committed."""
+    """Write this row; no call is sent before it is committed."""
 
     row: rows.Instance
 
 
 @dataclasses.dataclass(frozen=True)
 class Wait:
-    """The instance is not there yet."""
+    """Wait until the instance has finished the current operation."""
 
 
 Step = Call | Advance | Wait
 
-_VERBS = {
-    platform.Phase.DRAINING: Verb.DRAIN,
-    platform.Phase.REBOOTING: Verb.REBOOT,
-    platform.Phase.DRAINED: Verb.RESUME,
+_ACTIONS = {
+    platform.Phase.DRAINING: Action.DRAIN,
+    platform.Phase.REBOOTING: Action.REBOOT,
+    platform.Phase.DRAINED: Action.RESUME,
 }
 
 
@@ -68,18 +68,19 @@
     target_service: str,
     new_operation: Callable[[], str],
 ) -> Step:
-    """Returns what to do next with an instance that is under way.
+    """Returns the next step of an instance that is in maintenance or a move.
 
     Args:
         name: the instance.
         row: its row, in any phase but SERVING.
-        status: what it says of itself; None when it does not answer.
-        undo: return it to service as it is, where that is still possible.
-        target_service: service of the pool that a move takes it to.
-        new_operation: makes the id of the next intent.
+        status: its own status; None when it does not answer.
+        undo: whether to return it to service where it is, if it has not
+            gone beyond the drain.
+        target_service: service of the pool to which a move takes it.
+        new_operation: generates the id of the next operation.
     """
     if status is None or status.operation != row.operation:
-        return call_of(name, row)
+        return call_for(name, row)
     if row.phase is platform.Phase.DRAINING:
         return _after_drain(row, status, undo, target_service, new_operation)
     if row.phase is platform.Phase.REBOOTING:
@@ -87,15 +88,15 @@
     return _after_resume(row, status, new_operation)
 
 
-def call_of(name: str, row: rows.Instance) -> Call:
-    """Returns what to ask of the platform for an instance under way."""
-    return Call(_VERBS[row.phase], name, row.operation)
+def call_for(name: str, row: rows.Instance) -> Call:
+    """Returns the platform call for the current phase of an instance."""
+    return Call(_ACTIONS[row.phase], name, row.operation)
 
 
 def take_down(
     row: rows.Instance, status: platform.InstanceStatus, operation: str
 ) -> rows.Instance:
-    """Returns the row that begins to drain a serving instance."""
+    """Returns the row that starts the drain of a serving instance."""
     return dataclasses.replace(
         row,
         phase=platform.Phase.DRAINING,
@@ -104,26 +105,26 @@
     )
 
 
-def bring_back(
+def begin_resume(
     row: rows.Instance, status: platform.InstanceStatus, operation: str
 ) -> rows.Instance:
-    """Returns the row that makes an instance serve that rebooted by itself."""
-    return _resuming(dataclasses.replace(row, boots=status.boots), operation)
+    """Returns the row that resumes an instance after an unplanned reboot."""
+    return _with_resume(dataclasses.replace(row, boots=status.boots), operation)
 
 
 def is_under_way(row: rows.Instance) -> bool:
-    """Tells whether a step of this instance is written and not finished."""
-    return row.phase in _VERBS
+    """Returns whether the instance has a recorded, unfinished operation."""
+    return row.phase in _ACTIONS
 
 
-def perform(instances: platform.Instances, call: Call) -> None:
-    """Asks for an operation; whether it worked shows in the next status."""
+def send(instances: platform.Instances, call: Call) -> None:
+    """Sends a call; the instance's next status shows whether it worked."""
     methods = {
-        Verb.DRAIN: instances.drain,
-        Verb.REBOOT: instances.reboot,
-        Verb.RESUME: instances.resume,
+        Action.DRAIN: instances.drain,
+        Action.REBOOT: instances.reboot,
+        Action.RESUME: instances.resume,
     }
-    methods[call.verb](call.instance, call.operation)
+    methods[call.action](call.instance, call.operation)
 
 
 def _after_drain(
@@ -135,9 +136,9 @@
 ) -> Step:
     if undo:
         kept = dataclasses.replace(row, target_pool="")
-        return Advance(_resuming(kept, new_operation()))
-    # Jobs leave first: what is still in flight would be cut off by a reboot,
-    # or would run in a pool that no longer counts this worker.
+        return Advance(_with_resume(kept, new_operation()))
+    # Wait for the jobs: a reboot would cut off those in flight, and a move
+    # would leave them running in a pool that no longer counts this worker.
     if status.phase is not platform.Phase.DRAINED or status.in_flight:
         return Wait()
     if row.target_pool:
@@ -157,10 +158,11 @@
     status: platform.InstanceStatus,
     new_operation: Callable[[], str],
 ) -> Step:
-    # Accepted is not done: right after the call it still says that it is
-    # drained. Only one more boot shows that the reboot is behind it.
+    # An accepted reboot has not happened yet: right after the call the
+    # instance still reports DRAINED. Only a higher boot count shows that it
+    # has rebooted.
     if status.phase is platform.Phase.DRAINED and status.boots > row.boots:
-        return Advance(_resuming(row, new_operation()))
+        return Advance(_with_resume(row, new_operation()))
     return Wait()
 
 
@@ -170,11 +172,11 @@
     new_operation: Callable[[], str],
 ) -> Step:
     if status.phase is platform.Phase.SERVING:
-        return Advance(_served(row))
+        return Advance(_finished(row))
     if status.phase is platform.Phase.DRAINED:
-        # It took the resume and is drained again: it rebooted by itself. The
-        # old operation is used up, only a new one makes it serve.
-        return Advance(_resuming(row, new_operation()))
+        # It accepted the resume and is drained again, so it has rebooted
+        # unexpectedly. The operation is done; only a new one resumes it.
+        return Advance(_with_resume(row, new_operation()))
     return Wait()
 
 
@@ -182,16 +184,16 @@
     moved = dataclasses.replace(
         row, pool=row.target_pool, target_pool="", service=service
     )
-    return _resuming(moved, operation)
+    return _with_resume(moved, operation)
 
 
-def _resuming(row: rows.Instance, operation: str) -> rows.Instance:
+def _with_resume(row: rows.Instance, operation: str) -> rows.Instance:
     return dataclasses.replace(
         row, phase=platform.Phase.DRAINED, operation=operation
     )
 
 
-def _served(row: rows.Instance) -> rows.Instance:
+def _finished(row: rows.Instance) -> rows.Instance:
     return dataclasses.replace(
         row, phase=platform.Phase.SERVING, operation="", wave="", boots=0
     )
--- a/src/vanillaswitch/coordination/maintenance/move_duty.py
+++ b/src/vanillaswitch/coordination/maintenance/move_duty.py
@@ -1,4 +1,4 @@
-"""Looks after the pools of the service that a controller holds the duty of."""
+"""Runs the duty that manages the pools of one service."""
 
 from collections.abc import Collection
 from collections.abc import Mapping
@@ -15,162 +15,169 @@
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 
-LOST_AFTER_S = 30.0
-"""A worker that is down for so long by itself is replaced in its pool."""
+REPLACE_AFTER_S = 30.0
+"""A worker with unplanned downtime of this length is replaced."""
 
-GONE_AFTER_S = 3600.0
-"""An instance that is neither listed nor answers for so long is forgotten."""
+FORGET_AFTER_S = 3600.0
+"""The row of an instance that is unlisted and down this long is deleted."""
 
 _DOWN_SINCE = "down-since"
-_SETTLED_IN = "settled-in"
+_INITIALIZED = "settled-in"
 
 
 @controller.duty(duty_names.POOL_GROUP)
 def step(context: controller.Context, name: str, fence: duties.Fence) -> None:
-    """Does one step of a service's pools."""
+    """Runs one planning step for the pools of a service."""
     service = duty_names.subject(name)
     cache = fleet_cache.of(context)
-    view = _view(context, cache, service)
+    view = _build_view(context, cache, service)
     busy = False
     if view is not None:
         decided = pool_step.decide(view)
         changes.carry_out(context, fence, view.fleet, decided)
         wrote = not decided.changes.empty
-        busy = bool(wrote or decided.calls or view.wanted)
+        busy = bool(wrote or decided.calls or view.moves_to_begin)
     pause_s = cache.meter.pause_s(context.clock.monotonic(), busy)
     context.rest(not busy, pause_s)
 
 
-def _view(
+def _build_view(
     context: controller.Context, cache: fleet_cache.Cache, service: str
-) -> pool_step.View | None:
+) -> pool_step.PoolView | None:
     now = context.clock.monotonic()
     if not cache.refresh(context.platform, now):
         return None
-    if not _settle(context, cache, service):
+    if not _refresh_services(context, cache, service):
         return None
-    names = _scope(cache.fleet, context.config, {service}, service)
-    said = cache.ask(context.platform, names, now)
-    if isinstance(said, platform.Unavailable):
+    names = _names_in_scope(cache.fleet, context.config, {service}, service)
+    statuses = cache.ask(context.platform, names, now)
+    if isinstance(statuses, platform.Unavailable):
         return None
-    down_for = _down_for(context, names, said)
-    lost = {name for name, age in down_for.items() if age >= LOST_AFTER_S}
-    wanted = _wanted(context, cache, service, said, lost)
-    # A worker that has joined unnoticed would be given a needless companion.
-    if wanted and cache.verify(context.platform, now):
-        wanted = _wanted(context, cache, service, said, lost)
-    # Workers come from other services too, which were not asked yet.
-    sources = _sources(cache.fleet, names, wanted) - {service}
+    down_seconds = _down_seconds(context, names, statuses)
+    lost = {
+        name for name, age in down_seconds.items() if age >= REPLACE_AFTER_S
+    }
+    moves_to_begin = _plan_moves(context, cache, service, statuses, lost)
+    # If another process has added a worker since the last full read, the
+    # pool would get one worker too many.
+    if moves_to_begin and cache.reread_if_old(context.platform, now):
+        moves_to_begin = _plan_moves(context, cache, service, statuses, lost)
+    # Workers may come from other services, whose statuses are still missing.
+    sources = _source_services(cache.fleet, names, moves_to_begin) - {service}
     if sources:
         if not cache.settle(context.platform, sources - {""}, now):
             return None
-        more = _scope(cache.fleet, context.config, sources, service)
-        also = cache.ask(context.platform, set(more) - set(names), now)
-        if isinstance(also, platform.Unavailable):
+        more_names = _names_in_scope(
+            cache.fleet, context.config, sources, service
+        )
+        more_statuses = cache.ask(
+            context.platform, set(more_names) - set(names), now
+        )
+        if isinstance(more_statuses, platform.Unavailable):
             return None
-        names, said = {*names, *more}, {**said, **also}
-        wanted = _wanted(context, cache, service, said, lost)
-    fleet = cache.fleet.part(names, said)
-    gone = {
+        names, statuses = {*names, *more_names}, {**statuses, **more_statuses}
+        moves_to_begin = _plan_moves(context, cache, service, statuses, lost)
+    fleet = cache.fleet.part(names, statuses)
+    to_remove = {
         name
-        for name, age in down_for.items()
-        if age >= GONE_AFTER_S
+        for name, age in down_seconds.items()
+        if age >= FORGET_AFTER_S
         and name in fleet.members
         and fleet.members[name].listing is None
     }
-    return pool_step.View(
+    return pool_step.PoolView(
         service,
         fleet,
         cache.fleet,
         context.config,
-        tuple(move for move in wanted if move.worker in fleet.members),
+        tuple(move for move in moves_to_begin if move.worker in fleet.members),
         frozenset(lost),
-        frozenset(gone),
+        frozenset(to_remove),
         context.clock.wall(),
         lambda: ids.new_id(context.rng),
     )
 
 
-def _settle(
+def _refresh_services(
     context: controller.Context, cache: fleet_cache.Cache, service: str
 ) -> bool:
-    """Makes known what this duty decides on.
+    """Updates the rows that this duty's decisions are based on.
 
-    A new holder looks at every service and at the spare: a move that its
-    predecessor began shows in the row of a worker of another service.
+    A new holder reads every service and the spare workers, because a move that
+    its predecessor began is in the row of a worker of another service.
     """
     now = context.clock.monotonic()
     services = {service}
     spare: Collection[str] = ()
-    if not context.memory.get(_SETTLED_IN):
+    if not context.memory.get(_INITIALIZED):
         services.update(context.config.services)
-        spare = _scope(cache.fleet, context.config, {""}, service)
-    elif pool_step.keeps_spare(context.config, service):
+        spare = _names_in_scope(cache.fleet, context.config, {""}, service)
+    elif pool_step.manages_spare(context.config, service):
         found = {m.row.service for m in cache.fleet.members.values()}
         services |= found - context.config.services.keys() - {""}
-    settled = cache.settle(context.platform, services, now, spare)
-    context.memory[_SETTLED_IN] = settled or context.memory.get(_SETTLED_IN)
-    return settled
+    refreshed = cache.settle(context.platform, services, now, spare)
+    context.memory[_INITIALIZED] = refreshed or context.memory.get(_INITIALIZED)
+    return refreshed
 
 
-def _scope(
+def _names_in_scope(
     fleet: fleet_state.Fleet,
     config: config_lib.Config,
     services: Collection[str],
     service: str,
 ) -> Collection[str]:
-    """Returns the members of services, and all that a duty looks after."""
+    """Returns the members of services, and those that the duty manages."""
     return {
         name
         for name, member in fleet.members.items()
         if member.row.service in services
-        or pool_step.is_mine(config, service, member.row)
+        or pool_step.is_responsible_for(config, service, member.row)
     }
 
 
-def _wanted(
+def _plan_moves(
     context: controller.Context,
     cache: fleet_cache.Cache,
     service: str,
-    said: Mapping[str, platform.InstanceStatus],
+    statuses: Mapping[str, platform.InstanceStatus],
     lost: Collection[str],
 ) -> tuple[moves.Move, ...]:
-    known = {n: one for n, one in said.items() if n in cache.fleet.members}
+    known = {n: one for n, one in statuses.items() if n in cache.fleet.members}
     whole = cache.fleet.hearing(known)
-    return pool_step.wanted_moves(whole, context.config, service, lost)
+    return pool_step.plan_moves(whole, context.config, service, lost)
 
 
-def _sources(
+def _source_services(
     fleet: fleet_state.Fleet,
     names: Collection[str],
-    wanted: Collection[moves.Move],
+    moves_to_begin: Collection[moves.Move],
 ) -> set[str]:
-    """Returns the services of workers that move, or are to begin to."""
-    moving = {move.worker for move in wanted}
+    """Returns the services of workers that are moving or about to move."""
+    moving = {move.worker for move in moves_to_begin}
     moving |= {name for name in names if fleet.members[name].row.target_pool}
     return {fleet.members[name].row.service for name in moving}
 
 
-def _down_for(
+def _down_seconds(
     context: controller.Context,
     names: Collection[str],
-    said: Mapping[str, platform.InstanceStatus],
+    statuses: Mapping[str, platform.InstanceStatus],
 ) -> dict[str, float]:
-    """Returns for how many seconds instances have been down by themselves.
+    """Returns the seconds of unplanned downtime of each down instance.
 
-    Times are on this process's monotonic clock; a new holder begins anew,
-    which delays a replacement and never makes one early.
+    Times are on this process's monotonic clock. A new holder starts from zero,
+    which can delay a replacement but never makes it early.
     """
     now = context.clock.monotonic()
     before = context.memory.get(_DOWN_SINCE, {})
     since = {
         name: before.get(name, now)
         for name in names
-        if _is_down_by_itself(said.get(name))
+        if _is_down(statuses.get(name))
     }
     context.memory[_DOWN_SINCE] = since
     return {name: now - then for name, then in since.items()}
 
 
-def _is_down_by_itself(status: platform.InstanceStatus | None) -> bool:
+def _is_down(status: platform.InstanceStatus | None) -> bool:
     return status is None or status.phase is platform.Phase.DOWN
--- a/src/vanillaswitch/coordination/maintenance/moves.py
+++ b/src/vanillaswitch/coordination/maintenance/moves.py
@@ -1,8 +1,9 @@
-"""Which workers change pool so that every pool has what it needs.
+"""Plans which workers change pool so that every pool has enough workers.
 
-A pool that has more than it needs gives, and so does the spare; a pool that
-needs more takes. Each move closes one missing worker, so that a plan with as
-many moves as workers are missing, or as can be given, is the shortest.
+Workers come from pools with a surplus and from the spare pool, and go to pools
+with a shortage. Each move fills one missing worker. A plan is therefore the
+shortest if it has as many moves as workers are missing or, if that is fewer,
+as workers are available.
 """
 
 import collections
@@ -17,12 +18,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Worker:
-    """A worker that a pool has.
+    """A worker of a pool.
 
     Attributes:
+        name: its name.
         rack: its failure domain.
-        tasks: how many tasks run on it.
-        movable: it is up and no step of it is under way.
+        tasks: number of tasks that run on it.
+        movable: whether it is up and has no operation in progress.
     """
 
     name: str
@@ -33,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Move:
-    """A worker's way from one pool to another."""
+    """A worker's move from one pool to another."""
 
     worker: str
     source: str
@@ -43,124 +45,128 @@
 Held = Mapping[str, Sequence[Worker]]
 Needs = Mapping[str, int]
 Planner = Callable[[Held, Needs], tuple[Move, ...]]
-"""(workers by pool, needed workers by pool) -> moves."""
+"""Maps (workers by pool, required workers by pool) to moves."""
 
 PLANNERS: registry.Registry[Planner] = registry.Registry("planner of moves")
 DEFAULT_PLANNER = "fewest"
 
 
 def lower_bound(held: Held, needs: Needs) -> int:
-    """Returns the fewest moves after which no more can be closed.
+    """Returns the fewest moves after which no further shortage can be filled.
 
-    A move closes at most one missing worker of the pools, and gives at most
-    one that another pool or the spare can do without.
+    A move fills at most one missing worker, and takes at most one surplus or
+    spare worker.
     """
     return min(
         sum(_missing(held, needs).values()),
-        sum(len(workers) for workers in _givers(held, needs).values()),
+        sum(len(workers) for workers in _surplus(held, needs).values()),
     )
 
 
 @PLANNERS.register("fewest")
 def fewest(held: Held, needs: Needs) -> tuple[Move, ...]:
-    """Moves what pools and the spare have over, then the rest of the spare.
-
-    The spare's own need goes last: what is taken from it while a pool has
-    workers over would have to be moved a second time to refill it.
-    Where there is not enough for all, the pool that lacks the largest share
-    of its need is served first. Of the workers that can be given, one in a
-    rack that the pool uses least goes, so that a lost rack costs it least.
+    """Plans the fewest moves, with the spare pool's own need filled last.
+
+    Surplus workers of pools and of the spare pool go first, then the remaining
+    spare workers: if a required spare worker were taken while a pool has a
+    surplus, a second move would have to refill the spare pool.
+    If workers are too few, the pool that lacks the largest share of its need
+    comes first. Among the available workers, the planner prefers the rack that
+    the target pool uses least, so that the loss of a rack costs it least.
     """
     missing = _missing(held, needs)
-    givers = _givers(held, needs)
+    surplus = _surplus(held, needs)
     racks = {
         pool: collections.Counter(worker.rack for worker in held.get(pool, ()))
         for pool in missing
     }
     moves = []
-    while missing and givers:
+    while missing and surplus:
         target = max(missing, key=lambda p: (missing[p] / needs[p], p))
-        source = _source(givers, needs)
+        source = _choose_source(surplus, needs)
         worker = min(
-            givers[source],
+            surplus[source],
             key=lambda w, used=racks[target]: (used[w.rack], w.tasks, w.name),  # type: ignore[misc]
         )
         moves.append(Move(worker.name, source, target))
         racks[target][worker.rack] += 1
-        givers[source].remove(worker)
-        if not givers[source]:
-            del givers[source]
+        surplus[source].remove(worker)
+        if not surplus[source]:
+            del surplus[source]
         missing[target] -= 1
         if not missing[target]:
             del missing[target]
-    return tuple(moves) + _refill_spare(held, needs, givers)
+    return tuple(moves) + _refill_spare(held, needs, surplus)
 
 
 @PLANNERS.register("first-fit")
 def first_fit(held: Held, needs: Needs) -> tuple[Move, ...]:
-    """Fills pool after pool with the next worker by name: the baseline.
+    """Fills one pool after another with workers in the order of their names.
 
-    It does not look at where a worker is now.
+    It ignores a worker's current pool; it is a baseline for comparisons.
     """
-    at = {w.name: pool for pool, group in held.items() for w in group}
-    order = sorted(w.name for group in held.values() for w in group)
-    order = [name for name in order if _is_movable(held, at, name)]
+    pool_of = {w.name: pool for pool, group in held.items() for w in group}
+    names = sorted(w.name for group in held.values() for w in group)
+    names = [name for name in names if _is_movable(held, pool_of, name)]
     pools = [pool for pool in sorted(needs) if pool != buffer.SPARE_POOL]
-    seats = [pool for pool in pools for _ in range(needs[pool])]
+    slots = [pool for pool in pools for _ in range(needs[pool])]
     return tuple(
-        Move(name, at[name], pool)
-        for name, pool in zip(order, seats, strict=False)
-        if at[name] != pool
+        Move(name, pool_of[name], pool)
+        for name, pool in zip(names, slots, strict=False)
+        if pool_of[name] != pool
     )
 
 
 def _missing(held: Held, needs: Needs) -> dict[str, int]:
-    """Returns how many workers each pool but the spare lacks."""
-    lacking = {
+    """Returns the shortage of each pool except the spare pool."""
+    shortage = {
         pool: need - len(held.get(pool, ()))
         for pool, need in needs.items()
         if pool != buffer.SPARE_POOL
     }
-    return {pool: count for pool, count in lacking.items() if count > 0}
+    return {pool: count for pool, count in shortage.items() if count > 0}
+
 
+def _surplus(held: Held, needs: Needs) -> dict[str, list[Worker]]:
+    """Returns the surplus workers of each pool, with fewest tasks first.
 
-def _givers(held: Held, needs: Needs) -> dict[str, list[Worker]]:
-    """Returns the workers that each pool can do without, the idlest first."""
-    givers = {}
+    All workers of the spare pool are surplus.
+    """
+    surplus = {}
     for pool, workers in held.items():
         kept = 0 if pool == buffer.SPARE_POOL else needs.get(pool, 0)
-        over = len(workers) - kept
+        excess = len(workers) - kept
         free = sorted(
             (worker for worker in workers if worker.movable),
             key=lambda worker: (worker.tasks, worker.name),
         )
-        if over > 0 and free:
-            givers[pool] = free[:over]
-    return givers
+        if excess > 0 and free:
+            surplus[pool] = free[:excess]
+    return surplus
 
 
-def _source(givers: Mapping[str, list[Worker]], needs: Needs) -> str:
+def _choose_source(surplus: Mapping[str, list[Worker]], needs: Needs) -> str:
     spare = buffer.SPARE_POOL
-    if len(givers.get(spare, ())) > needs.get(spare, 0):
+    if len(surplus.get(spare, ())) > needs.get(spare, 0):
         return spare
-    pools = [pool for pool in givers if pool != spare]
-    return max(pools, key=lambda p: (len(givers[p]), p), default=spare)
+    pools = [pool for pool in surplus if pool != spare]
+    return max(pools, key=lambda p: (len(surplus[p]), p), default=spare)
 
 
 def _refill_spare(
-    held: Held, needs: Needs, givers: Mapping[str, list[Worker]]
+    held: Held, needs: Needs, surplus: Mapping[str, list[Worker]]
 ) -> tuple[Move, ...]:
-    """Returns what pools have over to the spare, up to what it needs."""
+    """Moves remaining surplus to the spare pool, up to what it needs."""
     spare = buffer.SPARE_POOL
-    lacking = needs.get(spare, 0) - len(held.get(spare, ()))
-    over = [
+    shortage = needs.get(spare, 0) - len(held.get(spare, ()))
+    excess = [
         Move(worker.name, pool, spare)
-        for pool, workers in sorted(givers.items())
+        for pool, workers in sorted(surplus.items())
         for worker in workers
         if pool != spare
     ]
-    return tuple(over[: max(0, lacking)])
+    return tuple(excess[: max(0, shortage)])
 
 
-def _is_movable(held: Held, at: Mapping[str, str], name: str) -> bool:
-    return any(w.name == name and w.movable for w in held[at[name]])
+def _is_movable(held: Held, pool_of: Mapping[str, str], name: str) -> bool:
+    return any(w.name == name and w.movable for w in held[pool_of[name]])
--- a/src/vanillaswitch/coordination/maintenance/operator_commits.py
+++ b/src/vanillaswitch/coordination/maintenance/operator_commits.py
@@ -1,7 +1,7 @@
-"""Writes what operators change; they hold no duty.
+"""Commits changes that operators make; operators hold no duty.
 
-Rows are written only in the version that the operator looked at, so that of
-two operators the second is told of the first.
+A row is written only if its version is still the one that the operator has
+read. If two operators change the same row, the second gets a conflict.
 """
 
 import random
@@ -15,8 +15,8 @@
 from vanillaswitch.internal import ids
 from vanillaswitch.protocol import platform
 
-SETTLE_S = 10.0
-"""How long a lost answer is asked for again."""
+COMMIT_TIMEOUT_S = 10.0
+"""How long a commit is retried after a lost answer."""
 
 
 def commit(
@@ -26,13 +26,14 @@
     fleet: fleet_state.Fleet,
     changed: changes.Changes,
 ) -> bool:
-    """Writes an operator's changes.
+    """Commits an operator's changes.
 
     Returns:
-        False when somebody was faster; nothing was written then.
+        False if a row has changed since it was read; nothing is written then.
 
     Raises:
-        errors.PlatformUnavailableError: it is not known to be written.
+        errors.PlatformUnavailableError: the platform is unavailable or the
+            outcome of the commit is unknown.
     """
     found = table.read(explain.keys_of(changed.decisions))
     if isinstance(found, platform.Unavailable):
@@ -40,10 +41,10 @@
     puts = changes.puts(fleet, changed)
     puts += explain.puts(changed.decisions, found.rows)
     transaction = platform.Transaction(ids.new_id(rng), puts)
-    deadline = clock.monotonic() + SETTLE_S
+    deadline = clock.monotonic() + COMMIT_TIMEOUT_S
     outcome = commits.settle(table, transaction, clock, deadline)
     if isinstance(outcome, platform.Unavailable | platform.OutcomeUnknown):
         raise errors.PlatformUnavailableError(
-            f"{outcome.reason}; look at the status before trying again"
+            f"{outcome.reason}; check the status before trying again"
         )
     return isinstance(outcome, platform.Committed)
--- a/src/vanillaswitch/coordination/maintenance/pool_needs.py
+++ b/src/vanillaswitch/coordination/maintenance/pool_needs.py
@@ -1,4 +1,4 @@
-"""What pools have and need, as the planners of moves and spare take it."""
+"""Supply and demand of pools, as input of the move and spare planners."""
 
 import collections
 from collections.abc import Collection
@@ -11,7 +11,7 @@
 
 
 def workers(fleet: fleet_state.Fleet) -> tuple[fleet_state.Member, ...]:
-    """Returns every worker, by name."""
+    """Returns all workers, sorted by name."""
     return tuple(
         member
         for _, member in sorted(fleet.members.items())
@@ -22,11 +22,13 @@
 def held(
     fleet: fleet_state.Fleet, lost: Collection[str] = ()
 ) -> dict[str, list[moves.Worker]]:
-    """Returns the workers of each pool; a begun move counts at its target.
+    """Returns the workers of each pool.
+
+    A worker that is moving counts in its target pool.
 
     Args:
-        fleet: the fleet as it is.
-        lost: workers that no pool has any more.
+        fleet: current state of the fleet.
+        lost: workers to leave out, because they need a replacement.
     """
     pools: dict[str, list[moves.Worker]] = {}
     for member in workers(fleet):
@@ -43,18 +45,18 @@
 def needs(
     fleet: fleet_state.Fleet, config: config_lib.Config
 ) -> dict[str, int]:
-    """Returns how many workers each pool needs, the spare among them."""
+    """Returns the required workers of each pool and of the spare pool."""
     needed = {name: pool.workers for name, pool in config.pools.items()}
-    needed[buffer.SPARE_POOL] = buffer.SIZINGS.get(buffer.DEFAULT_SIZING)(
-        demands(fleet, config)
-    )
+    needed[buffer.SPARE_POOL] = buffer.SIZINGS.get(
+        buffer.DEFAULT_SIZING_POLICY
+    )(demands(fleet, config))
     return needed
 
 
 def demands(
     fleet: fleet_state.Fleet, config: config_lib.Config
 ) -> list[buffer.Demand]:
-    """Returns what each service needs of the spare."""
+    """Returns each service's input for sizing the spare pool."""
     racks: dict[str, dict[str, int]] = {name: {} for name in config.services}
     planned = dict.fromkeys(config.services, 0)
     for member in workers(fleet):
--- a/src/vanillaswitch/coordination/maintenance/pool_step.py
+++ b/src/vanillaswitch/coordination/maintenance/pool_step.py
@@ -1,8 +1,8 @@
-"""One step of a service's pools as a pure decision.
+"""Decides one planning step for a service's pools, without side effects.
 
-In this order: carry on moves, bring back what is drained without reason,
-adopt instances that the list shows for the first time, begin moves, forget
-instances that are gone.
+A step advances moves in progress, resumes instances that are drained without
+a planned operation, adopts newly listed instances, begins moves, and deletes
+the rows of instances that no longer exist, in this order.
 """
 
 from collections.abc import Callable
@@ -23,96 +23,98 @@
 from vanillaswitch.state import config as config_lib
 from vanillaswitch.state import rows
 
-ADOPTED_AT_ONCE = 50
-"""Instances adopted in one transaction."""
+MAX_ADOPTED_PER_STEP = 50
+"""Most instances of a kind adopted in one transaction."""
 
 
 @dataclasses.dataclass(frozen=True)
-class View:
-    """What a step decides on.
+class PoolView:
+    """Input of a step.
 
     Attributes:
-        service: whose pools these are.
-        fleet: the members that this step may judge, with what they say.
-        whole: rows of all members, without what they say.
-        wanted: moves to begin, by ``wanted_moves``.
-        lost: workers that are down for so long that their pool has to be
-            given another one.
-        gone: instances to forget.
-        wall_s: wall-clock time.
+        service: the service whose pools are managed.
+        fleet: the members that this step decides on, with their statuses.
+        whole: all members, without statuses.
+        config: the configuration in force.
+        moves_to_begin: moves to begin, as planned by ``plan_moves``.
+        lost: workers that have been down so long that their pool needs a
+            replacement.
+        to_remove: instances whose rows to delete.
+        wall_s: wall-clock time, seconds since the Unix epoch.
+        new_operation: generates the id of a new operation.
     """
 
     service: str
     fleet: fleet_state.Fleet
     whole: fleet_state.Fleet
     config: config_lib.Config
-    wanted: tuple[moves.Move, ...]
+    moves_to_begin: tuple[moves.Move, ...]
     lost: frozenset[str]
-    gone: frozenset[str]
+    to_remove: frozenset[str]
     wall_s: float
     new_operation: Callable[[], str]
 
-    def is_mine(self, row: rows.Instance) -> bool:
-        """Tells whether this service's duty has an instance to look after."""
-        return is_mine(self.config, self.service, row)
+    def is_responsible_for(self, row: rows.Instance) -> bool:
+        """Returns whether this service's duty manages an instance."""
+        return is_responsible_for(self.config, self.service, row)
 
 
-def is_mine(
+def is_responsible_for(
     config: config_lib.Config, service: str, row: rows.Instance
 ) -> bool:
-    """Tells whether a service's duty has an instance to look after.
+    """Returns whether a service's duty manages an instance.
 
-    A begun move is the target's: that pool is short of a worker.
+    The target's duty manages a moving worker, because that pool lacks it.
     """
     owner = row.service
     if row.target_pool:
-        owner = service_of(config, row.target_pool)
+        owner = service_of_pool(config, row.target_pool)
     if owner not in config.services:
-        return keeps_spare(config, service)
+        return manages_spare(config, service)
     return owner == service
 
 
-def keeps_spare(config: config_lib.Config, service: str) -> bool:
-    """Tells whether a service's duty looks after what is no service's.
+def manages_spare(config: config_lib.Config, service: str) -> bool:
+    """Returns whether a service's duty manages instances without a service.
 
-    That are the spare workers and instances of services that the
-    configuration lacks; the duty of the first service by name does it.
+    These are the spare workers and the instances of services that are not in
+    the configuration. The duty of the first service by name manages them.
     """
     return service == min(config.services, default="")
 
 
-def service_of(config: config_lib.Config, pool: str) -> str:
-    """Returns the service of a pool of workers; empty for the spare."""
+def service_of_pool(config: config_lib.Config, pool: str) -> str:
+    """Returns the service of a worker pool; empty for the spare pool."""
     found = config.pools.get(pool)
     return found.service if found else ""
 
 
-def decide(view: View) -> changes.Decided:
-    """Returns the next step of one service's pools."""
+def decide(view: PoolView) -> changes.Decided:
+    """Decides the next step for the pools of one service."""
     draft = changes.Draft(view.fleet)
-    calls = _carry(view, draft)
-    _bring_back(view, draft)
+    calls = _advance_members(view, draft)
+    _resume_drained(view, draft)
     _adopt(view, draft)
     _begin_moves(view, draft)
-    for name in sorted(view.gone):
-        if view.is_mine(view.fleet.members[name].row):
+    for name in sorted(view.to_remove):
+        if view.is_responsible_for(view.fleet.members[name].row):
             draft.delete_instance(name)
     return changes.Decided(draft.build(), tuple(calls))
 
 
-def wanted_moves(
+def plan_moves(
     whole: fleet_state.Fleet,
     config: config_lib.Config,
     service: str,
     lost: Collection[str],
 ) -> tuple[moves.Move, ...]:
-    """Returns the moves that a service's duty has to begin.
+    """Plans the moves that a service's duty has to begin.
 
     Args:
-        whole: all members; what they say is used as far as it is there.
+        whole: all members, with the statuses that are available.
         config: the configuration in force.
-        service: whose duty it is.
-        lost: workers that no pool has any more.
+        service: the duty's service.
+        lost: workers to replace.
     """
     held = pool_needs.held(whole, lost)
     if not _is_short(held, config, service):
@@ -120,15 +122,15 @@
     needs = pool_needs.needs(whole, config)
     planned = moves.PLANNERS.get(moves.DEFAULT_PLANNER)(held, needs)
     return tuple(
-        move for move in planned if _begins(config, service, move.target)
+        move for move in planned if _is_begun_by(config, service, move.target)
     )
 
 
 def _is_short(
     held: moves.Held, config: config_lib.Config, service: str
 ) -> bool:
-    """Tells whether it is worth planning for this service at all."""
-    if keeps_spare(config, service):
+    """Returns whether this service's duty may have moves to begin."""
+    if manages_spare(config, service):
         return True
     return any(
         pool.service == service and len(held.get(name, ())) < pool.workers
@@ -136,27 +138,29 @@
     )
 
 
-def _begins(config: config_lib.Config, service: str, target: str) -> bool:
+def _is_begun_by(config: config_lib.Config, service: str, target: str) -> bool:
     if target == buffer.SPARE_POOL:
-        return keeps_spare(config, service)
-    return service_of(config, target) == service
+        return manages_spare(config, service)
+    return service_of_pool(config, target) == service
 
 
-def _under_way(view: View) -> Iterator[fleet_state.Member]:
-    """Yields what is under way and no wave's duty looks after."""
+def _under_way(view: PoolView) -> Iterator[fleet_state.Member]:
+    """Yields members with an operation in progress that no wave manages."""
     for _, member in sorted(view.fleet.members.items()):
         if not instance_steps.is_under_way(member.row):
             continue
-        # A wave that was taken out of the configuration has no duty any more;
-        # what it left drained would never serve again.
-        orphan = member.row.wave not in view.config.waves
-        if orphan and view.is_mine(member.row):
+        # A wave that was removed from the configuration has no duty any more.
+        # The instances that it left drained would never serve again.
+        without_wave = member.row.wave not in view.config.waves
+        if without_wave and view.is_responsible_for(member.row):
             yield member
 
 
-def _carry(view: View, draft: changes.Draft) -> list[instance_steps.Call]:
+def _advance_members(
+    view: PoolView, draft: changes.Draft
+) -> list[instance_steps.Call]:
     members = list(_under_way(view))
-    undone = _to_undo(view, members)
+    undone = _moves_to_undo(view, members)
     calls = []
     for member in members:
         step = instance_steps.step(
@@ -164,7 +168,7 @@
             member.row,
             member.status,
             member.name in undone,
-            service_of(view.config, member.row.target_pool),
+            service_of_pool(view.config, member.row.target_pool),
             view.new_operation,
         )
         if isinstance(step, instance_steps.Call):
@@ -174,61 +178,64 @@
     return calls
 
 
-def _to_undo(view: View, members: list[fleet_state.Member]) -> frozenset[str]:
+def _moves_to_undo(
+    view: PoolView, members: list[fleet_state.Member]
+) -> frozenset[str]:
     draining = [
         member
         for member in members
         if member.row.phase is platform.Phase.DRAINING
     ]
     pools = {*view.config.pools, buffer.SPARE_POOL}
-    aimless = frozenset(
+    without_target = frozenset(
         m.name for m in draining if m.row.target_pool not in pools
     )
-    return aimless | budgets.to_return(view.fleet, view.config, draining)
+    return without_target | budgets.to_return(view.fleet, view.config, draining)
 
 
-def _bring_back(view: View, draft: changes.Draft) -> None:
-    """Makes instances serve that are drained and that nobody has down.
+def _resume_drained(view: PoolView, draft: changes.Draft) -> None:
+    """Resumes instances that are drained without a planned operation.
 
-    An instance that reboots by itself comes back drained, and would stay so.
+    An instance that reboots unexpectedly comes back drained and would stay
+    drained.
     """
     for name, member in sorted(view.fleet.members.items()):
         status = member.status
         if member.row.phase is not platform.Phase.SERVING or status is None:
             continue
         drained = status.phase is platform.Phase.DRAINED
-        if drained and view.is_mine(member.row):
-            row = instance_steps.bring_back(
+        if drained and view.is_responsible_for(member.row):
+            row = instance_steps.begin_resume(
                 member.row, status, view.new_operation()
             )
             draft.put_instance(name, row)
 
 
-def _adopt(view: View, draft: changes.Draft) -> None:
-    """Gives listed instances that are new their first and only pool."""
+def _adopt(view: PoolView, draft: changes.Draft) -> None:
+    """Assigns newly listed instances to their first pool."""
     minions = [
         listing
         for listing in view.fleet.strangers
         if listing.kind is platform.InstanceKind.MINION
         and listing.service == view.service
     ]
-    for listing in minions[:ADOPTED_AT_ONCE]:
+    for listing in minions[:MAX_ADOPTED_PER_STEP]:
         draft.put_instance(
-            listing.instance, _adopted(listing, view.service, view.service)
+            listing.instance, _new_row(listing, view.service, view.service)
         )
-    if keeps_spare(view.config, view.service):
+    if manages_spare(view.config, view.service):
         _adopt_workers(view, draft)
 
 
-def _adopt_workers(view: View, draft: changes.Draft) -> None:
+def _adopt_workers(view: PoolView, draft: changes.Draft) -> None:
     workers = [
         listing
         for listing in view.fleet.strangers
         if listing.kind is platform.InstanceKind.WORKER
-    ][:ADOPTED_AT_ONCE]
+    ][:MAX_ADOPTED_PER_STEP]
     held = dict(pool_needs.held(view.whole, view.lost))
     new = [moves.Worker(one.instance, _rack(one)) for one in workers]
-    # Only the new ones may go anywhere: what pools have now stays put.
+    # Plan for the new workers only: those of the pools stay where they are.
     fixed = {
         pool: [dataclasses.replace(one, movable=False) for one in group]
         for pool, group in held.items()
@@ -239,11 +246,11 @@
     pools = {move.worker: move.target for move in planned}
     for listing in workers:
         pool = pools.get(listing.instance, buffer.SPARE_POOL)
-        service = service_of(view.config, pool)
-        draft.put_instance(listing.instance, _adopted(listing, pool, service))
+        service = service_of_pool(view.config, pool)
+        draft.put_instance(listing.instance, _new_row(listing, pool, service))
 
 
-def _adopted(
+def _new_row(
     listing: platform.Listing, pool: str, service: str
 ) -> rows.Instance:
     return rows.Instance(
@@ -255,34 +262,34 @@
     return f"{listing.data_centre}/{listing.rack}"
 
 
-def _begin_moves(view: View, draft: changes.Draft) -> None:
-    room: dict[str, int] = {}
+def _begin_moves(view: PoolView, draft: changes.Draft) -> None:
+    headroom: dict[str, int] = {}
     worker = platform.InstanceKind.WORKER
-    for move in view.wanted:
+    for move in view.moves_to_begin:
         member = view.fleet.members[move.worker]
         service = member.row.service
-        if service in view.config.services and service not in room:
-            room[service] = budgets.headroom(
+        if service in view.config.services and service not in headroom:
+            headroom[service] = budgets.headroom(
                 view.fleet, view.config, service, worker
             )
         planned = view.fleet.budget(service).row.down
         if member.status is None or budgets.down_reason(member, planned):
             continue
-        if service in room and room[service] <= 0:
+        if service in headroom and headroom[service] <= 0:
             continue
-        room[service] = room.get(service, 0) - 1
+        headroom[service] = headroom.get(service, 0) - 1
         row = instance_steps.take_down(
             member.row, member.status, view.new_operation()
         )
         row = dataclasses.replace(row, target_pool=move.target)
         draft.put_instance(move.worker, row)
-        draft.explain(_decision(view, move, room))
+        draft.explain(_decision(view, move, headroom))
 
 
 def _decision(
-    view: View, move: moves.Move, room: Mapping[str, int]
+    view: PoolView, move: moves.Move, headroom: Mapping[str, int]
 ) -> explain.Decision:
-    figures = {f"headroom of {name}": float(n) for name, n in room.items()}
+    figures = {f"headroom of {name}": float(n) for name, n in headroom.items()}
     return explain.Decision(
         explain.pool_subject(move.target),
         f"{move.worker} comes from {move.source}: a worker is missing",
--- a/tests/common/benches.py
+++ b/tests/common/benches.py
@@ -1,4 +1,7 @@
-"""A small fleet in memory, with controllers that can be killed at any call."""
+"""A test harness: a small in-memory fleet and controllers that can be killed.
+
+A controller can be killed at any of its platform calls.
+"""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -22,24 +25,25 @@
 
 
 class KilledError(Exception):
-    """The controller's process ended here."""
+    """The controller was killed at a call."""
 
 
-class Mortal:
-    """Passes calls on until one of them kills the caller.
+class KillableClient:
+    """Forwards calls until one of them kills the caller.
 
-    With ``after`` the call takes effect and its answer is never seen.
+    If ``count_call`` returns "after", the call takes effect and its answer is
+    lost.
     """
 
-    def __init__(self, inner: Any, tick: Callable[[], str]):
+    def __init__(self, inner: Any, count_call: Callable[[], str]):
         self._inner = inner
-        self._tick = tick
+        self._count_call = count_call
 
     def __getattr__(self, name: str) -> Any:
         method = getattr(self._inner, name)
 
         def call(*args: Any) -> Any:
-            when = self._tick()
+            when = self._count_call()
             if when == "before":
                 raise KilledError
             answer = method(*args)
@@ -58,7 +62,7 @@
     workers_down: int = 1,
     **fields: Any,
 ) -> config_lib.Config:
-    """Returns a configuration of equal services."""
+    """Returns a configuration whose services are all alike."""
     budget = config_lib.AvailabilityBudget(minions_down, workers_down)
     service = config_lib.Service(budget, (), minions)
     return config_lib.Config(
@@ -73,7 +77,7 @@
 def minion_listings(
     service: str = "quotes", count: int = 6, data_centres: int = 3
 ) -> list[platform.Listing]:
-    """Returns minions spread over data centres."""
+    """Returns the minions of a service, spread over data centres."""
     return [
         platform.Listing(
             f"{service}-{index}",
@@ -88,7 +92,7 @@
 
 
 def worker_listings(count: int, per_rack: int = 4) -> list[platform.Listing]:
-    """Returns workers, so many to a rack."""
+    """Returns workers, ``per_rack`` in each rack."""
     return [
         platform.Listing(
             f"worker-{index:03}",
@@ -105,7 +109,7 @@
 
 @dataclasses.dataclass
 class Bench:
-    """A platform with adopted instances and one duty holder at a time."""
+    """A platform, rows for its instances, and one holder for each duty."""
 
     listings: list[platform.Listing]
     config: config_lib.Config
@@ -129,7 +133,7 @@
         self.kill_when = "before"
         self._calls = 0
         self._interfaces: dict[int, platform.Platform] = {}
-        self.process_of: dict[str, int] = {}
+        self.process_by_duty: dict[str, int] = {}
         for listing in self.listings:
             pool, service = self.pool_of(listing)
             row = rows.Instance(
@@ -142,28 +146,29 @@
             self.put(keys.instance(listing.instance), row)
 
     def interface(self, process: int = 0) -> platform.Platform:
-        """Returns the platform as a mortal controller's process sees it.
+        """Returns the platform for the controllers of one process.
 
-        Each process has a knowledge of the fleet of its own.
+        Its calls can kill the controller. Each process has its own fleet
+        cache.
         """
         real = self.platform.interface
         return self._interfaces.setdefault(
             process,
             platform.Platform(
-                Mortal(real.table, self._tick),
+                KillableClient(real.table, self._count_call),
                 real.objects,
-                Mortal(real.instances, self._tick),
+                KillableClient(real.instances, self._count_call),
                 real.workers,
             ),
         )
 
     def hand_over(self, duty: str, process: int) -> None:
-        """A controller in another process takes the duty."""
-        self.process_of[duty] = process
+        """A controller of another process takes over the duty."""
+        self.process_by_duty[duty] = process
         self.take_over(duty)
 
     def put(self, key: str, row: object) -> int:
-        """Writes a row whatever its version; returns the new version."""
+        """Writes a row regardless of its version; returns the new version."""
         table = self.platform.table
         found = table.read([key]).rows
         version = found[0].version if found else platform.ABSENT
@@ -172,7 +177,7 @@
         return table.commit(platform.Transaction(token, (put,))).version
 
     def take_over(self, duty: str) -> None:
-        """A new controller takes the duty, with no memory."""
+        """A new controller without soft state takes over the duty."""
         epoch = self.fences[duty].epoch + 1 if duty in self.fences else 1
         row = rows.Duty(f"controller-{epoch}", "boot", epoch)
         key = keys.duty(duty)
@@ -180,11 +185,11 @@
         self.memory[duty] = {}
 
     def step(self, duty: str) -> None:
-        """Runs one step; a killed controller has a successor."""
+        """Runs one step; a new controller replaces one that is killed."""
         if duty not in self.fences:
             self.take_over(duty)
         context = controller.Context(
-            self.interface(self.process_of.get(duty, 0)),
+            self.interface(self.process_by_duty.get(duty, 0)),
             self.clock,
             self.rng,
             self.config,
@@ -199,7 +204,7 @@
         self.clock.advance(0.5)
 
     def before_next_commit(self, event: Callable[[], object]) -> None:
-        """Lets something happen after a decision and before its commit."""
+        """Calls ``event`` once, right before the next commit."""
         table = self.platform.table
         commit = table.commit
 
@@ -211,11 +216,11 @@
         table.commit = interrupted
 
     def fleet(self) -> fleet_state.Fleet:
-        """Reads the fleet without any fault."""
+        """Reads the fleet without faults."""
         return fleet_state.read(self.platform.interface)
 
     def not_serving(self) -> set[str]:
-        """Returns the instances that truly don't serve."""
+        """Returns the instances that don't serve, as the platform knows."""
         return {
             one.instance
             for one in self.listings
@@ -223,7 +228,7 @@
             is not platform.Phase.SERVING
         }
 
-    def _tick(self) -> str:
+    def _count_call(self) -> str:
         self._calls += 1
         if self._calls == self.kill_at:
             return self.kill_when
--- a/tests/common/maintenance.py
+++ b/tests/common/maintenance.py
@@ -1,4 +1,4 @@
-"""One controller that carries out a wave, moved by hand."""
+"""A test harness: one controller that runs a wave, stepped by the test."""
 
 import dataclasses
 import random
@@ -25,18 +25,18 @@
 
     def __init__(
         self,
-        outside: fleet_lib.MemoryPlatform,
+        standin: fleet_lib.MemoryPlatform,
         clock: clocks.ManualClock,
         config: config_lib.Config,
         service: str,
     ):
         wave = config_lib.Wave((service,), config_lib.WaveTarget.MINIONS)
         self.config = dataclasses.replace(config, waves={WAVE: wave})
-        self._outside = outside
+        self._platform = standin
         self._clock = clock
         self._controller = controller_lib.Controller(
             settings_lib.Settings("controller-1", "dc", "", "", ""),
-            outside.interface,
+            standin.interface,
             clock,
             random.Random(1),
             lambda: self.config,
@@ -45,26 +45,26 @@
 
     @property
     def state(self) -> str:
-        """Where the wave stands."""
-        [row] = self._outside.table.read([keys.wave(WAVE)]).rows
+        """The state in the wave's row."""
+        [row] = self._platform.table.read([keys.wave(WAVE)]).rows
         return row.value["state"]
 
     def adopt(self) -> None:
-        """Writes the row of each instance, as found in its pool."""
-        for one in self._outside.instances.list().instances:
+        """Writes a row for each instance of the platform's list."""
+        for one in self._platform.instances.list().instances:
             row = rows.Instance(
                 one.service, one.kind, one.service, one.data_centre, one.rack
             )
             self._put(keys.instance(one.instance), row)
 
     def hold(self) -> None:
-        """Lets the controller settle in and take its duties."""
+        """Runs the controller until it holds the wave's duty."""
         while _DUTY not in self._controller.fences:
-            self._pass_time()
+            self._tick()
 
     def start(self) -> None:
-        """Starts the wave as the operators' command does."""
-        fleet = fleet_state.read(self._outside.interface)
+        """Starts the wave in the way of the operators' command."""
+        fleet = fleet_state.read(self._platform.interface)
         plan = wave_plan.plan(fleet, self.config, self.config.waves[WAVE])
         row = wave_state.Wave(
             wave_state.WaveState.RUNNING,
@@ -76,14 +76,14 @@
         self._put(keys.wave(WAVE), row)
 
     def step(self) -> None:
-        """Does one step of the wave, and lets half a second pass."""
+        """Runs one step of the wave, then ticks the controller."""
         self._controller.step(_DUTY)
-        self._pass_time()
+        self._tick()
 
     def _put(self, key: str, row: object) -> None:
         put = platform.Put(key, platform.ABSENT, rows.dump(row))
-        self._outside.table.commit(platform.Transaction(key, (put,)))
+        self._platform.table.commit(platform.Transaction(key, (put,)))
 
-    def _pass_time(self) -> None:
+    def _tick(self) -> None:
         self._controller.tick()
         self._clock.advance(controller_lib.STEP_S)
--- a/tests/cover/test_budgets.py
+++ b/tests/cover/test_budgets.py
@@ -1,4 +1,4 @@
-"""What counts as down, and how much more may be taken down."""
+"""Tests which instances count as down, and the headroom of budgets."""
 
 import dataclasses
 
@@ -15,7 +15,7 @@
 CONFIG = benches.config_of()
 
 
-def _planned(member: fleet_state.Member) -> fleet_state.Member:
+def _draining(member: fleet_state.Member) -> fleet_state.Member:
     row = dataclasses.replace(member.row, phase=platform.Phase.DRAINING)
     return dataclasses.replace(member, row=row)
 
@@ -31,7 +31,7 @@
     return dataclasses.replace(member, listing=listing)
 
 
-def _silent(member: fleet_state.Member) -> fleet_state.Member:
+def _unanswering(member: fleet_state.Member) -> fleet_state.Member:
     return dataclasses.replace(member, status=None)
 
 
@@ -45,16 +45,18 @@
     return dataclasses.replace(member, row=row)
 
 
-WAYS = [_planned, _unlisted, _leaving, _silent, _broken, _cordoned]
+OUTAGES = [_draining, _unlisted, _leaving, _unanswering, _broken, _cordoned]
 
 
-@given(st.dictionaries(st.integers(0, 5), st.sampled_from(WAYS)), st.data())
-def test_every_way_of_being_down_counts_once(ways, data):
+@given(st.dictionaries(st.integers(0, 5), st.sampled_from(OUTAGES)), st.data())
+def test_an_instance_that_is_down_for_several_reasons_counts_once(
+    outages, data
+):
     fleet = benches.Bench(benches.minion_listings(), CONFIG).fleet()
     members = dict(fleet.members)
-    for index, way in ways.items():
+    for index, make_down in outages.items():
         name = f"quotes-{index}"
-        members[name] = way(members[name])
+        members[name] = make_down(members[name])
     planned = data.draw(st.sets(st.sampled_from(sorted(members))))
     row = rows.Budget(dict.fromkeys(planned, "operation"))
     changed = dataclasses.replace(
@@ -62,23 +64,25 @@
         members=members,
         budgets={"quotes": fleet_state.Versioned(1, row)},
     )
-    down = planned | {f"quotes-{index}" for index in ways}
+    down = planned | {f"quotes-{index}" for index in outages}
     room = budgets.headroom(changed, CONFIG, "quotes", benches.MINION)
     assert room == 2 - len(down)
 
 
-def test_instances_that_never_came_count_as_down():
+def test_configured_instances_that_are_missing_count_as_down():
     fleet = benches.Bench(benches.minion_listings(count=5), CONFIG).fleet()
     assert budgets.headroom(fleet, CONFIG, "quotes", benches.MINION) == 1
 
 
-def test_nothing_may_be_taken_from_an_unknown_service():
+def test_a_service_that_is_not_configured_has_no_headroom():
     fleet = benches.Bench(benches.minion_listings("old"), CONFIG).fleet()
     assert budgets.headroom(fleet, CONFIG, "old", benches.MINION) == 0
 
 
 @given(st.floats(0.0, 50.0), st.floats(0.0, 50.0))
-def test_a_higher_background_rate_explains_at_least_as_much(one, other):
+def test_a_higher_background_rate_explains_at_least_as_many_failures(
+    one, other
+):
     low, high = sorted((one, other))
     explained = correlation.most_explained(low)
     assert explained <= correlation.most_explained(high)
--- a/tests/cover/test_buffer.py
+++ b/tests/cover/test_buffer.py
@@ -1,4 +1,4 @@
-"""Sizing and placing of the spare."""
+"""Tests the size and the placement of the spare pool."""
 
 import itertools
 
@@ -27,7 +27,7 @@
 
 
 @given(demands)
-def test_the_shared_spare_covers_the_loss_of_any_rack(demands):
+def test_the_shared_spare_pool_covers_the_loss_of_any_rack(demands):
     size = buffer.shared(demands)
     placed = buffer.place(demands, size)
     assert sum(placed.values()) == size
@@ -35,22 +35,24 @@
 
 
 @given(demands)
-def test_no_smaller_spare_covers_it_however_it_is_placed(demands):
+def test_no_smaller_spare_pool_covers_the_loss_of_every_rack(demands):
     size = buffer.shared(demands) - 1
-    homes = (*RACKS, "")
-    for placing in itertools.product(range(max(0, size) + 1), repeat=4):
-        if sum(placing) == size:
-            assert not covers(demands, dict(zip(homes, placing, strict=True)))
+    places = (*RACKS, "")
+    for counts in itertools.product(range(max(0, size) + 1), repeat=4):
+        if sum(counts) == size:
+            assert not covers(demands, dict(zip(places, counts, strict=True)))
 
 
-def test_a_spare_in_the_lost_rack_is_lost_with_it():
+def test_spare_workers_in_a_lost_rack_do_not_cover_its_loss():
     demand = buffer.Demand("quotes", 1, {"r1": 4, "r2": 2}, 2)
     assert buffer.uncovered([demand], {"r1": 2}) == {"r1": 2}
     assert covers([demand], {"r2": 2})
 
 
 @given(demands)
-def test_a_service_without_workers_in_the_lost_rack_counts_as_well(demands):
+def test_the_bound_includes_services_without_workers_in_the_lost_rack(demands):
     racks = {rack for demand in demands for rack in demand.by_rack}
-    losses = [sum(d.short_without(rack) for d in demands) for rack in racks]
+    losses = [
+        sum(d.shortage_after_loss(rack) for d in demands) for rack in racks
+    ]
     assert buffer.lower_bound(demands) == max(losses, default=0)
--- a/tests/cover/test_explain.py
+++ b/tests/cover/test_explain.py
@@ -1,4 +1,4 @@
-"""Decision records."""
+"""Tests decision records."""
 
 from vanillaswitch.coordination.maintenance import explain
 from vanillaswitch.protocol import platform
@@ -10,17 +10,19 @@
     )
 
 
-def test_a_subject_keeps_its_newest_decisions():
-    decisions = [decision(number) for number in range(explain.KEPT)]
+def test_a_row_keeps_the_latest_decisions_of_its_subject():
+    decisions = [decision(number) for number in range(explain.MAX_DECISIONS)]
     (first,) = explain.puts(decisions, ())
     row = platform.Row(first.key, 7, first.value, "token")
-    (second,) = explain.puts([decision(explain.KEPT)], (row,))
+    (second,) = explain.puts([decision(explain.MAX_DECISIONS)], (row,))
     kept = explain.history(
         platform.Row(second.key, 8, second.value, "")
     ).entries
     assert second.version == 7
-    assert [entry.wall_s for entry in kept] == list(range(1, explain.KEPT + 1))
+    assert [entry.wall_s for entry in kept] == list(
+        range(1, explain.MAX_DECISIONS + 1)
+    )
 
 
-def test_a_row_that_is_not_there_explains_nothing():
+def test_a_missing_row_has_an_empty_history():
     assert explain.history(None).entries == ()
--- a/tests/cover/test_fleet_cache.py
+++ b/tests/cover/test_fleet_cache.py
@@ -1,4 +1,4 @@
-"""What a process knows of the fleet, and what it costs to keep it fresh."""
+"""Tests that the fleet cache is current, and how much it reads."""
 
 import dataclasses
 
@@ -21,7 +21,7 @@
 WAVE = config_lib.Wave(SERVICES, config_lib.WaveTarget.MINIONS)
 
 
-def many(services: int) -> benches.Bench:
+def bench_of(services: int) -> benches.Bench:
     names = [f"s{number:02}" for number in range(services)]
     listings = [one for n in names for one in benches.minion_listings(n, 6)]
     wave = dataclasses.replace(WAVE, services=tuple(names))
@@ -29,7 +29,7 @@
 
 
 def write(bench, name, **fields):
-    """Another process changes an instance, as all of them have to."""
+    """Writes an instance's row and the budget rows, as another process."""
     fleet = bench.fleet()
     draft = changes.Draft(fleet)
     row = dataclasses.replace(fleet.members[name].row, **fields)
@@ -48,25 +48,25 @@
 
 
 @given(st.lists(st.lists(writes, max_size=3), max_size=5))
-def test_what_others_wrote_of_a_service_is_known_once_it_is_settled(turns):
+def test_a_refreshed_service_has_the_writes_of_other_processes(rounds):
     listings = [o for s in SERVICES for o in benches.minion_listings(s, 2)]
     bench = benches.Bench(listings, benches.config_of(SERVICES))
     cache = fleet_cache.Cache()
     source = bench.platform.interface
     cache.refresh(source, 0.0)
-    for turn in turns:
-        for name, service, phase in turn:
+    for round_writes in rounds:
+        for name, service, phase in round_writes:
             write(bench, name, service=service, phase=phase)
         assert cache.settle(source, ("a", "b"), 0.0)
-        truth = bench.fleet()
-        assert cache.fleet.budgets == truth.budgets
+        stored = bench.fleet()
+        assert cache.fleet.budgets == stored.budgets
         assert {n: m.row for n, m in cache.fleet.members.items()} == {
-            n: m.row for n, m in truth.members.items()
+            n: m.row for n, m in stored.members.items()
         }
 
 
-def test_an_instance_that_is_new_or_gone_is_found_by_the_sweep():
-    bench = many(30)
+def test_the_sweep_finds_new_and_deleted_instances():
+    bench = bench_of(30)
     cache = fleet_cache.Cache()
     source = bench.platform.interface
     cache.refresh(source, 0.0)
@@ -81,23 +81,23 @@
         assert now < 600.0
 
 
-def test_an_older_answer_does_not_replace_a_newer_one():
-    bench = many(1)
+def test_an_older_row_does_not_replace_a_newer_one():
+    bench = bench_of(1)
     cache = fleet_cache.Cache()
     source = bench.platform.interface
     cache.refresh(source, 0.0)
     [old] = bench.platform.table.read([keys.instance("s00-0")]).rows
     write(bench, "s00-0", phase=platform.Phase.DRAINING)
     cache.settle(source, ("s00",), 0.0)
-    cache.learn((), platform.Conflict((old,)))
+    cache.record_commit((), platform.Conflict((old,)))
     assert cache.fleet.members["s00-0"].row.phase is platform.Phase.DRAINING
 
 
-def test_a_step_of_a_wave_reads_no_more_of_a_larger_fleet():
-    """Counted in rows and names, by the calls of the platform."""
+def test_a_wave_step_reads_no_more_in_a_larger_fleet():
+    """Counts the rows and names in the platform calls of a step."""
 
     def most_read(services: int) -> int:
-        bench = many(services)
+        bench = bench_of(services)
         plan = wave_plan.plan(
             bench.fleet(), bench.config, bench.config.waves["w"]
         )
@@ -126,8 +126,8 @@
 
 
 @given(st.lists(st.floats(0.0, 1e5), min_size=1), st.booleans())
-def test_who_pauses_as_told_reads_at_the_allowed_rate(sizes, busy):
-    meter = byte_meter.Meter()
+def test_reads_with_the_returned_pauses_keep_the_allowed_rate(sizes, busy):
+    meter = byte_meter.LeakyBucket()
     now = 0.0
     for size in sizes:
         now += meter.pause_s(now, busy)
--- a/tests/cover/test_instance_steps.py
+++ b/tests/cover/test_instance_steps.py
@@ -1,4 +1,4 @@
-"""The steps of one instance, each from what it says of itself."""
+"""Tests the next step of an instance for each row and status."""
 
 import pytest
 
@@ -10,7 +10,9 @@
 Phase = platform.Phase
 
 
-def after(row_phase, phase, operation="op", in_flight=0, boots=1, undo=False):
+def next_step(
+    row_phase, phase, operation="op", in_flight=0, boots=1, undo=False
+):
     row = rows.Instance(
         "p", benches.MINION, "s", "dc", "r", row_phase, "", "op", "w", boots=1
     )
@@ -18,25 +20,25 @@
     step = instance_steps.step("i", row, status, undo, "s", lambda: "new")
     if isinstance(step, instance_steps.Advance):
         return step.row.phase
-    return step.verb if isinstance(step, instance_steps.Call) else None
+    return step.action if isinstance(step, instance_steps.Call) else None
 
 
 @pytest.mark.parametrize(
     ("expected", "step"),
     [
-        ("drain", after(Phase.DRAINING, Phase.DRAINED, "older")),
-        (None, after(Phase.DRAINING, Phase.DRAINED, in_flight=1)),
-        (Phase.REBOOTING, after(Phase.DRAINING, Phase.DRAINED)),
-        (Phase.DRAINED, after(Phase.DRAINING, Phase.DRAINING, undo=True)),
-        ("drain", after(Phase.DRAINING, Phase.SERVING, "", undo=True)),
-        (None, after(Phase.REBOOTING, Phase.DRAINED)),
-        (Phase.DRAINED, after(Phase.REBOOTING, Phase.DRAINED, boots=2)),
-        ("resume", after(Phase.DRAINED, Phase.DRAINED, "older")),
-        (Phase.SERVING, after(Phase.DRAINED, Phase.SERVING)),
-        (Phase.DRAINED, after(Phase.DRAINED, Phase.DRAINED)),
+        ("drain", next_step(Phase.DRAINING, Phase.DRAINED, "older")),
+        (None, next_step(Phase.DRAINING, Phase.DRAINED, in_flight=1)),
+        (Phase.REBOOTING, next_step(Phase.DRAINING, Phase.DRAINED)),
+        (Phase.DRAINED, next_step(Phase.DRAINING, Phase.DRAINING, undo=True)),
+        ("drain", next_step(Phase.DRAINING, Phase.SERVING, "", undo=True)),
+        (None, next_step(Phase.REBOOTING, Phase.DRAINED)),
+        (Phase.DRAINED, next_step(Phase.REBOOTING, Phase.DRAINED, boots=2)),
+        ("resume", next_step(Phase.DRAINED, Phase.DRAINED, "older")),
+        (Phase.SERVING, next_step(Phase.DRAINED, Phase.SERVING)),
+        (Phase.DRAINED, next_step(Phase.DRAINED, Phase.DRAINED)),
     ],
 )
-def test_a_row_moves_on_only_when_the_instance_has_done_the_step(
+def test_a_row_advances_only_after_the_instance_has_done_the_operation(
     expected, step
 ):
     assert step == expected
--- a/tests/cover/test_moves.py
+++ b/tests/cover/test_moves.py
@@ -1,4 +1,4 @@
-"""Plans of moves between pools."""
+"""Tests the planners of moves between pools."""
 
 import itertools
 
@@ -27,7 +27,7 @@
     }
 
 
-def after(held, planned):
+def counts_after(held, planned):
     counts = {pool: len(workers) for pool, workers in held.items()}
     for move in planned:
         counts[move.source] -= 1
@@ -35,29 +35,27 @@
     return counts
 
 
-def missing(counts, needs):
+def count_missing(counts, needs):
     return sum(max(0, needs[pool] - counts[pool]) for pool in POOLS)
 
 
 @given(by_pool, by_pool)
-def test_a_plan_closes_all_that_can_be_closed_with_the_fewest_moves(
-    counts, needs
-):
+def test_a_plan_fills_all_it_can_with_the_fewest_moves(counts, needs):
     held = held_of(counts)
     planned = moves.fewest(held, needs)
-    closing = [move for move in planned if move.target != SPARE]
+    filling = [move for move in planned if move.target != SPARE]
     need = sum(needs[pool] for pool in POOLS)
-    short = max(0, need - sum(counts.values()))
-    assert missing(after(held, planned), needs) == short
-    assert len(closing) == missing(counts, needs) - short
-    assert len(closing) == moves.lower_bound(held, needs)
+    shortage = max(0, need - sum(counts.values()))
+    assert count_missing(counts_after(held, planned), needs) == shortage
+    assert len(filling) == count_missing(counts, needs) - shortage
+    assert len(filling) == moves.lower_bound(held, needs)
     assert len({move.worker for move in planned}) == len(planned)
 
 
 @given(by_pool, by_pool)
-def test_a_second_plan_finds_nothing_left_to_move(counts, needs):
+def test_a_second_plan_has_no_moves(counts, needs):
     held = held_of(counts)
-    settled = held_of(after(held, moves.fewest(held, needs)))
+    settled = held_of(counts_after(held, moves.fewest(held, needs)))
     assert moves.fewest(settled, needs) == ()
 
 
@@ -65,16 +63,18 @@
 def test_first_fit_never_needs_fewer_moves(counts, needs):
     held = held_of(counts)
     planned = moves.first_fit(held, needs)
-    closed = missing(counts, needs) - missing(after(held, planned), needs)
-    assert len(planned) >= closed
+    filled = count_missing(counts, needs) - count_missing(
+        counts_after(held, planned), needs
+    )
+    assert len(planned) >= filled
 
 
-def test_a_worker_that_is_under_way_is_not_moved_again():
+def test_a_worker_with_an_operation_in_progress_is_not_moved():
     held = {SPARE: [moves.Worker("w", "r", movable=False)]}
     assert moves.fewest(held, {"a": 1}) == ()
 
 
-def test_a_pool_is_spread_over_racks():
+def test_a_pool_is_filled_from_its_least_used_racks():
     spare = [moves.Worker(f"w{n}", f"r{n // 2}") for n in range(4)]
     held = {"a": [moves.Worker("own", "r0")], SPARE: spare}
     planned = moves.fewest(held, {"a": 3})
--- a/tests/failures/test_one_pool.py
+++ b/tests/failures/test_one_pool.py
@@ -1,4 +1,4 @@
-"""An instance belongs to exactly one pool, whatever happens to its move."""
+"""Tests that an instance is in exactly one pool, whatever fails in a move."""
 
 import dataclasses
 
@@ -29,21 +29,21 @@
 
 
 class Watched(benches.Bench):
-    """Judges each change of pool at the moment it is committed."""
+    """Checks each change of pool at the moment it is committed."""
 
     def watch(self) -> None:
-        """Looks at every transaction that takes effect from now on."""
+        """Checks every transaction that takes effect from now on."""
         table = self.platform.table
         apply = table._apply
 
-        def judged(transaction):
+        def checked_apply(transaction):
             for put in transaction.puts:
-                self._judge(put)
+                self._check_pool_change(put)
             return apply(transaction)
 
-        table._apply = judged
+        table._apply = checked_apply
 
-    def _judge(self, put: platform.Put) -> None:
+    def _check_pool_change(self, put: platform.Put) -> None:
         found = self.platform.table._rows.get(put.key)
         if found is None or not put.key.startswith(keys.INSTANCES):
             return
@@ -56,13 +56,13 @@
             assert machine.in_flight == 0
 
 
-class OnePool(stateful.RuleBasedStateMachine):
-    """A job loses its worker in the middle, or two pools count on one.
+class PoolMembership(stateful.RuleBasedStateMachine):
+    """Guards against jobs cut off by a move, and workers in two pools.
 
-    Operators change what pools need while workers move. Controllers are
-    killed between any two calls, race each other, and get late or no
-    answers. The pool is one field of one row that changes only after the
-    jobs have left; what was begun is finished or undone by the next holder.
+    Operators change the needs of pools while workers move. Controllers are
+    killed between any two calls, race with each other, and get late answers
+    or none. The pool is one field of one row, which changes only after the
+    worker's jobs have ended. The next holder finishes or undoes each move.
     """
 
     def __init__(self):
@@ -83,13 +83,13 @@
 
     @stateful.rule(duty=st.sampled_from(DUTIES), count=st.integers(1, 4))
     def step(self, duty, count):
-        """A duty's holder does some steps."""
+        """The holder of a duty runs some steps."""
         for _ in range(count):
             self.bench.step(duty)
 
     @stateful.rule(needs=st.tuples(*[st.integers(0, 5)] * 3))
     def operator_changes_needs(self, needs):
-        """Pools need more or fewer workers."""
+        """An operator changes the number of workers of each pool."""
         self.bench.config = config(*needs)
 
     @stateful.rule(
@@ -98,19 +98,19 @@
         when=st.sampled_from(["before", "after"]),
     )
     def kill_controller(self, duty, call, when):
-        """A holder ends at one of its calls."""
+        """The holder of a duty is killed at one of its calls."""
         self.bench.kill_at = self.bench._calls + call
         self.bench.kill_when = when
         self.bench.step(duty)
 
     @stateful.rule(duty=st.sampled_from(DUTIES), process=st.integers(0, 1))
     def hand_over(self, duty, process):
-        """A process whose knowledge may be old takes a duty."""
+        """A process whose cache may be outdated takes over a duty."""
         self.bench.hand_over(duty, process)
 
     @stateful.rule(duty=st.permutations(DUTIES))
     def race(self, duty):
-        """One duty commits between decision and commit of another."""
+        """One duty runs a step between the decision and commit of another."""
         first, second = duty
         self.bench.before_next_commit(lambda: self.bench.step(second))
         self.bench.step(first)
@@ -120,8 +120,8 @@
         fault=st.sampled_from(["lose_answers", "drop_calls", "delay_effect"]),
         part=st.sampled_from(["table", "instances"]),
     )
-    def call_goes_wrong(self, duty, fault, part):
-        """A call or its answer is lost or late."""
+    def fail_call(self, duty, fault, part):
+        """A call or its answer is lost, or the call takes effect late."""
         faults = self.bench.platform.faults[part]
         setattr(faults, fault, 1)
         self.bench.step(duty)
@@ -129,13 +129,13 @@
 
     @stateful.rule()
     def late_calls_arrive(self):
-        """What was under way takes effect."""
+        """Delayed calls take effect."""
         for faults in self.bench.platform.faults.values():
             faults.release_delayed()
 
     @stateful.rule(index=st.integers(0, WORKERS - 1), jobs=st.integers(0, 2))
-    def jobs_come_and_go(self, index, jobs):
-        """A worker has so many tasks."""
+    def job_count_changes(self, index, jobs):
+        """The number of tasks on a worker changes."""
         name = f"worker-{index:03}"
         instances = self.bench.platform.instances
         if instances.phase(name) is not platform.Phase.DRAINED:
@@ -143,7 +143,7 @@
 
     @stateful.invariant()
     def each_worker_has_one_pool_and_budgets_agree(self):
-        """What must hold between any two steps."""
+        """Checks the invariant that holds between any two steps."""
         fleet = self.bench.fleet()
         assert len(fleet.members) == WORKERS
         for name, member in fleet.members.items():
@@ -155,10 +155,10 @@
             assert down == [row.service] * bool(row.service and under_way)
 
     def teardown(self):
-        """Once faults end, all that was begun comes to its end."""
+        """Checks that all operations finish once the faults have ended."""
         self.late_calls_arrive()
         for index in range(WORKERS):
-            self.jobs_come_and_go(index, 0)
+            self.job_count_changes(index, 0)
         for _ in range(60):
             for duty in DUTIES:
                 self.bench.step(duty)
@@ -169,17 +169,17 @@
         self.each_worker_has_one_pool_and_budgets_agree()
 
 
-TestOnePool = OnePool.TestCase
-TestOnePool.settings = settings(
+TestPoolMembership = PoolMembership.TestCase
+TestPoolMembership.settings = settings(
     max_examples=30, stateful_step_count=20, deadline=None, derandomize=True
 )
 
 
-def test_an_instance_that_is_gone_for_good_is_replaced_and_forgotten():
-    """A pool is short of a worker for ever because a dead one counts.
+def test_a_lost_worker_is_replaced_and_later_its_row_is_deleted():
+    """Guards against a failed worker that counts in its pool for ever.
 
-    A worker dies and leaves the list. A spare takes its place after a while,
-    and much later its own row is deleted.
+    A worker fails and disappears from the list. A spare worker replaces it
+    after ``REPLACE_AFTER_S``. Its row is deleted after ``FORGET_AFTER_S``.
     """
     listings = benches.worker_listings(3)
     pools = {"a": config_lib.Pool("a", 2)}
@@ -191,21 +191,21 @@
     bench.platform.instances.kill("worker-000", vanish=True)
     bench.step("pool-group/a")
     assert bench.fleet().members["worker-002"].row.pool == buffer.SPARE_POOL
-    bench.clock.advance(move_duty.LOST_AFTER_S)
+    bench.clock.advance(move_duty.REPLACE_AFTER_S)
     for _ in range(5):
         bench.step("pool-group/a")
     row = bench.fleet().members["worker-002"].row
     assert (row.pool, row.phase) == ("a", platform.Phase.SERVING)
-    bench.clock.advance(move_duty.GONE_AFTER_S)
+    bench.clock.advance(move_duty.FORGET_AFTER_S)
     bench.step("pool-group/a")
     assert "worker-000" not in bench.fleet().members
 
 
-def test_what_a_removed_wave_left_drained_serves_again():
-    """A minion stays drained for ever after its wave left the configuration.
+def test_instances_left_drained_by_a_removed_wave_serve_again():
+    """Guards against a minion that stays drained after its wave is removed.
 
-    The wave's duty is gone with it. The duty of the service's pools takes
-    what the wave had under way.
+    A wave that is removed from the configuration has no duty any more. The
+    duty of the service's pools finishes the wave's operations.
     """
     listings = benches.minion_listings("a", count=2)
     bench = benches.Bench(listings, benches.config_of(("a",), minions=2))
