--- a/src/vanillaswitch/coordination/maintenance/budgets.py
+++ b/src/vanillaswitch/coordination/maintenance/budgets.py
@@ -109,9 +109,9 @@
     return Standing(
         service,
         kind,
-        _meant(config, service, kind),
+        _configured_count(config, service, kind),
         len(members),
-        _allowed(config, service, kind),
+        _max_down(config, service, kind),
         {name: reason for name, reason in reasons.items() if reason},
     )
 
@@ -142,7 +142,7 @@
         return False
     planned = fleet.budget(service).row.down
     down = [m for m in members_of(fleet, service, kind) if m.name in planned]
-    return len(down) < _allowed(config, service, kind)
+    return len(down) < _max_down(config, service, kind)
 
 
 def planned_domains(
@@ -183,7 +183,7 @@
     return frozenset(returned)
 
 
-def _meant(
+def _configured_count(
     config: config_lib.Config, service: str, kind: platform.InstanceKind
 ) -> int:
     if kind is platform.InstanceKind.MINION:
@@ -195,7 +195,7 @@
     )
 
 
-def _allowed(
+def _max_down(
     config: config_lib.Config, service: str, kind: platform.InstanceKind
 ) -> int:
     budget = config.services[service].availability_budget
--- a/src/vanillaswitch/coordination/maintenance/changes.py
+++ b/src/vanillaswitch/coordination/maintenance/changes.py
@@ -125,18 +125,18 @@
             tuple(sorted(self._unchanged_waves - self._waves.keys())),
         )
 
-    def _down_in(self, service: str) -> dict[str, str]:
+    def _down_of_service(self, service: str) -> dict[str, str]:
         if service not in self._down:
             self._down[service] = dict(self._fleet.budget(service).row.down)
         return self._down[service]
 
     def _mark_down(self, service: str, name: str, operation: str) -> None:
         if service:
-            self._down_in(service).setdefault(name, operation)
+            self._down_of_service(service).setdefault(name, operation)
 
     def _mark_up(self, service: str, name: str) -> None:
         if service:
-            self._down_in(service).pop(name, None)
+            self._down_of_service(service).pop(name, None)
 
 
 def carry_out(
@@ -160,6 +160,7 @@
 
 
 def _calls_for(changes: Changes) -> list[instance_steps.Call]:
+    """Returns the platform calls for the operations in committed rows."""
     return [
         instance_steps.call_for(name, row)
         for name, row in sorted(changes.instances.items())
@@ -239,6 +240,7 @@
     changes: Changes,
     version: int,
 ) -> None:
+    """Broadcasts the budget rows that the commit has changed."""
     for service, budget in sorted(changes.budgets.items()):
         if budget != fleet.budget(service).row:
             down = tuple(sorted(budget.down))
--- a/src/vanillaswitch/coordination/maintenance/fleet_cache.py
+++ b/src/vanillaswitch/coordination/maintenance/fleet_cache.py
@@ -37,7 +37,7 @@
 NAME_BYTES = 30
 STATUS_BYTES = 150
 LISTING_BYTES = 190
-"""Approximate bytes of one item of each sort on the wire, with its name."""
+"""Approximate bytes of one item of each kind on the wire, with its name."""
 
 
 class Cache:
--- a/src/vanillaswitch/coordination/maintenance/moves.py
+++ b/src/vanillaswitch/coordination/maintenance/moves.py
@@ -128,9 +128,9 @@
 
 
 def _surplus(held: Held, needs: Needs) -> dict[str, list[Worker]]:
-    """Returns the surplus workers of each pool, with fewest tasks first.
+    """Returns the movable surplus workers by pool, fewest tasks first.
 
-    All workers of the spare pool are surplus.
+    Each worker of the spare pool is surplus.
     """
     surplus = {}
     for pool, workers in held.items():
@@ -146,6 +146,11 @@
 
 
 def _choose_source(surplus: Mapping[str, list[Worker]], needs: Needs) -> str:
+    """Returns the pool from which the next move takes a worker.
+
+    The spare pool comes first if it has more workers than it needs, then the
+    pool with the largest surplus, then the rest of the spare pool.
+    """
     spare = buffer.SPARE_POOL
     if len(surplus.get(spare, ())) > needs.get(spare, 0):
         return spare
--- a/src/vanillaswitch/coordination/maintenance/pool_step.py
+++ b/src/vanillaswitch/coordination/maintenance/pool_step.py
@@ -159,6 +159,7 @@
 def _advance_members(
     view: PoolView, draft: changes.Draft
 ) -> list[instance_steps.Call]:
+    """Advances operations in progress; returns the platform calls to send."""
     members = list(_under_way(view))
     undone = _moves_to_undo(view, members)
     calls = []
@@ -181,6 +182,7 @@
 def _moves_to_undo(
     view: PoolView, members: list[fleet_state.Member]
 ) -> frozenset[str]:
+    """Returns draining members without a valid target or budget headroom."""
     draining = [
         member
         for member in members
@@ -228,6 +230,7 @@
 
 
 def _adopt_workers(view: PoolView, draft: changes.Draft) -> None:
+    """Assigns new workers to pools with a shortage, others to the spare."""
     workers = [
         listing
         for listing in view.fleet.strangers
@@ -263,6 +266,7 @@
 
 
 def _begin_moves(view: PoolView, draft: changes.Draft) -> None:
+    """Starts the drains of planned moves as far as budgets allow."""
     headroom: dict[str, int] = {}
     worker = platform.InstanceKind.WORKER
     for move in view.moves_to_begin:
--- a/tests/cover/test_instance_steps.py
+++ b/tests/cover/test_instance_steps.py
@@ -10,7 +10,7 @@
 Phase = platform.Phase
 
 
-def next_step(
+def result_of_step(
     row_phase, phase, operation="op", in_flight=0, boots=1, undo=False
 ):
     row = rows.Instance(
@@ -26,16 +26,22 @@
 @pytest.mark.parametrize(
     ("expected", "step"),
     [
-        ("drain", next_step(Phase.DRAINING, Phase.DRAINED, "older")),
-        (None, next_step(Phase.DRAINING, Phase.DRAINED, in_flight=1)),
-        (Phase.REBOOTING, next_step(Phase.DRAINING, Phase.DRAINED)),
-        (Phase.DRAINED, next_step(Phase.DRAINING, Phase.DRAINING, undo=True)),
-        ("drain", next_step(Phase.DRAINING, Phase.SERVING, "", undo=True)),
-        (None, next_step(Phase.REBOOTING, Phase.DRAINED)),
-        (Phase.DRAINED, next_step(Phase.REBOOTING, Phase.DRAINED, boots=2)),
-        ("resume", next_step(Phase.DRAINED, Phase.DRAINED, "older")),
-        (Phase.SERVING, next_step(Phase.DRAINED, Phase.SERVING)),
-        (Phase.DRAINED, next_step(Phase.DRAINED, Phase.DRAINED)),
+        ("drain", result_of_step(Phase.DRAINING, Phase.DRAINED, "older")),
+        (None, result_of_step(Phase.DRAINING, Phase.DRAINED, in_flight=1)),
+        (Phase.REBOOTING, result_of_step(Phase.DRAINING, Phase.DRAINED)),
+        (
+            Phase.DRAINED,
+            result_of_step(Phase.DRAINING, Phase.DRAINING, undo=True),
+        ),
+        ("drain", result_of_step(Phase.DRAINING, Phase.SERVING, "", undo=True)),
+        (None, result_of_step(Phase.REBOOTING, Phase.DRAINED)),
+        (
+            Phase.DRAINED,
+            result_of_step(Phase.REBOOTING, Phase.DRAINED, boots=2),
+        ),
+        ("resume", result_of_step(Phase.DRAINED, Phase.DRAINED, "older")),
+        (Phase.SERVING, result_of_step(Phase.DRAINED, Phase.SERVING)),
+        (Phase.DRAINED, result_of_step(Phase.DRAINED, Phase.DRAINED)),
     ],
 )
 def test_a_row_advances_only_after_the_instance_has_done_the_operation(
--- a/tests/failures/test_one_pool.py
+++ b/tests/failures/test_one_pool.py
@@ -28,10 +28,10 @@
     return benches.config_of(("a", "b"), minions=0, pools=pools)
 
 
-class Watched(benches.Bench):
+class PoolCheckingBench(benches.Bench):
     """Checks each change of pool at the moment it is committed."""
 
-    def watch(self) -> None:
+    def check_transactions(self) -> None:
         """Checks every transaction that takes effect from now on."""
         table = self.platform.table
         apply = table._apply
@@ -72,14 +72,14 @@
         pools += [buffer.SPARE_POOL] * 2
         names = [one.instance for one in listings]
         of = dict(zip(names, pools, strict=True))
-        self.bench = Watched(
+        self.bench = PoolCheckingBench(
             listings,
             config(),
             lambda one: (of[one.instance], POOLS.get(of[one.instance], "")),
         )
         for duty in DUTIES:
             self.bench.take_over(duty)
-        self.bench.watch()
+        self.bench.check_transactions()
 
     @stateful.rule(duty=st.sampled_from(DUTIES), count=st.integers(1, 4))
     def step(self, duty, count):
