--- a/src/vanillaswitch/coordination/maintenance/wave_boots.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_boots.py
@@ -1,7 +1,8 @@
-"""How long reboots take, so that nobody asks for their end too early.
+"""Skips status requests to instances whose reboot can't have finished yet.
 
-A wave at the target size has hundreds of instances in a reboot. Each of them
-is asked only once it may be back by the quickest reboot of this wave so far.
+At the target size a wave has hundreds of instances rebooting at once. To keep
+the number of status requests low, an instance is asked only after most of the
+shortest reboot time seen so far in this wave has passed.
 """
 
 from collections.abc import Mapping
@@ -10,37 +11,46 @@
 from vanillaswitch.coordination.maintenance import fleet_state
 from vanillaswitch.protocol import platform
 
-SHARE = 0.8
-"""Part of the quickest reboot after which the next ones are asked."""
+MIN_ELAPSED_FRACTION = 0.8
+"""Fraction of the shortest reboot time after which an instance is asked."""
 
-_BEGAN = "boots.began"
-_QUICKEST = "boots.quickest"
+_STARTED_AT = "boots.began"
+_SHORTEST_S = "boots.quickest"
 
 
-def not_yet_back(
-    memory: dict[str, Any], whole: fleet_state.Fleet, wave: str, now: float
+def find_unfinished_reboots(
+    soft_state: dict[str, Any],
+    fleet: fleet_state.Fleet,
+    wave_name: str,
+    now: float,
 ) -> frozenset[str]:
-    """Returns the instances whose reboot can't be over.
+    """Returns the instances whose reboot can't have finished yet.
 
     Args:
-        memory: of the wave's duty, kept from step to step.
-        whole: rows of all members.
-        wave: its name.
+        soft_state: of the wave's duty, kept from step to step.
+        fleet: rows of all members.
+        wave_name: the wave whose instances are considered.
         now: monotonic seconds.
     """
-    before: Mapping[str, float] = memory.get(_BEGAN, {})
-    began = {
-        name: before.get(name, now)
-        for name, member in whole.members.items()
-        if member.row.wave == wave
+    previous: Mapping[str, float] = soft_state.get(_STARTED_AT, {})
+    started_at = {
+        name: previous.get(name, now)
+        for name, member in fleet.members.items()
+        if member.row.wave == wave_name
         and member.row.phase is platform.Phase.REBOOTING
     }
-    took = [now - then for name, then in before.items() if name not in began]
-    quickest = min([memory.get(_QUICKEST, float("inf")), *took])
-    memory[_BEGAN], memory[_QUICKEST] = began, quickest
-    # Before the first one is back nothing is known, and all are asked.
-    if quickest == float("inf"):
+    durations_s = [
+        now - start
+        for name, start in previous.items()
+        if name not in started_at
+    ]
+    shortest_s = min([soft_state.get(_SHORTEST_S, float("inf")), *durations_s])
+    soft_state[_STARTED_AT], soft_state[_SHORTEST_S] = started_at, shortest_s
+    # No reboot has finished yet, so there is no time to compare with.
+    if shortest_s == float("inf"):
         return frozenset()
     return frozenset(
-        name for name, then in began.items() if now - then < SHARE * quickest
+        name
+        for name, start in started_at.items()
+        if now - start < MIN_ELAPSED_FRACTION * shortest_s
     )
--- a/src/vanillaswitch/coordination/maintenance/wave_control.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_control.py
@@ -1,7 +1,7 @@
-"""What operators do to a wave: start, resume and pause it.
+"""Operator commands for a wave: start, resume and pause.
 
-They hold no duty. The wave's row is written only in the version that they
-looked at, so that of two operators the second is told of the first.
+Operators hold no duty. Their write names the version of the wave's row that
+they read, so that the second of two concurrent commands fails with a conflict.
 """
 
 from collections.abc import Mapping
@@ -20,10 +20,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """An operator's wish for one wave.
+    """An operator's command for one wave.
 
     Attributes:
-        run: random id that a new run gets.
+        name: the wave.
+        operator: who gives the command.
+        wall_s: when, seconds since the Unix epoch.
+        run: random id for the run, if the command starts one.
     """
 
     name: str
@@ -35,10 +38,11 @@
 def start(
     fleet: fleet_state.Fleet, config: config_lib.Config, request: Request
 ) -> changes.Changes:
-    """Returns the changes that start a wave, or resume it where it stands.
+    """Returns the changes that start a wave, or resume an unfinished run.
 
     Raises:
-        errors.WaveRefusedError: it runs, is unknown or can't finish.
+        errors.WaveRefusedError: The wave is running already, is not
+            configured, or can't finish within the availability budgets.
     """
     spec = config.waves.get(request.name)
     if spec is None:
@@ -46,35 +50,37 @@
         raise errors.WaveRefusedError(
             f"there is no wave {request.name!r}; use one of: {known}"
         )
-    found = fleet.waves.get(request.name)
-    if found is None or found.row.state is State.FINISHED:
-        wave = _new_run(fleet, config, spec, request)
-        return _changes(request, wave, "wave started")
-    if found.row.state is State.RUNNING:
+    existing = fleet.waves.get(request.name)
+    if existing is None or existing.row.state is State.FINISHED:
+        wave = _create_run(fleet, config, spec, request)
+        return _build_changes(request, wave, "wave started")
+    if existing.row.state is State.RUNNING:
         raise errors.WaveRefusedError(f"{request.name} is running already")
-    standing = fleet.joined(request.name)
+    current = fleet.joined(request.name)
     wave = dataclasses.replace(
-        standing,
+        current,
         state=State.RUNNING,
         reason=f"resumed by {request.operator}",
         operator=request.operator,
-        # The operator has seen these; only new failures stop it again.
-        acknowledged=tuple(sorted(standing.failed)),
+        # By resuming, the operator accepts the failures so far. Only new
+        # failures can stop the wave again.
+        acknowledged=tuple(sorted(current.failed)),
     )
-    return _changes(request, wave, "wave resumed")
+    return _build_changes(request, wave, "wave resumed")
 
 
 def pause(fleet: fleet_state.Fleet, request: Request) -> changes.Changes:
     """Returns the changes that pause a running wave.
 
-    What it has begun is finished; it begins nothing more.
+    Instances that are already in maintenance complete it. No other instance
+    is taken down.
 
     Raises:
-        errors.WaveRefusedError: it is not running.
+        errors.WaveRefusedError: The wave is not running.
     """
-    found = fleet.waves.get(request.name)
-    if found is None or found.row.state is not State.RUNNING:
-        state = found.row.state if found else "not started"
+    existing = fleet.waves.get(request.name)
+    if existing is None or existing.row.state is not State.RUNNING:
+        state = existing.row.state if existing else "not started"
         raise errors.WaveRefusedError(f"{request.name} is {state}")
     wave = dataclasses.replace(
         fleet.joined(request.name),
@@ -82,10 +88,10 @@
         reason=f"paused by {request.operator}",
         operator=request.operator,
     )
-    return _changes(request, wave, "wave paused")
+    return _build_changes(request, wave, "wave paused")
 
 
-def _new_run(
+def _create_run(
     fleet: fleet_state.Fleet,
     config: config_lib.Config,
     spec: config_lib.Wave,
@@ -105,7 +111,7 @@
     )
 
 
-def _changes(
+def _build_changes(
     request: Request, wave: wave_state.Wave, rule: str
 ) -> changes.Changes:
     figures: Mapping[str, float] = {
--- a/src/vanillaswitch/coordination/maintenance/wave_delays.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_delays.py
@@ -1,7 +1,8 @@
-"""What delays a wave: a soak after the first round, drains that don't end.
+"""Delays of a wave: the soak time after the first round, and slow drains.
 
-Times are taken on this process's monotonic clock, in the memory of the duty.
-A new holder begins anew: a soak gets longer by that and never shorter.
+Times are measured on this process's monotonic clock and kept in the soft state
+of the duty. A new holder of the duty starts measuring again, which can make a
+soak longer but never shorter.
 """
 
 from collections.abc import Mapping
@@ -15,77 +16,78 @@
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 
-_SOAKS = "delays.soaks"
-_DRAINS = "delays.drains"
+_SOAK_SINCE = "delays.soaks"
+_DRAINING_SINCE = "delays.drains"
 
 
-def soak_left_s(
-    memory: dict[str, Any],
+def remaining_soak_s(
+    soft_state: dict[str, Any],
     wave: wave_state.Wave,
     spec: config_lib.Wave,
     now: float,
 ) -> float:
-    """Returns how long the first round has still to serve.
+    """Returns how long the first round must still serve before the second.
 
     Args:
-        memory: of the wave's duty, kept from step to step.
-        wave: with all that is done by now.
+        soft_state: of the wave's duty, kept from step to step.
+        wave: the wave, with ``done`` up to date.
         spec: the wave's configuration.
         now: monotonic seconds.
     """
-    if wave.current_round != 1 or wave.over & frozenset(wave.rounds[1]):
+    if wave.current_round != 1 or wave.processed & frozenset(wave.rounds[1]):
         return 0.0
-    run, since = memory.get(_SOAKS, ("", now))
+    run, since = soft_state.get(_SOAK_SINCE, ("", now))
     if run != wave.run:
         since = now
-        memory[_SOAKS] = (wave.run, since)
-    left_s: float = since + spec.soak_s - now
-    return max(0.0, left_s)
+        soft_state[_SOAK_SINCE] = (wave.run, since)
+    remaining_s: float = since + spec.soak_s - now
+    return max(0.0, remaining_s)
 
 
-def slow_drains(
-    memory: dict[str, Any],
+def find_slow_drains(
+    soft_state: dict[str, Any],
     under_way: Mapping[str, fleet_state.Member],
     limit_s: float,
     now: float,
 ) -> dict[str, str]:
-    """Returns instances whose drain takes too long, with what they wait for.
+    """Returns the instances whose drain takes too long, with the reason.
 
     Args:
-        memory: of the wave's duty, kept from step to step.
-        under_way: what the wave has down, by name, with what it says.
+        soft_state: of the wave's duty, kept from step to step.
+        under_way: the wave's instances in maintenance, by name.
         limit_s: how long a drain may take.
         now: monotonic seconds.
     """
-    before: Mapping[str, float] = memory.get(_DRAINS, {})
-    since = {
-        name: before.get(name, now)
+    previous: Mapping[str, float] = soft_state.get(_DRAINING_SINCE, {})
+    draining_since = {
+        name: previous.get(name, now)
         for name, member in under_way.items()
         if member.row.phase is platform.Phase.DRAINING
     }
-    memory[_DRAINS] = since
+    soft_state[_DRAINING_SINCE] = draining_since
     return {
         name: f"drains for more than {limit_s:g} s, work is in flight on it"
-        for name, then in since.items()
-        if now - then >= limit_s
+        for name, start in draining_since.items()
+        if now - start >= limit_s
     }
 
 
-def note(
-    view: wave_verdict.View, wave: wave_state.Wave, draft: changes.Draft
+def record_slow_drains(
+    view: wave_verdict.WaveView, wave: wave_state.Wave, draft: changes.Draft
 ) -> wave_state.Wave:
-    """Returns the wave with its slow drains, explained when they are news.
+    """Returns the wave with its slow drains, and explains new ones.
 
-    They are told and never forced: a reboot would cut off what is in flight.
+    Slow drains are reported but never forced, because a reboot would cut off
+    the work in flight.
     """
-    if view.slow == wave.slow:
+    if view.slow_drains == wave.slow:
         return wave
-    for name, why in sorted(view.slow.items()):
+    for name, why in sorted(view.slow_drains.items()):
         if name not in wave.slow:
             limit_s = view.config.waves[view.name].drain_limit_s
             draft.explain(
-                wave_verdict.decision(
+                wave_verdict.build_decision(
                     view, f"{name} {why}", "slow drain", {"limit_s": limit_s}
                 )
             )
-    return dataclasses.replace(wave, slow=dict(view.slow))
+    return dataclasses.replace(wave, slow=dict(view.slow_drains))
--- a/src/vanillaswitch/coordination/maintenance/wave_duty.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_duty.py
@@ -1,4 +1,4 @@
-"""Carries out the maintenance wave that a controller holds the duty of."""
+"""The duty that runs one maintenance wave."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -19,76 +19,87 @@
 from vanillaswitch.internal import ids
 from vanillaswitch.protocol import platform
 
-RETURN_LIMIT_S = 600.0
-"""An instance that is not back from its reboot by then has failed."""
+REBOOT_TIMEOUT_S = 600.0
+"""An instance has failed if its reboot takes longer than this."""
 
-SILENT_LIMIT_S = 10.0
-"""An instance that is down or silent for so long has failed."""
+UNAVAILABLE_TIMEOUT_S = 10.0
+"""An instance has failed if it is down or doesn't answer for this long."""
 
-JUDGED_AT_ONCE = 12
-"""Services whose instances one step asks, while something is under way."""
+MAX_SERVICES_PER_STEP = 12
+"""Limit on the services evaluated in one step while instances are down.
 
-_SEEN = "seen"
-_TURN = "turn"
-_SINCE = "since"
-_SETTLED = "settled"
+It bounds the number of instances that a step asks for their status.
+"""
+
+_FLEET_READ = "seen"
+_NEXT_SERVICE = "turn"
+_PROBLEM_SINCE = "since"
+_IDLE_VERSION = "settled"
 
 
 @controller.duty(duty_names.WAVE)
 def step(context: controller.Context, name: str, fence: duties.Fence) -> None:
-    """Does one step of a wave; does nothing while the platform is away."""
+    """Runs one step of a wave; does nothing while the platform is away."""
     wave = duty_names.subject(name)
     cache = fleet_cache.of(context)
-    view = _view(context, cache, wave) if wave in context.config.waves else None
-    busy = False
+    view = (
+        _build_view(context, cache, wave)
+        if wave in context.config.waves
+        else None
+    )
+    is_busy = False
     if view is not None:
-        decided = wave_step.decide(view)
-        changes.carry_out(context, fence, view.fleet, decided)
-        wrote = not decided.changes.empty
-        busy = bool(wrote or decided.calls or view.under_way)
-        if not busy:
-            version = view.whole.waves[wave].version
-            context.memory[_SETTLED] = version
-    pause_s = cache.meter.pause_s(context.clock.monotonic(), busy)
-    context.rest(not busy, pause_s)
-
-
-def _view(
+        decision = wave_step.decide(view)
+        changes.carry_out(context, fence, view.fleet, decision)
+        has_written = not decision.changes.empty
+        is_busy = bool(has_written or decision.calls or view.under_way)
+        if not is_busy:
+            version = view.whole_fleet.waves[wave].version
+            context.memory[_IDLE_VERSION] = version
+    pause_s = cache.meter.pause_s(context.clock.monotonic(), is_busy)
+    context.rest(not is_busy, pause_s)
+
+
+def _build_view(
     context: controller.Context, cache: fleet_cache.Cache, wave: str
-) -> wave_verdict.View | None:
+) -> wave_verdict.WaveView | None:
     now = context.clock.monotonic()
-    if not cache.refresh(context.platform, now) or _rests(context, cache, wave):
+    if not cache.refresh(context.platform, now) or _is_idle(
+        context, cache, wave
+    ):
         return None
-    if not _settle_in(context, cache, wave):
+    if not _read_current_rows(context, cache, wave):
         return None
     row = cache.fleet.joined(wave)
-    judged = _judged(context, cache.fleet, wave, row)
-    if not cache.settle(context.platform, judged, now):
+    services = _services_to_evaluate(context, cache.fleet, wave, row)
+    if not cache.settle(context.platform, services, now):
         return None
-    whole = cache.fleet
+    whole_fleet = cache.fleet
     spec = context.config.waves[wave]
-    soak_s = wave_delays.soak_left_s(context.memory, row, spec, now)
+    soak_s = wave_delays.remaining_soak_s(context.memory, row, spec, now)
     names = {
         name
-        for name, member in whole.members.items()
-        if member.row.service in judged or member.row.wave == wave
+        for name, member in whole_fleet.members.items()
+        if member.row.service in services or member.row.wave == wave
     }
     if soak_s:
-        names |= set(row.rounds[0]) & whole.members.keys()
-    booting = wave_boots.not_yet_back(context.memory, whole, wave, now)
-    said = cache.ask(context.platform, names - booting, now)
-    if isinstance(said, platform.Unavailable):
+        names |= set(row.rounds[0]) & whole_fleet.members.keys()
+    unfinished_reboots = wave_boots.find_unfinished_reboots(
+        context.memory, whole_fleet, wave, now
+    )
+    statuses = cache.ask(context.platform, names - unfinished_reboots, now)
+    if isinstance(statuses, platform.Unavailable):
         return None
-    fleet = whole.part(sorted(names), said)
-    return wave_verdict.View(
+    fleet = whole_fleet.part(sorted(names), statuses)
+    return wave_verdict.WaveView(
         wave,
         fleet,
-        whole,
-        frozenset(judged),
-        booting,
+        whole_fleet,
+        frozenset(services),
+        unfinished_reboots,
         context.config,
-        _broken(context, fleet, wave, row),
-        wave_delays.slow_drains(
+        _find_failing(context, fleet, wave, row),
+        wave_delays.find_slow_drains(
             context.memory,
             {n: m for n, m in fleet.members.items() if m.row.wave == wave},
             spec.drain_limit_s,
@@ -100,19 +111,20 @@
     )
 
 
-def _rests(
+def _is_idle(
     context: controller.Context, cache: fleet_cache.Cache, name: str
 ) -> bool:
-    """Tells whether a wave has nothing to do; reads no more than its row.
+    """Returns whether a wave has nothing to do, reading at most its row.
 
-    It was never started, or it is not running, has nothing down and its row
-    is the one that an earlier step found so. The row of a running wave is not
-    read again: each take-down checks its version, and what another one wrote
-    comes with the conflict.
+    A wave is idle if it was never started, or if it is not running and its
+    row has the version at which an earlier step found nothing to do. It also
+    counts as idle while its row can't be read. The row of a running wave is
+    not read again: each take-down checks its version, and a conflict returns
+    the newer row.
     """
     found = cache.fleet.waves.get(name)
     running = found and found.row.state is wave_state.WaveState.RUNNING
-    if not running or _SEEN not in context.memory:
+    if not running or _FLEET_READ not in context.memory:
         now = context.clock.monotonic()
         if not cache.read_wave(context.platform, name, now):
             return True
@@ -120,110 +132,124 @@
     if found is None:
         return True
     running = found.row.state is wave_state.WaveState.RUNNING
-    return not running and context.memory.get(_SETTLED) == found.version
+    return not running and context.memory.get(_IDLE_VERSION) == found.version
 
 
-def _settle_in(
+def _read_current_rows(
     context: controller.Context, cache: fleet_cache.Cache, name: str
 ) -> bool:
-    """Has a holder know all that its predecessors have written.
+    """Reads the rows that earlier holders of the duty may have written.
 
-    Instances that joined their pool after this process read the fleet are
-    read by name: not to know one does not mean that it is gone.
+    Instances of the wave that are missing from the cache are read by name.
+    They may have joined their pool after this process read the fleet, so a
+    missing entry does not mean that the instance is gone.
+
+    Returns:
+        False when the platform did not answer.
     """
     wave = cache.fleet.waves[name].row
     names = {one for names in wave.rounds for one in names}
     unknown = names - cache.fleet.members.keys() - wave.failed.keys()
     services: set[str] = set()
-    if _SEEN not in context.memory:
-        planned = _planned(cache.fleet, wave)
+    if _FLEET_READ not in context.memory:
+        planned = _planned_members(cache.fleet, wave)
         services = {member.row.service for member in planned} - {""}
         services.update(context.config.waves[name].services)
     if services or unknown:
         now = context.clock.monotonic()
         if not cache.settle(context.platform, services, now, unknown):
             return False
-        context.memory[_SEEN] = True
+        context.memory[_FLEET_READ] = True
     return True
 
 
-def _judged(
+def _services_to_evaluate(
     context: controller.Context,
-    whole: fleet_state.Fleet,
+    whole_fleet: fleet_state.Fleet,
     name: str,
     wave: wave_state.Wave,
 ) -> set[str]:
-    """Returns the services whose budgets this step looks at.
+    """Returns the services whose budgets this step evaluates.
 
-    Those that wait for their turn and may have room, and those whose drains
-    may have to be taken back. While something is under way it is enough to
-    look at some of them after the others.
+    These are the services that wait and may have headroom, and those with
+    drains that may have to be undone. While instances of the wave are down,
+    each step evaluates only some of them, in rotation.
     """
-    planned = _planned(whole, wave)
+    planned = _planned_members(whole_fleet, wave)
     under_way = [m for m in planned if m.row.wave == name]
     draining = platform.Phase.DRAINING
     services = {m.row.service for m in under_way if m.row.phase is draining}
     if wave.state is wave_state.WaveState.RUNNING:
         config = context.config
         kind = wave_plan.KINDS[config.waves[name].targets]
-        services |= wave_front.may_begin(wave, whole, config, kind)
+        services |= wave_front.find_startable_services(
+            wave, whole_fleet, config, kind
+        )
         if not under_way:
-            services |= {m.row.service for m in wave_front.waiting(wave, whole)}
-    if not under_way or len(services) <= JUDGED_AT_ONCE:
+            services |= {
+                m.row.service
+                for m in wave_front.waiting_members(wave, whole_fleet)
+            }
+    if not under_way or len(services) <= MAX_SERVICES_PER_STEP:
         return services
     ordered = sorted(services)
-    first = context.memory.get(_TURN, 0) % len(ordered)
-    context.memory[_TURN] = first + JUDGED_AT_ONCE
-    turned = ordered[first:] + ordered[:first]
-    return set(turned[:JUDGED_AT_ONCE])
+    first = context.memory.get(_NEXT_SERVICE, 0) % len(ordered)
+    context.memory[_NEXT_SERVICE] = first + MAX_SERVICES_PER_STEP
+    rotated = ordered[first:] + ordered[:first]
+    return set(rotated[:MAX_SERVICES_PER_STEP])
 
 
-def _broken(
+def _find_failing(
     context: controller.Context,
     fleet: fleet_state.Fleet,
     name: str,
     wave: wave_state.Wave,
 ) -> dict[str, str]:
-    """Returns the wave's instances that have been in trouble for too long.
+    """Returns the wave's instances that count as failed, with the reason.
 
-    Times are taken on this process's monotonic clock from the moment it saw
-    the trouble first. A new holder begins anew: that delays a verdict and
-    never makes one early, while a wall clock in the row could jump. What was
-    not asked in this step keeps its times.
+    A problem is timed on this process's monotonic clock from when the process
+    first sees it. A new holder of the duty starts timing again, so it may
+    detect a failure late but never too early. A wall-clock time in the row
+    could jump. Instances that this step did not ask keep their times.
     """
     now = context.clock.monotonic()
-    before: Mapping[tuple[str, str], float] = context.memory.get(_SINCE, {})
-    since = {k: v for k, v in before.items() if k[0] not in fleet.members}
-    broken = {}
-    for member in _planned(fleet, wave):
-        for trouble, limit in _troubles(member, name).items():
-            key = (member.name, trouble)
-            since[key] = before.get(key, now)
-            if now - since[key] >= limit:
-                broken[member.name] = f"{trouble} for {limit:.0f} s"
+    previous: Mapping[tuple[str, str], float] = context.memory.get(
+        _PROBLEM_SINCE, {}
+    )
+    since = {k: v for k, v in previous.items() if k[0] not in fleet.members}
+    failing = {}
+    for member in _planned_members(fleet, wave):
+        for problem, timeout_s in _find_problems(member, name).items():
+            key = (member.name, problem)
+            since[key] = previous.get(key, now)
+            if now - since[key] >= timeout_s:
+                failing[member.name] = f"{problem} for {timeout_s:.0f} s"
     memory: dict[str, Any] = context.memory
-    memory[_SINCE] = since
-    return broken
+    memory[_PROBLEM_SINCE] = since
+    return failing
 
 
-def _planned(
+def _planned_members(
     fleet: fleet_state.Fleet, wave: wave_state.Wave
 ) -> list[fleet_state.Member]:
     names = {one for names in wave.rounds for one in names}
     return [fleet.members[one] for one in sorted(names & fleet.members.keys())]
 
 
-def _troubles(member: fleet_state.Member, wave: str) -> dict[str, float]:
-    """Returns what is wrong with an instance and how long it may last."""
-    troubles: dict[str, float] = {}
+def _find_problems(member: fleet_state.Member, wave: str) -> dict[str, float]:
+    """Returns each problem of an instance with the seconds it may last."""
+    problems: dict[str, float] = {}
     if member.row.wave not in ("", wave):
-        return troubles
+        return problems
     if member.status is None:
-        # Rebooting instances don't answer either; only the long limit fits.
+        # An instance doesn't answer during its reboot, so the short timeout
+        # would be too early.
         rebooting = member.row.phase is platform.Phase.REBOOTING
-        troubles["silent"] = RETURN_LIMIT_S if rebooting else SILENT_LIMIT_S
+        problems["silent"] = (
+            REBOOT_TIMEOUT_S if rebooting else UNAVAILABLE_TIMEOUT_S
+        )
     elif member.status.phase is platform.Phase.DOWN:
-        troubles["down"] = SILENT_LIMIT_S
+        problems["down"] = UNAVAILABLE_TIMEOUT_S
     if member.row.phase in (platform.Phase.REBOOTING, platform.Phase.DRAINED):
-        troubles[f"not back ({member.row.phase})"] = RETURN_LIMIT_S
-    return troubles
+        problems[f"not back ({member.row.phase})"] = REBOOT_TIMEOUT_S
+    return problems
--- a/src/vanillaswitch/coordination/maintenance/wave_plan.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_plan.py
@@ -1,8 +1,8 @@
-"""Plans a maintenance wave before it starts: rounds, time, what forbids it.
+"""Plans a maintenance wave before it starts: rounds, duration, obstacles.
 
-Within a round no service has more down than its budget has left, and never
-two failure domains of one service; the next round begins when all of the last
-one serves again.
+Within a round, a service never has more instances down than its budget has
+headroom for, and never instances of two failure domains. The next round starts
+when every instance of the previous one serves again.
 """
 
 from collections.abc import Callable
@@ -21,13 +21,13 @@
     platform.InstanceKind.MINION: 5.0,
     platform.InstanceKind.WORKER: 30.0,
 }
-"""Modelled seconds until an instance of a kind has nothing in flight."""
+"""Modelled seconds until an instance of a kind has drained."""
 
 REBOOT_S = 120.0
-"""Modelled seconds of a reboot."""
+"""Modelled seconds that a reboot takes."""
 
 RESUME_S = 5.0
-"""Modelled seconds until a rebooted instance is seen to serve."""
+"""Modelled seconds until a rebooted instance is known to serve again."""
 
 KINDS = {
     config_lib.WaveTarget.MINIONS: platform.InstanceKind.MINION,
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Target:
-    """One instance that a wave maintains."""
+    """One instance that a wave reboots, with its service and domain."""
 
     name: str
     service: str
@@ -46,12 +46,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class WavePlan:
-    """What a wave is going to do.
+    """The plan of a wave.
 
     Attributes:
         rounds: instances by round.
         expected_s: modelled seconds from start to finish.
-        cannot: why it can't finish within its budgets; empty when it can.
+        cannot: reasons why the wave can't finish within the budgets; empty
+            when it can.
         skipped: instance to the reason why it is left out.
     """
 
@@ -63,7 +64,7 @@
 
 Rounds = tuple[tuple[str, ...], ...]
 Order = Callable[[Sequence[Target], Mapping[str, int], config_lib.Wave], Rounds]
-"""(targets, headroom of each service, at least 1, the wave) -> rounds."""
+"""(targets, headroom by service, at least 1 each, the wave) -> rounds."""
 
 ORDERS: registry.Registry[Order] = registry.Registry("wave order")
 DEFAULT_ORDER = "growing"
@@ -75,10 +76,10 @@
     wave: config_lib.Wave,
     order: str = DEFAULT_ORDER,
 ) -> WavePlan:
-    """Plans a wave on the fleet as it is.
+    """Returns the plan of a wave for the current state of the fleet.
 
     Raises:
-        errors.UnknownVariantError: there is no such order.
+        errors.UnknownVariantError: There is no such order.
     """
     kind = KINDS[wave.targets]
     cannot = []
@@ -87,7 +88,7 @@
     allowance = {}
     for service in sorted(set(wave.services)):
         members = budgets.members_of(fleet, service, kind)
-        reason = _forbidden(fleet, config, service, kind)
+        reason = _refusal_reason(fleet, config, service, kind)
         if reason:
             cannot.append(reason)
             continue
@@ -107,7 +108,7 @@
 
 
 def expected_s(rounds: int, kind: platform.InstanceKind) -> float:
-    """Returns the modelled seconds of a number of rounds."""
+    """Returns the modelled seconds that a number of rounds takes."""
     return rounds * (DRAIN_S[kind] + REBOOT_S + RESUME_S)
 
 
@@ -116,13 +117,15 @@
     allowance: Mapping[str, int],
     wave: config_lib.Wave,
 ) -> int:
-    """Returns a number of rounds that no order with a canary can beat."""
-    room = sum(allowance[service] for service in {t.service for t in targets})
-    left = len(targets)
+    """Returns a lower bound on the rounds of an order with a canary."""
+    total_allowance = sum(
+        allowance[service] for service in {t.service for t in targets}
+    )
+    remaining = len(targets)
     limit = float(max(1, wave.canary))
     rounds = 0
-    while left > 0:
-        left -= min(math.floor(limit), room)
+    while remaining > 0:
+        remaining -= min(math.floor(limit), total_allowance)
         limit *= max(1.0, wave.growth)
         rounds += 1
     return max(rounds, fewest_rounds(targets, allowance))
@@ -131,80 +134,83 @@
 def fewest_rounds(
     targets: Sequence[Target], allowance: Mapping[str, int]
 ) -> int:
-    """Returns a number of rounds that no order can beat.
+    """Returns a lower bound on the rounds of any order.
 
-    A service needs for each of its failure domains as many rounds as the
-    domain's instances fill its allowance; services can go side by side.
+    A service needs ``ceil(instances / allowance)`` rounds for each of its
+    failure domains. Different services can share a round.
     """
     by_service: dict[str, int] = {}
-    for (service, _), names in _by_domain(targets).items():
+    for (service, _), names in _group_by_domain(targets).items():
         needed = math.ceil(len(names) / allowance[service])
         by_service[service] = by_service.get(service, 0) + needed
     return max(by_service.values(), default=0)
 
 
 @ORDERS.register("growing")
-def _growing(
+def _plan_growing(
     targets: Sequence[Target],
     allowance: Mapping[str, int],
     wave: config_lib.Wave,
 ) -> Rounds:
-    """Canary first, then batches that grow by a factor.
+    """Returns rounds that start with a canary and grow by a factor.
 
-    Services that need the most rounds go first, so that none is left over
-    when the others are done.
+    Services that need the most rounds go first, so that none of them is left
+    alone at the end.
     """
-    waiting = _by_domain(targets)
+    waiting = _group_by_domain(targets)
     rounds = []
     limit = float(max(1, wave.canary))
     while waiting:
         names = _fill_round(waiting, allowance, math.floor(limit))
         rounds.append(tuple(sorted(names)))
-        waiting = _without(waiting, set(names))
+        waiting = _remove_names(waiting, set(names))
         limit = min(limit * max(1.0, wave.growth), float(len(targets)))
     return tuple(rounds)
 
 
 @ORDERS.register("rack-at-a-time")
-def _rack_at_a_time(
+def _plan_rack_at_a_time(
     targets: Sequence[Target],
     allowance: Mapping[str, int],
     wave: config_lib.Wave,
 ) -> Rounds:
-    """One failure domain after the other: the baseline."""
+    """Returns rounds of one failure domain after the other.
+
+    This order serves as a baseline for comparisons.
+    """
     del wave
     rounds = []
     for domain in sorted({target.domain for target in targets}):
-        waiting = _by_domain([t for t in targets if t.domain == domain])
+        waiting = _group_by_domain([t for t in targets if t.domain == domain])
         while waiting:
             names = _fill_round(waiting, allowance, len(targets))
             rounds.append(tuple(sorted(names)))
-            waiting = _without(waiting, set(names))
+            waiting = _remove_names(waiting, set(names))
     return tuple(rounds)
 
 
-_Waiting = dict[tuple[str, str], list[str]]
-"""Names that wait, by service and failure domain."""
+_NamesByDomain = dict[tuple[str, str], list[str]]
+"""Names of waiting instances by service and failure domain."""
 
 
-def _by_domain(targets: Sequence[Target]) -> _Waiting:
-    waiting: _Waiting = {}
+def _group_by_domain(targets: Sequence[Target]) -> _NamesByDomain:
+    waiting: _NamesByDomain = {}
     for target in sorted(targets, key=lambda target: target.name):
         key = (target.service, target.domain)
         waiting.setdefault(key, []).append(target.name)
     return waiting
 
 
-def _without(waiting: _Waiting, names: set[str]) -> _Waiting:
-    left = {
+def _remove_names(waiting: _NamesByDomain, names: set[str]) -> _NamesByDomain:
+    remaining = {
         key: [name for name in group if name not in names]
         for key, group in waiting.items()
     }
-    return {key: group for key, group in left.items() if group}
+    return {key: group for key, group in remaining.items() if group}
 
 
 def _fill_round(
-    waiting: _Waiting, allowance: Mapping[str, int], limit: int
+    waiting: _NamesByDomain, allowance: Mapping[str, int], limit: int
 ) -> list[str]:
     """Returns at most ``limit`` names, one failure domain for each service."""
     needed = {
@@ -213,42 +219,42 @@
     }
     names: list[str] = []
     for service in sorted(needed, key=lambda one: (-needed[one], one)):
-        room = min(limit - len(names), allowance[service])
-        if room <= 0:
+        max_names = min(limit - len(names), allowance[service])
+        if max_names <= 0:
             break
-        names += _best_domain(waiting, service, allowance[service], room)
+        names += _best_domain(waiting, service, allowance[service], max_names)
     return names
 
 
-def _rounds_left(waiting: _Waiting, service: str, allowed: int) -> int:
+def _rounds_left(waiting: _NamesByDomain, service: str, allowed: int) -> int:
     return sum(
         math.ceil(len(names) / allowed)
-        for (owner, _), names in waiting.items()
-        if owner == service
+        for (other, _), names in waiting.items()
+        if other == service
     )
 
 
 def _best_domain(
-    waiting: _Waiting, service: str, allowed: int, room: int
+    waiting: _NamesByDomain, service: str, allowed: int, max_names: int
 ) -> list[str]:
-    """Returns the names of the domain that saves most rounds by going now."""
+    """Returns names from the domain whose turn now saves the most rounds."""
 
-    def gain(item: tuple[str, list[str]]) -> tuple[int, int, str]:
+    def saving(item: tuple[str, list[str]]) -> tuple[int, int, str]:
         domain, names = item
-        taken = min(room, len(names))
+        removed = min(max_names, len(names))
         before = math.ceil(len(names) / allowed)
-        after = math.ceil((len(names) - taken) / allowed)
-        return (before - after, taken, domain)
+        after = math.ceil((len(names) - removed) / allowed)
+        return (before - after, removed, domain)
 
     domains = [
         (domain, names)
-        for (owner, domain), names in waiting.items()
-        if owner == service
+        for (other, domain), names in waiting.items()
+        if other == service
     ]
-    return max(domains, key=gain)[1][:room]
+    return max(domains, key=saving)[1][:max_names]
 
 
-def _forbidden(
+def _refusal_reason(
     fleet: fleet_state.Fleet,
     config: config_lib.Config,
     service: str,
@@ -256,12 +262,12 @@
 ) -> str | None:
     if service not in config.services:
         return f"{service}: the configuration has no such service"
-    standing = budgets.standing(fleet, config, service, kind)
-    if standing.allowed <= 0:
+    usage = budgets.standing(fleet, config, service, kind)
+    if usage.allowed <= 0:
         return f"{service}: its budget allows no {kind} to be down"
-    if standing.headroom <= 0:
+    if usage.headroom <= 0:
         return (
-            f"{service}: {standing.down_count} of {standing.allowed} allowed "
+            f"{service}: {usage.down_count} of {usage.allowed} allowed "
             f"{kind}s are down already"
         )
     return None
--- a/src/vanillaswitch/coordination/maintenance/wave_state.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_state.py
@@ -1,4 +1,4 @@
-"""Rows of maintenance waves: how far each has come and why it waits."""
+"""Rows of maintenance waves: progress, failures and reasons to wait."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -6,7 +6,7 @@
 
 
 class WaveState(enum.StrEnum):
-    """Where a wave stands."""
+    """State of a wave's run."""
 
     PLANNED = "planned"
     RUNNING = "running"
@@ -16,32 +16,34 @@
 
 
 BEGUN = frozenset({WaveState.RUNNING, WaveState.PAUSED, WaveState.STOPPED})
-"""States of a wave that has been started and is not over."""
+"""States of a wave that was started and has not finished."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Wave:
     """``wave/<name>``: one run of a maintenance wave.
 
-    The progress of an instance is in its own row, and so is that it is done:
-    this row holds the names of the whole wave and would be written anew for
-    each of them.
+    The progress and completion of each instance are stored in the row of the
+    instance. This row holds the names of the whole wave, and would otherwise
+    be rewritten for every instance.
 
     Attributes:
-        run: random id of this run; a new start of the wave is a new run.
+        state: state of the run.
+        run: random id of this run; each start of the wave is a new run.
         rounds: instances by round, in the order planned at the start.
         done: instances that were rebooted and serve again, as of the last
             write of this row; see ``fleet_state.Fleet.joined``.
         failed: instance to the reason why it did not come back.
-        acknowledged: failures that an operator knew of when resuming; they
-            no longer count against the wave.
-        reason: why it is in its state.
-        operator: who brought it there last; empty for the system itself.
-        started_wall_s: when the run began, seconds since the Unix epoch.
-        expected_s: how long the plan said that it takes.
-        waits: why it begins nothing although nothing of it is under way;
-            empty while it goes on.
-        slow: instance to what its drain waits for, beyond the limit.
+        acknowledged: failed instances that don't count towards stopping the
+            wave: an operator knew of them when resuming, or they failed
+            before the wave took them down.
+        reason: why the run is in its state.
+        operator: who last changed the state; empty for the system itself.
+        started_wall_s: when the run started, seconds since the Unix epoch.
+        expected_s: duration according to the plan, in seconds.
+        waits: why the running wave has no instance in maintenance and takes
+            none down; empty while it makes progress.
+        slow: instance to the reason why its drain exceeds the limit.
     """
 
     state: WaveState
@@ -58,27 +60,27 @@
     slow: Mapping[str, str] = dataclasses.field(default_factory=dict)
 
     def mark(self, name: str) -> str:
-        """Returns what an instance's row says once this run is done with it.
+        """Returns the value of ``maintained`` in the rows of done instances.
 
         Args:
-            name: the wave's.
+            name: name of the wave.
         """
         return f"{name}/{self.run}"
 
-    def same_but_done(self, other: "Wave") -> bool:
-        """Tells whether two states of a run differ in ``done`` at most."""
+    def equals_except_done(self, other: "Wave") -> bool:
+        """Returns whether two states of a run differ in ``done`` at most."""
         return dataclasses.replace(self, done=other.done) == other
 
     @property
-    def over(self) -> frozenset[str]:
-        """Instances that this run takes down no more."""
+    def processed(self) -> frozenset[str]:
+        """Instances that this run won't take down again: done or failed."""
         return frozenset(self.done) | frozenset(self.failed)
 
     @property
     def current_round(self) -> int | None:
-        """Index of the first round that is not over; None after the last."""
-        over = self.over
+        """Index of the first unfinished round; None when all are finished."""
+        processed = self.processed
         for index, names in enumerate(self.rounds):
-            if not over.issuperset(names):
+            if not processed.issuperset(names):
                 return index
         return None
--- a/src/vanillaswitch/coordination/maintenance/wave_verdict.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_verdict.py
@@ -1,4 +1,4 @@
-"""Judges a maintenance wave: what failed, whether it stops or is over."""
+"""Evaluates a maintenance wave: failures, when to stop, when it is finished."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -14,47 +14,50 @@
 from vanillaswitch.coordination.maintenance import wave_state
 from vanillaswitch.state import config as config_lib
 
-LONGEST_OVERRUN = 3.0
-"""Most of a plan's expected time that counts as elapsed."""
+MAX_OVERRUN_FACTOR = 3.0
+"""Multiple of the planned duration to which the elapsed time is capped."""
 
 
 @dataclasses.dataclass(frozen=True)
-class View:
-    """What a step decides on.
+class WaveView:
+    """Input of one step.
 
     Attributes:
         name: the wave.
-        fleet: what the wave has under way and the members of the judged
-            services, with what they say.
-        whole: rows of all members, without what they say.
-        judged: services whose budgets this step may draw on.
-        booting: instances that reboot and were not asked for that.
-        broken: instance to the reason why it counts as failed by now.
-        slow: instance to the reason why its drain takes too long.
-        soak_left_s: how long the first round has still to serve.
-        wall_s: wall-clock time.
+        fleet: the wave's instances in maintenance and the members of the
+            evaluated services, with their status.
+        whole_fleet: rows of all members, without status.
+        evaluated_services: services whose budgets this step may use.
+        unfinished_reboots: rebooting instances that were not asked for their
+            status, as they can't have finished yet.
+        config: the configuration in force.
+        failing: instance to the reason why it counts as failed.
+        slow_drains: instance to the reason why its drain takes too long.
+        remaining_soak_s: how long the first round must still serve.
+        wall_s: wall-clock time, seconds since the Unix epoch.
+        new_operation: makes the id of an operation.
     """
 
     name: str
     fleet: fleet_state.Fleet
-    whole: fleet_state.Fleet
-    judged: frozenset[str]
-    booting: frozenset[str]
+    whole_fleet: fleet_state.Fleet
+    evaluated_services: frozenset[str]
+    unfinished_reboots: frozenset[str]
     config: config_lib.Config
-    broken: Mapping[str, str]
-    slow: Mapping[str, str]
-    soak_left_s: float
+    failing: Mapping[str, str]
+    slow_drains: Mapping[str, str]
+    remaining_soak_s: float
     wall_s: float
     new_operation: Callable[[], str]
 
     @functools.cached_property
     def wave(self) -> wave_state.Wave:
-        """The wave's row, with what is done by now."""
-        return self.whole.joined(self.name)
+        """The wave's row, with ``done`` up to date."""
+        return self.whole_fleet.joined(self.name)
 
     @property
     def under_way(self) -> tuple[fleet_state.Member, ...]:
-        """Instances that the wave has down."""
+        """The wave's instances in maintenance."""
         return tuple(
             member
             for _, member in sorted(self.fleet.members.items())
@@ -63,20 +66,20 @@
         )
 
 
-def record_failures(view: View) -> wave_state.Wave:
-    """Returns the wave with the instances that count as failed by now."""
+def record_failures(view: WaveView) -> wave_state.Wave:
+    """Returns the wave with all instances that count as failed."""
     wave = view.wave
     failed = dict(wave.failed)
     acknowledged = set(wave.acknowledged)
-    touched = {m.name for m in view.under_way} | set(wave.done)
+    started = {m.name for m in view.under_way} | set(wave.done)
     current = _round_names(wave)
-    for name in sorted((touched | current) - failed.keys()):
-        reason = _failure(view, name)
+    for name in sorted((started | current) - failed.keys()):
+        reason = _failure_reason(view, name)
         if reason is None:
             continue
         failed[name] = reason
-        # What was lost before its turn is not the wave's doing.
-        if name not in touched:
+        # The wave did not cause a failure before it took the instance down.
+        if name not in started:
             acknowledged.add(name)
     return dataclasses.replace(
         wave, failed=failed, acknowledged=tuple(sorted(acknowledged))
@@ -84,7 +87,12 @@
 
 
 def record_done(wave: wave_state.Wave, names: Iterable[str]) -> wave_state.Wave:
-    """Returns the wave with instances that serve again after a reboot."""
+    """Returns the wave with instances marked as done.
+
+    Args:
+        wave: the wave before.
+        names: instances that serve again after their reboot.
+    """
     done = set(names)
     failed = {
         name: why for name, why in wave.failed.items() if name not in done
@@ -98,62 +106,69 @@
     return set() if current is None else set(wave.rounds[current])
 
 
-def _failure(view: View, name: str) -> str | None:
-    if name not in view.whole.members:
+def _failure_reason(view: WaveView, name: str) -> str | None:
+    if name not in view.whole_fleet.members:
         return "belongs to no pool any more"
-    return view.broken.get(name)
+    return view.failing.get(name)
 
 
 def stop_if_correlated(
-    view: View, wave: wave_state.Wave, draft: changes.Draft
+    view: WaveView, wave: wave_state.Wave, draft: changes.Draft
 ) -> wave_state.Wave:
-    """Stops a wave with more failures than the background rate explains."""
+    """Stops a wave with more failures than the background rate explains.
+
+    Returns:
+        The wave, stopped or unchanged.
+    """
     if wave.state is not wave_state.WaveState.RUNNING:
         return wave
     spec = view.config.waves.get(view.name)
     if spec is None:
         reason = "the configuration has no such wave any more"
-        return _turn(view, wave, draft, wave_state.WaveState.STOPPED, reason)
+        return _change_state(
+            view, wave, draft, wave_state.WaveState.STOPPED, reason
+        )
     planned = {name for names in wave.rounds for name in names}
-    touched = planned & (wave.over | {m.name for m in view.under_way})
+    started = planned & (wave.processed | {m.name for m in view.under_way})
     mean = correlation.expected_failures(
         spec.background_failures_per_day,
         _elapsed_s(view, wave),
-        len(touched),
+        len(started),
         len(planned),
     )
-    explained = correlation.most_explained(mean)
-    fresh = set(wave.failed) - set(wave.acknowledged)
-    if len(fresh) <= explained:
+    max_explained = correlation.most_explained(mean)
+    unacknowledged = set(wave.failed) - set(wave.acknowledged)
+    if len(unacknowledged) <= max_explained:
         return wave
     reason = (
-        f"{len(fresh)} failed ({', '.join(sorted(fresh))}); the background "
-        f"rate explains at most {explained}"
+        f"{len(unacknowledged)} failed "
+        f"({', '.join(sorted(unacknowledged))}); the background "
+        f"rate explains at most {max_explained}"
     )
     figures = {
-        "failed": float(len(fresh)),
-        "explained": float(explained),
+        "failed": float(len(unacknowledged)),
+        "explained": float(max_explained),
         "mean": mean,
         "significance": correlation.SIGNIFICANCE,
     }
     state = wave_state.WaveState.STOPPED
-    return _turn(view, wave, draft, state, reason, figures)
+    return _change_state(view, wave, draft, state, reason, figures)
 
 
-def _elapsed_s(view: View, wave: wave_state.Wave) -> float:
-    """Returns how long the wave has run, as far as it may count.
+def _elapsed_s(view: WaveView, wave: wave_state.Wave) -> float:
+    """Returns how long the wave has run, capped.
 
-    A wall clock that jumps ahead, or a wave that was paused over a weekend,
-    would let the background rate explain any number of failures.
+    Without the cap, a wall clock that jumps ahead or a wave paused over a
+    weekend would let the background rate explain any number of failures.
     """
     elapsed = max(0.0, view.wall_s - wave.started_wall_s)
-    return min(elapsed, LONGEST_OVERRUN * wave.expected_s)
+    return min(elapsed, MAX_OVERRUN_FACTOR * wave.expected_s)
 
 
-def finish_if_over(
-    view: View, wave: wave_state.Wave, draft: changes.Draft
+def finish_if_complete(
+    view: WaveView, wave: wave_state.Wave, draft: changes.Draft
 ) -> wave_state.Wave:
-    """Finishes a wave whose last round is over."""
+    """Finishes a wave whose rounds are all finished."""
     if wave.state is not wave_state.WaveState.RUNNING:
         return wave
     if wave.current_round is not None:
@@ -164,23 +179,23 @@
     }
     state = wave_state.WaveState.FINISHED
     reason = "every round is over"
-    return _turn(view, wave, draft, state, reason, figures)
+    return _change_state(view, wave, draft, state, reason, figures)
 
 
-def _turn(
-    view: View,
+def _change_state(
+    view: WaveView,
     wave: wave_state.Wave,
     draft: changes.Draft,
     state: wave_state.WaveState,
     reason: str,
     figures: Mapping[str, float] | None = None,
 ) -> wave_state.Wave:
-    draft.explain(decision(view, reason, f"wave {state}", figures or {}))
+    draft.explain(build_decision(view, reason, f"wave {state}", figures or {}))
     return dataclasses.replace(wave, state=state, reason=reason, operator="")
 
 
-def decision(
-    view: View, cause: str, rule: str, figures: Mapping[str, float]
+def build_decision(
+    view: WaveView, cause: str, rule: str, figures: Mapping[str, float]
 ) -> explain.Decision:
     """Returns the record of a decision about the wave."""
     return explain.Decision(
--- a/src/vanillaswitch/coordination/maintenance/wave_wait.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_wait.py
@@ -1,7 +1,7 @@
-"""Says why a running wave has nothing under way and begins nothing.
+"""Finds the reasons why a running wave makes no progress.
 
-Without it an operator whose wave stands still after a rack was lost reads
-"running" and nothing else.
+Without them, an operator would see only "running" for a wave that is blocked,
+for example after the loss of a rack.
 """
 
 from collections.abc import Iterator
@@ -15,57 +15,65 @@
 from vanillaswitch.coordination.maintenance import wave_verdict
 
 
-def note(
-    view: wave_verdict.View,
+def record_wait_reason(
+    view: wave_verdict.WaveView,
     wave: wave_state.Wave,
-    began: bool,
+    started: bool,
     draft: changes.Draft,
 ) -> wave_state.Wave:
-    """Returns the wave with why it waits, explained when that is news.
+    """Returns the wave with its reason to wait, and explains a new one.
 
     Args:
-        view: what the step decides on.
-        wave: the wave as the step leaves it.
-        began: whether the step takes something down.
-        draft: takes the explanation.
+        view: input of the step.
+        wave: the wave after the step.
+        started: whether the step takes an instance down.
+        draft: receives the explanation.
     """
     running = wave.state is wave_state.WaveState.RUNNING
-    stands = running and not began and not view.under_way
-    causes = list(_causes(view, wave)) if stands else []
-    waits = "; ".join(causes)
-    if waits == wave.waits:
+    is_idle = running and not started and not view.under_way
+    reasons = list(_wait_reasons(view, wave)) if is_idle else []
+    wait_reason = "; ".join(reasons)
+    if wait_reason == wave.waits:
         return wave
-    if waits:
-        figures = {"waiting": float(len(wave_front.waiting(wave, view.fleet)))}
-        draft.explain(wave_verdict.decision(view, waits, "wave waits", figures))
-    return dataclasses.replace(wave, waits=waits)
+    if wait_reason:
+        figures = {
+            "waiting": float(len(wave_front.waiting_members(wave, view.fleet)))
+        }
+        draft.explain(
+            wave_verdict.build_decision(
+                view, wait_reason, "wave waits", figures
+            )
+        )
+    return dataclasses.replace(wave, waits=wait_reason)
 
 
-def _causes(view: wave_verdict.View, wave: wave_state.Wave) -> Iterator[str]:
-    if view.soak_left_s:
+def _wait_reasons(
+    view: wave_verdict.WaveView, wave: wave_state.Wave
+) -> Iterator[str]:
+    if view.remaining_soak_s:
         soak_s = view.config.waves[view.name].soak_s
         yield f"the first round serves for {soak_s:g} s before the next begins"
         return
-    members = wave_front.waiting(wave, view.fleet)
+    members = wave_front.waiting_members(wave, view.fleet)
     kind = wave_plan.KINDS[view.config.waves[view.name].targets]
     for service in sorted({member.row.service for member in members}):
         if service not in view.config.services:
             yield f"{service}: the configuration has no such service"
             continue
-        stands = budgets.standing(view.fleet, view.config, service, kind)
-        if stands.headroom <= 0:
-            yield _exhausted(stands)
+        usage = budgets.standing(view.fleet, view.config, service, kind)
+        if usage.headroom <= 0:
+            yield _exhausted_budget(usage)
             continue
         for member in members:
-            if member.row.service == service and member.name in stands.down:
-                yield f"{member.name}: {stands.down[member.name]}"
+            if member.row.service == service and member.name in usage.down:
+                yield f"{member.name}: {usage.down[member.name]}"
 
 
-def _exhausted(stands: budgets.Standing) -> str:
-    names = ", ".join(sorted(stands.down))
-    missing = stands.meant - stands.members
+def _exhausted_budget(usage: budgets.Standing) -> str:
+    names = ", ".join(sorted(usage.down))
+    missing = usage.meant - usage.members
     more = f" and {missing} that never were there" if missing > 0 else ""
     return (
-        f"{stands.service}: budget used up, {stands.down_count} of "
-        f"{stands.allowed} allowed {stands.kind}s are down ({names}{more})"
+        f"{usage.service}: budget used up, {usage.down_count} of "
+        f"{usage.allowed} allowed {usage.kind}s are down ({names}{more})"
     )
