--- a/src/vanillaswitch/coordination/control/__init__.py
+++ b/src/vanillaswitch/coordination/control/__init__.py
@@ -1,1 +1,1 @@
-"""Who does which control work: leases, duties, fencing epochs."""
+"""Distribution of control work: session leases, duties, fencing epochs."""
--- a/src/vanillaswitch/coordination/control/controller.py
+++ b/src/vanillaswitch/coordination/control/controller.py
@@ -1,6 +1,6 @@
-"""The controller: keeps its session lease, takes its share of the duties.
+"""The controller: keeps a session lease and runs its share of the duties.
 
-Duties register themselves by kind::
+The step of each kind of duty is registered with a decorator::
 
     @controller.duty("wave")
     def step(context: Context, name: str, fence: duties.Fence) -> None: ...
@@ -37,29 +37,32 @@
 """Pause between two steps of a duty."""
 
 IDLE_S = 2.0
-"""Pause after a step that found nothing to do, see ``Context.rest``."""
+"""Pause after a step that found nothing to do; see ``Context.rest``."""
 
 
-def _keep(fence: duties.Fence) -> None:
+def _ignore_fence(fence: duties.Fence) -> None:
     del fence
 
 
-def _always() -> bool:
+def _always_leased() -> bool:
     return True
 
 
 @dataclasses.dataclass(frozen=True)
 class Context:
-    """What a step of a duty works with.
+    """Everything that a step of a duty uses.
 
     Attributes:
+        platform: the platform.
+        clock: the clock of this process.
+        rng: for ids and random choices.
         config: the configuration in force.
-        broadcast: sends a message to every peer, as soft state.
-        memory: soft memory of this duty in this process; empty at the start
+        broadcast: sends a message with soft state to every peer.
+        memory: soft state of this duty in this process; empty at the start
             of each epoch, never shared between duties.
-        drop: to be called with the fence that was found broken.
-        leased: whether the session lease is still held; asked again right
-            before a message that must not come late.
+        drop: releases the duty of a fence after a write was rejected.
+        leased: returns whether the session lease is still held; to be called
+            right before a message that must not be sent after its expiry.
     """
 
     platform: platform.Platform
@@ -68,19 +71,20 @@
     config: config_lib.Config
     broadcast: Callable[[peers.Message], None]
     memory: dict[str, Any] = dataclasses.field(default_factory=dict)
-    drop: Callable[[duties.Fence], None] = _keep
-    leased: Callable[[], bool] = _always
+    drop: Callable[[duties.Fence], None] = _ignore_fence
+    leased: Callable[[], bool] = _always_leased
 
-    def rest(self, nothing_to_do: bool, least_s: float = 0.0) -> None:
-        """Says how soon the next step is due.
+    def rest(self, is_idle: bool, min_pause_s: float = 0.0) -> None:
+        """Sets the pause before the next step of the duty.
 
         Args:
-            nothing_to_do: it may come after ``IDLE_S``.
-            least_s: it must not come before so many seconds, for what it
-                reads would be too much.
+            is_idle: whether the step found nothing to do; the pause is then
+                at least ``IDLE_S``, otherwise ``STEP_S``.
+            min_pause_s: lower bound on the pause, which limits the rate of
+                reads.
         """
-        least = IDLE_S if nothing_to_do else STEP_S
-        self.memory[_RESTS] = max(least, least_s)
+        pause_s = IDLE_S if is_idle else STEP_S
+        self.memory[_NEXT_PAUSE_S] = max(pause_s, min_pause_s)
 
 
 Broadcast = Callable[[peers.Message], None]
@@ -92,31 +96,35 @@
 
 
 def duty(kind: str) -> Callable[[Step], Step]:
-    """Registers the step of a duty kind, run while the duty is held.
+    """Registers the step of a duty kind, which runs while the duty is held.
 
-    Each write of a step carries ``fence.check``.
+    Each write of the step must include ``fence.check``.
     """
     return STEPS.register(kind)
 
 
 def keepalive(kind: str) -> Callable[[Step], Step]:
-    """Registers what goes on for a held duty when the table is away.
+    """Registers the keepalive of a duty kind, for outages of the table.
 
-    It runs in place of the step while the session lease has lapsed and no
-    other holder was seen. It may do only what is idempotent and needs no
-    table, such as renewing leases of tasks by message.
+    It runs in place of the step while the session lease has expired and the
+    row, as last read, names no other holder. It may only do work that is
+    idempotent and needs no table, such as renewing leases of tasks by message.
     """
     return KEEPALIVES.register(kind)
 
 
 def pause_after(memory: Mapping[str, Any]) -> float:
-    """Returns the seconds until the next step of a duty with this memory."""
-    pause_s: float = memory.get(_RESTS, STEP_S)
+    """Returns the pause before the next step of a duty, in seconds.
+
+    Args:
+        memory: soft state of the duty.
+    """
+    pause_s: float = memory.get(_NEXT_PAUSE_S, STEP_S)
     return pause_s
 
 
 class Controller:
-    """One controller process: a thin task around leases and duties."""
+    """One controller process, which runs its duties under a session lease."""
 
     def __init__(
         self,
@@ -127,135 +135,144 @@
         config: ConfigSource,
         broadcast: Broadcast,
     ):
-        """Makes a controller that holds nothing yet.
+        """Creates a controller without lease and duties.
 
         Args:
-            settings: who this process is; ``lease_s`` is the term.
+            settings: identity of this process; ``lease_s`` is the lease term.
             outside: the platform.
-            clock: moves the leases and paces the steps.
-            rng: for ids and the steps.
+            clock: times the leases and the pauses between steps.
+            rng: for ids, and passed to the steps.
             config: returns the configuration in force, None before the first.
             broadcast: sends a message to every peer.
         """
-        self._pause = settings.lease_s / leases.RENEWALS_PER_TERM
+        self._renewal_pause_s = settings.lease_s / leases.RENEWALS_PER_TERM
         self._platform = outside
         self._clock = clock
         self._rng = rng
         self._config = config
         self._broadcast = broadcast
-        self._member = membership.Member(settings, outside.table, clock, rng)
+        self._session = membership.ControllerSession(
+            settings, outside.table, clock, rng
+        )
         self._stopping = gevent.event.Event()
-        self._fatal: errors.InvariantError | None = None
+        self._fatal_error: errors.InvariantError | None = None
         self.counters: collections.Counter[str] = collections.Counter()
-        self._holdings = holdings.Holdings(self._member, self.counters)
+        self._held_duties = holdings.HeldDuties(self._session, self.counters)
 
     @property
     def name(self) -> str:
         """The controller's name."""
-        return self._member.name
+        return self._session.name
 
     @property
     def boot(self) -> str:
         """Random id of this start."""
-        return self._member.boot
+        return self._session.boot
 
     @property
     def leased(self) -> bool:
-        """Whether the session lease is held right now."""
-        return self._member.leased
+        """Whether the session lease is held now."""
+        return self._session.has_lease
 
     @property
     def fences(self) -> dict[str, duties.Fence]:
-        """The fence of each duty that this process last knew as its own."""
-        return self._holdings.fences
+        """The fence of each duty held when the table was last read."""
+        return self._held_duties.fences
 
     def run(self) -> None:
-        """Runs until ``stop``, then hands every duty over.
+        """Runs until ``stop`` is called, then hands every duty over.
 
         Raises:
-            errors.InvariantError: a step found a broken invariant.
+            errors.InvariantError: A step found a violated invariant.
         """
-        with self._stepping() as tasks:
+        with self._duty_tasks() as tasks:
             while not self._stopping.is_set():
                 self.tick()
-                if self._fatal is not None:
-                    raise self._fatal
-                self._spawn(tasks)
-                self._clock.sleep(self._pause)
+                if self._fatal_error is not None:
+                    raise self._fatal_error
+                self._spawn_missing_tasks(tasks)
+                self._clock.sleep(self._renewal_pause_s)
         self.resign()
 
     @contextlib.contextmanager
-    def _stepping(self) -> Iterator[dict[duties.Fence, gevent.Greenlet]]:
-        """Yields the tasks of held duties; none is left running behind."""
+    def _duty_tasks(self) -> Iterator[dict[duties.Fence, gevent.Greenlet]]:
+        """Yields a dict for the tasks of held duties; ends them on exit."""
         tasks: dict[duties.Fence, gevent.Greenlet] = {}
         try:
             yield tasks
-            gevent.joinall(list(tasks.values()), timeout=self._pause)
+            gevent.joinall(list(tasks.values()), timeout=self._renewal_pause_s)
         finally:
             gevent.killall(list(tasks.values()))
 
-    def _spawn(self, tasks: dict[duties.Fence, gevent.Greenlet]) -> None:
+    def _spawn_missing_tasks(
+        self, tasks: dict[duties.Fence, gevent.Greenlet]
+    ) -> None:
         for fence in [fence for fence, task in tasks.items() if task.dead]:
             del tasks[fence]
-        for name, fence in self._holdings.fences.items():
+        for name, fence in self._held_duties.fences.items():
             if fence not in tasks:
-                tasks[fence] = gevent.spawn(self._serve, name, fence)
+                tasks[fence] = gevent.spawn(self._run_duty, name, fence)
 
     def stop(self) -> None:
         """Asks ``run`` to end."""
         self._stopping.set()
 
     def tick(self) -> None:
-        """Renews the session, looks at the others, takes and hands over."""
-        self._member.renew()
-        if self._member.look():
-            self._rebalance(self._member.living())
-            self._member.forget()
+        """Renews the lease, reads all sessions and rebalances the duties."""
+        self._session.renew()
+        if self._session.read_sessions():
+            self._rebalance(self._session.live_controllers())
+            self._session.delete_dead_sessions()
 
     def step(self, name: str) -> None:
-        """Runs one step of a held duty, or its keepalive when lapsed.
+        """Runs one step of a held duty, or its keepalive without a lease.
 
-        A failing step is counted and tried again later; the other duties and
-        the lease go on. Only a broken invariant ends the process.
+        A failed step is counted and tried again later. It affects neither the
+        other duties nor the lease. Only a violated invariant ends the process.
         """
-        holding = self._holdings.get(name)
-        if holding is None:
+        held = self._held_duties.get(name)
+        if held is None:
             return
-        steps = STEPS if self.leased else KEEPALIVES
+        step_registry = STEPS if self.leased else KEEPALIVES
         kind = duty_names.kind(name)
         config = self._config()
-        if config is None or kind not in steps.names:
+        if config is None or kind not in step_registry.names:
             return
         try:
-            steps.get(kind)(self._context(holding, config), name, holding.fence)
+            step_registry.get(kind)(
+                self._context(held, config), name, held.fence
+            )
         except errors.InvariantError as error:
-            self._fatal = error
+            self._fatal_error = error
         except Exception as error:
             self.counters["step-failed"] += 1
-            self._log_failure(holding, error)
+            self._log_failure(held, error)
         else:
-            holding.memory.pop(_FAILURE, None)
+            held.soft_state.pop(_LAST_FAILURE, None)
 
     def resign(self) -> None:
-        """Hands every duty to the others and deletes the session row."""
-        if not self.leased or not self._member.look():
+        """Hands every duty over and deletes the session row."""
+        if not self.leased or not self._session.read_sessions():
             return
-        others = self._member.living()
-        others.pop(self.name, None)
-        if others:
-            self._rebalance(others)
-        self._holdings.clear()
-        self._member.leave()
-
-    def _serve(self, name: str, fence: duties.Fence) -> None:
-        """Steps one duty for as long as this epoch of it is held."""
-        while self._holdings.has(name, fence) and not self._stopping.is_set():
+        successors = self._session.live_controllers()
+        successors.pop(self.name, None)
+        if successors:
+            self._rebalance(successors)
+        self._held_duties.clear()
+        self._session.delete_session()
+
+    def _run_duty(self, name: str, fence: duties.Fence) -> None:
+        """Runs the steps of one duty while it is held with this fence."""
+        while (
+            self._held_duties.is_held(name, fence)
+            and not self._stopping.is_set()
+        ):
             self.step(name)
-            holding = self._holdings.get(name)
-            self._clock.sleep(pause_after(holding.memory if holding else {}))
+            held = self._held_duties.get(name)
+            self._clock.sleep(pause_after(held.soft_state if held else {}))
 
     def _context(
-        self, holding: holdings.Holding, config: config_lib.Config
+        self, held: holdings.HeldDuty, config: config_lib.Config
     ) -> Context:
         return Context(
             platform=self._platform,
@@ -263,28 +280,32 @@
             rng=self._rng,
             config=config,
             broadcast=self._broadcast,
-            memory=holding.memory,
-            drop=self._holdings.drop,
+            memory=held.soft_state,
+            drop=self._held_duties.release,
             leased=lambda: self.leased,
         )
 
     def _rebalance(self, members: dict[str, str]) -> None:
-        """Reads the duties, writes what is to change, keeps what is held."""
+        """Reads the duties, updates the held ones, takes and hands over.
+
+        Args:
+            members: boot id of each controller that may hold duties.
+        """
         config = self._config()
-        found = self._platform.table.scan(keys.DUTIES)
-        if config is None or isinstance(found, platform.Unavailable):
+        outcome = self._platform.table.scan(keys.DUTIES)
+        if config is None or isinstance(outcome, platform.Unavailable):
             return
-        table = duties.table_of(duty_names.of_config(config), found.rows)
-        self._holdings.keep(table)
-        if self.leased and self._member.settled_in:
-            self._holdings.rebalance(table, members)
+        table = duties.build_table(duty_names.of_config(config), outcome.rows)
+        self._held_duties.apply_table(table)
+        if self.leased and self._session.may_rebalance:
+            self._held_duties.rebalance(table, members)
 
-    def _log_failure(self, holding: holdings.Holding, error: Exception) -> None:
-        told = repr(error)
-        if holding.memory.get(_FAILURE) != told:
-            holding.memory[_FAILURE] = told
-            logs.warning("duty {} fails: {}", holding.name, told)
+    def _log_failure(self, held: holdings.HeldDuty, error: Exception) -> None:
+        text = repr(error)
+        if held.soft_state.get(_LAST_FAILURE) != text:
+            held.soft_state[_LAST_FAILURE] = text
+            logs.warning("a step of duty {} failed: {}", held.name, text)
 
 
-_FAILURE = "controller.failure"
-_RESTS = "controller.rests"
+_LAST_FAILURE = "controller.failure"
+_NEXT_PAUSE_S = "controller.rests"
--- a/src/vanillaswitch/coordination/control/duties.py
+++ b/src/vanillaswitch/coordination/control/duties.py
@@ -1,4 +1,4 @@
-"""Who holds which duty: even shares, take-over, hand-over, fencing."""
+"""Assignment of duties: even shares, take-over, hand-over and fencing."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -12,17 +12,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fence:
-    """Proof of holding a duty, which each write under it must carry.
+    """Fencing token of a duty, checked by each write under the duty.
 
-    A holder that was paused past its lease may wake up in the middle of a
-    write. Its successor has rewritten the duty's row by then, so that the
-    check of the old version refuses the write; it doesn't matter when the
-    write reaches the table.
+    A process that is paused past its lease may resume in the middle of a
+    write. By then its successor has rewritten the duty's row, so the check of
+    the old version rejects the write, no matter when it reaches the table.
 
     Attributes:
-        key: the duty's row.
-        version: of that row when the duty was taken.
-        epoch: fencing epoch.
+        key: key of the duty's row.
+        version: version of that row when the duty was taken.
+        epoch: fencing epoch; it grows by one with each new holder.
     """
 
     key: str
@@ -31,18 +30,18 @@
 
     @property
     def check(self) -> platform.Check:
-        """The condition that a transaction under the duty carries."""
+        """The condition that every transaction under the duty includes."""
         return platform.Check(self.key, self.version)
 
     def broken_by(self, outcome: platform.CommitOutcome) -> bool:
-        """Tells whether a commit was refused because the duty was lost."""
+        """Returns whether a commit was rejected because the duty was lost."""
         if not isinstance(outcome, platform.Conflict):
             return False
         return any(row.key == self.key for row in outcome.found)
 
 
 @dataclasses.dataclass(frozen=True)
-class Held:
+class DutyRecord:
     """The row of one duty; ``version`` is ABSENT before its first holder."""
 
     name: str
@@ -51,128 +50,159 @@
 
     @property
     def fence(self) -> Fence:
-        """The fence of the holder in the row."""
+        """The fence of the holder that the row names."""
         return Fence(keys.duty(self.name), self.version, self.duty.epoch)
 
 
-NOBODY = rows.Duty(holder="", boot="", epoch=0)
+UNHELD = rows.Duty(holder="", boot="", epoch=0)
 
 
-def table_of(
-    names: Iterable[str], found: Iterable[platform.Row]
-) -> dict[str, Held]:
-    """Returns each wanted duty with its row, by name."""
-    by_key = {row.key: row for row in found}
-    return {name: _held(name, by_key.get(keys.duty(name))) for name in names}
+def build_table(
+    names: Iterable[str], table_rows: Iterable[platform.Row]
+) -> dict[str, DutyRecord]:
+    """Returns a record of each named duty, by name.
+
+    Args:
+        names: the duties.
+        table_rows: duty rows; rows of other duties are ignored.
+    """
+    by_key = {row.key: row for row in table_rows}
+    return {
+        name: _record_of(name, by_key.get(keys.duty(name))) for name in names
+    }
 
 
-def _held(name: str, row: platform.Row | None) -> Held:
+def _record_of(name: str, row: platform.Row | None) -> DutyRecord:
     if row is None:
-        return Held(name, platform.ABSENT, NOBODY)
-    return Held(name, row.version, rows.load(rows.Duty, row.value))
+        return DutyRecord(name, platform.ABSENT, UNHELD)
+    return DutyRecord(name, row.version, rows.load(rows.Duty, row.value))
 
 
 def score(duty: str, member: str) -> int:
-    """Returns the rendezvous weight of a controller for a duty."""
+    """Returns the rendezvous hashing weight of a controller for a duty."""
     digest = hashlib.blake2b(f"{duty}\0{member}".encode(), digest_size=8)
     return int.from_bytes(digest.digest())
 
 
 def assign(
-    table: Mapping[str, Held], members: Mapping[str, str]
+    table: Mapping[str, DutyRecord], members: Mapping[str, str]
 ) -> dict[str, str]:
     """Returns the controller that should hold each duty.
 
-    Shares differ by at most one. Living holders keep what fits in their
-    share; what is free goes by rendezvous hashing to controllers with room.
-    All controllers that see the same rows come to the same result.
+    Shares differ by at most one. Live holders keep the duties that fit in
+    their share. Rendezvous hashing assigns the others to controllers whose
+    share is not full. All controllers that read the same rows compute the
+    same result.
 
     Args:
-        table: every wanted duty.
-        members: boot id of each living controller.
+        table: every duty of the configuration.
+        members: boot id of each live controller.
     """
     if not members:
         return {}
-    kept = _kept(table, members)
-    shares = _shares(len(table), kept)
+    held = _held_by_live(table, members)
+    sizes = _share_sizes(len(table), held)
     assigned = {
         name: member
-        for member, names in kept.items()
-        for name in names[: shares[member]]
+        for member, names in held.items()
+        for name in names[: sizes[member]]
     }
-    room = {m: shares[m] - min(len(kept[m]), shares[m]) for m in members}
+    free_slots = {m: sizes[m] - min(len(held[m]), sizes[m]) for m in members}
     for name in sorted(table.keys() - assigned.keys()):
-        open_to = [member for member in members if room[member] > 0]
-        member = max(open_to, key=lambda m, n=name: (score(n, m), m))  # type: ignore[misc]
+        candidates = [member for member in members if free_slots[member] > 0]
+        member = max(candidates, key=lambda m, n=name: (score(n, m), m))  # type: ignore[misc]
         assigned[name] = member
-        room[member] -= 1
+        free_slots[member] -= 1
     return assigned
 
 
-def _kept(
-    table: Mapping[str, Held], members: Mapping[str, str]
+def _held_by_live(
+    table: Mapping[str, DutyRecord], members: Mapping[str, str]
 ) -> dict[str, list[str]]:
-    """Returns what each living controller holds, the best matches first."""
-    kept: dict[str, list[str]] = {member: [] for member in members}
-    for name, held in table.items():
-        if members.get(held.duty.holder) == held.duty.boot:
-            kept[held.duty.holder].append(name)
-    for member, names in kept.items():
+    """Returns the duties of each live controller, highest weight first."""
+    held: dict[str, list[str]] = {member: [] for member in members}
+    for name, record in table.items():
+        if members.get(record.duty.holder) == record.duty.boot:
+            held[record.duty.holder].append(name)
+    for member, names in held.items():
         names.sort(key=lambda name, m=member: (-score(name, m), name))  # type: ignore[misc]
-    return kept
+    return held
+
 
+def _share_sizes(total: int, held: Mapping[str, list[str]]) -> dict[str, int]:
+    """Returns how many duties each controller gets.
 
-def _shares(total: int, kept: Mapping[str, list[str]]) -> dict[str, int]:
-    """Returns how many duties each controller gets, the busiest the most."""
-    share, extra = divmod(total, len(kept))
-    ranked = sorted(kept, key=lambda member: (-len(kept[member]), member))
+    Controllers that hold the most duties get the remainder, so that fewer
+    duties move.
+    """
+    share, extra = divmod(total, len(held))
+    ranked = sorted(held, key=lambda member: (-len(held[member]), member))
     return {m: share + (rank < extra) for rank, m in enumerate(ranked)}
 
 
-def changes(
-    table: Mapping[str, Held],
+def pending_puts(
+    table: Mapping[str, DutyRecord],
     members: Mapping[str, str],
-    me: str,
+    own_name: str,
 ) -> list[platform.Put]:
-    """Returns the duty rows that controller ``me`` has to write now.
+    """Returns the writes of duty rows that are due from one controller.
+
+    The controller takes duties that are assigned to it and have no live
+    holder. It hands over duties that it holds but that are assigned to
+    another controller. One write changes the holder, so a hand-over leaves no
+    time without one.
 
-    It takes what is assigned to it and has no living holder, and hands over
-    what it holds and is assigned to another, in one write with no gap.
+    Args:
+        table: every duty of the configuration.
+        members: boot id of each live controller.
+        own_name: the controller that writes.
     """
     puts = []
     for name, member in sorted(assign(table, members).items()):
-        held = table[name]
-        alive = members.get(held.duty.holder) == held.duty.boot
-        mine = alive and held.duty.holder == me
-        if mine != (member == me) and (mine or not alive):
-            puts.append(_handed(held, member, members[member]))
+        record = table[name]
+        is_held = members.get(record.duty.holder) == record.duty.boot
+        is_own = is_held and record.duty.holder == own_name
+        if is_own != (member == own_name) and (is_own or not is_held):
+            puts.append(_handover_put(record, member, members[member]))
     return puts
 
 
-def _handed(held: Held, member: str, boot: str) -> platform.Put:
-    duty = rows.Duty(member, boot, held.duty.epoch + 1)
-    return platform.Put(keys.duty(held.name), held.version, rows.dump(duty))
+def _handover_put(record: DutyRecord, member: str, boot: str) -> platform.Put:
+    duty = rows.Duty(member, boot, record.duty.epoch + 1)
+    return platform.Put(keys.duty(record.name), record.version, rows.dump(duty))
 
 
-def without(
+def without_conflicts(
     puts: Iterable[platform.Put], conflict: platform.Conflict
 ) -> tuple[platform.Put, ...]:
-    """Returns the writes that a conflict did not concern."""
-    lost = {row.key for row in conflict.found}
-    return tuple(put for put in puts if put.key not in lost)
+    """Returns the writes whose rows did not conflict."""
+    conflicting = {row.key for row in conflict.found}
+    return tuple(put for put in puts if put.key not in conflicting)
 
 
-def written(puts: Iterable[platform.Put], version: int) -> dict[str, Held]:
-    """Returns the duties that a commit wrote, by name."""
-    rows_put = [platform.Row(p.key, version, p.value or {}, "") for p in puts]
-    names = [keys.name_of(keys.DUTIES, row.key) for row in rows_put]
-    return table_of(names, rows_put)
+def records_after_commit(
+    puts: Iterable[platform.Put], version: int
+) -> dict[str, DutyRecord]:
+    """Returns the records of the duties that a commit wrote, by name."""
+    written_rows = [
+        platform.Row(p.key, version, p.value or {}, "") for p in puts
+    ]
+    names = [keys.name_of(keys.DUTIES, row.key) for row in written_rows]
+    return build_table(names, written_rows)
 
 
-def fences(table: Mapping[str, Held], me: str, boot: str) -> dict[str, Fence]:
-    """Returns the fence of each duty that this start of ``me`` holds."""
+def held_by(
+    table: Mapping[str, DutyRecord], own_name: str, boot: str
+) -> dict[str, Fence]:
+    """Returns the fence of each duty that a controller holds.
+
+    Args:
+        table: every duty of the configuration.
+        own_name: the controller.
+        boot: random id of its current start.
+    """
     return {
-        name: held.fence
-        for name, held in table.items()
-        if (held.duty.holder, held.duty.boot) == (me, boot)
+        name: record.fence
+        for name, record in table.items()
+        if (record.duty.holder, record.duty.boot) == (own_name, boot)
     }
--- a/src/vanillaswitch/coordination/control/duty_names.py
+++ b/src/vanillaswitch/coordination/control/duty_names.py
@@ -1,4 +1,4 @@
-"""The duties that a configuration implies."""
+"""Names of the duties that a configuration implies."""
 
 from vanillaswitch.state import config as config_lib
 
@@ -10,7 +10,7 @@
 
 
 def of_config(config: config_lib.Config) -> tuple[str, ...]:
-    """Returns the name of each duty, in order."""
+    """Returns the name of each duty of a configuration, sorted."""
     names = [f"{WAVE}/{name}" for name in config.waves]
     names += [f"{POOL_GROUP}/{name}" for name in config.services]
     names += [f"{PLACEMENT}/{name}" for name in config.data_centres]
@@ -19,10 +19,13 @@
 
 
 def kind(name: str) -> str:
-    """Returns the kind of a duty, the name it is registered under."""
+    """Returns the kind of a duty, under which its step is registered."""
     return name.partition("/")[0]
 
 
 def subject(name: str) -> str:
-    """Returns what a duty is about; empty where there is only one."""
+    """Returns the wave, service or data centre that a duty is for.
+
+    It is empty for kinds with only one duty.
+    """
     return name.partition("/")[2]
--- a/src/vanillaswitch/coordination/control/holdings.py
+++ b/src/vanillaswitch/coordination/control/holdings.py
@@ -1,4 +1,4 @@
-"""The duties that one controller holds, brought in line with the table."""
+"""The duties that one controller holds, kept in sync with the table."""
 
 import collections
 import dataclasses
@@ -9,97 +9,102 @@
 from vanillaswitch.internal import logs
 from vanillaswitch.protocol import platform
 
-GROUP = 64
-"""Rows in one transaction of takes and hand-overs."""
+MAX_PUTS_PER_TRANSACTION = 64
+"""Limit on the duty rows that one transaction writes."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Holding:
-    """A duty that this process holds, and its soft memory."""
+class HeldDuty:
+    """A duty that this process holds, with its soft state."""
 
     name: str
     fence: duties.Fence
-    memory: dict[str, Any]
+    soft_state: dict[str, Any]
 
 
-class Holdings:
-    """What a controller last knew as its own."""
+class HeldDuties:
+    """The duties that a controller held when it last read the table."""
 
     def __init__(
         self,
-        member: membership.Member,
+        session: membership.ControllerSession,
         counters: collections.Counter[str],
     ):
-        """Holds nothing yet.
+        """Creates an empty set of duties.
 
         Args:
-            member: the controller's session.
-            counters: where takes and losses are counted.
+            session: the controller's session.
+            counters: count the duties taken and lost.
         """
-        self._member = member
+        self._session = session
         self._counters = counters
-        self._by_name: dict[str, Holding] = {}
+        self._by_name: dict[str, HeldDuty] = {}
 
     @property
     def fences(self) -> dict[str, duties.Fence]:
-        """The fence of each duty."""
+        """The fence of each held duty, by name."""
         return {name: held.fence for name, held in self._by_name.items()}
 
-    def get(self, name: str) -> Holding | None:
-        """Returns a held duty."""
+    def get(self, name: str) -> HeldDuty | None:
+        """Returns a held duty; None if it is not held."""
         return self._by_name.get(name)
 
-    def has(self, name: str, fence: duties.Fence) -> bool:
-        """Tells whether a duty is still held in the same epoch."""
-        holding = self._by_name.get(name)
-        return holding is not None and holding.fence == fence
+    def is_held(self, name: str, fence: duties.Fence) -> bool:
+        """Returns whether a duty is still held with the same fence."""
+        held = self._by_name.get(name)
+        return held is not None and held.fence == fence
 
-    def drop(self, fence: duties.Fence) -> None:
-        """Forgets the duty whose fence was found broken."""
-        for name, holding in list(self._by_name.items()):
-            if holding.fence == fence:
+    def release(self, fence: duties.Fence) -> None:
+        """Removes the duty with this fence after a write was rejected."""
+        for name, held in list(self._by_name.items()):
+            if held.fence == fence:
                 del self._by_name[name]
                 self._counters["fence-broken"] += 1
 
     def clear(self) -> None:
-        """Forgets every duty."""
+        """Removes every duty."""
         self._by_name.clear()
 
-    def keep(self, table: dict[str, duties.Held]) -> None:
-        """Holds what the rows give it; memory lasts as long as the epoch."""
-        fences = duties.fences(table, self._member.name, self._member.boot)
+    def apply_table(self, table: dict[str, duties.DutyRecord]) -> None:
+        """Adds and removes duties as the table says.
+
+        Soft state is kept only while the epoch of the duty stays the same.
+        """
+        fences = duties.held_by(table, self._session.name, self._session.boot)
         lost = self._by_name.keys() - fences.keys()
-        taken = [n for n, f in fences.items() if not self.has(n, f)]
+        taken = [n for n, f in fences.items() if not self.is_held(n, f)]
         for name in lost:
             del self._by_name[name]
         for name in taken:
-            self._by_name[name] = Holding(name, fences[name], {})
+            self._by_name[name] = HeldDuty(name, fences[name], {})
         self._counters["duties-lost"] += len(lost)
         self._counters["duties-taken"] += len(taken)
         if lost or taken:
             logs.info(
-                "{} duties held: {} taken, {} lost",
+                "{} duties held after {} were taken and {} lost",
                 len(self._by_name),
                 len(taken),
                 len(lost),
             )
 
     def rebalance(
-        self, table: dict[str, duties.Held], members: dict[str, str]
+        self, table: dict[str, duties.DutyRecord], members: dict[str, str]
     ) -> None:
-        """Takes and hands over, many duties in each transaction.
+        """Takes and hands over duties, many in each transaction.
 
         Args:
-            table: every duty, updated by what is written.
-            members: boot id of each living controller.
+            table: every duty; updated with the rows that are written.
+            members: boot id of each live controller.
         """
-        puts = duties.changes(table, members, self._member.name)
-        for start in range(0, len(puts), GROUP):
-            group = tuple(puts[start : start + GROUP])
-            outcome = self._member.commit(group)
+        puts = duties.pending_puts(table, members, self._session.name)
+        for start in range(0, len(puts), MAX_PUTS_PER_TRANSACTION):
+            group = tuple(puts[start : start + MAX_PUTS_PER_TRANSACTION])
+            outcome = self._session.commit(group)
             if isinstance(outcome, platform.Conflict):
-                group = duties.without(group, outcome)
-                outcome = self._member.commit(group) if group else outcome
+                group = duties.without_conflicts(group, outcome)
+                outcome = self._session.commit(group) if group else outcome
             if isinstance(outcome, platform.Committed):
-                table.update(duties.written(group, outcome.version))
-                self.keep(table)
+                table.update(
+                    duties.records_after_commit(group, outcome.version)
+                )
+                self.apply_table(table)
--- a/src/vanillaswitch/coordination/control/leases.py
+++ b/src/vanillaswitch/coordination/control/leases.py
@@ -1,8 +1,9 @@
-"""Session leases of controllers: who lives, judged without comparing clocks.
+"""Session leases of controllers, which need no synchronized clocks.
 
-Each controller renews one row. The holder counts its term from before it sent
-the renewal; a watcher counts from after it first read the row. The holder
-therefore gives up before any watcher counts it as dead.
+Each controller renews one row. The holder measures its term from before it
+sends the renewal. A watcher measures from after it first reads the renewed
+row. The lease therefore expires for the holder before any watcher considers
+the holder dead.
 """
 
 from collections.abc import Iterable
@@ -13,8 +14,8 @@
 from vanillaswitch.state import keys
 from vanillaswitch.state import rows
 
-MARGIN = 1.1
-"""A watcher waits this many terms: clocks may run at unequal rates."""
+EXPIRY_FACTOR = 1.1
+"""Terms that a watcher waits; above 1 because clock rates may differ."""
 
 RENEWALS_PER_TERM = 3
 
@@ -24,26 +25,27 @@
     """The holder's view of its own session lease.
 
     Attributes:
-        session: what its row says, or is to say at the next renewal.
-        version: version of its row as last seen.
-        expires: monotonic seconds at which it lapses; None before the first
-            grant.
-        superseded: another start took the row; never renewed again.
+        session: content that its row has, or gets with the next renewal.
+        version: version of its row as last read.
+        expires_at: monotonic seconds at which the lease expires; None before
+            the first grant.
+        superseded: whether another start took the row; if so, the lease is
+            never renewed again.
     """
 
     session: rows.Session
     version: int = platform.ABSENT
-    expires: float | None = None
+    expires_at: float | None = None
     superseded: bool = False
 
-    def held(self, now: float) -> bool:
-        """Tells whether the holder may still act under this lease."""
-        granted = self.expires is not None and now < self.expires
-        return granted and not self.superseded
+    def is_held(self, now: float) -> bool:
+        """Returns whether the holder may still act under this lease."""
+        is_granted = self.expires_at is not None and now < self.expires_at
+        return is_granted and not self.superseded
 
 
-def renewal(lease: Lease, name: str) -> tuple[Lease, platform.Put]:
-    """Returns the next state of a lease and the write that renews it."""
+def prepare_renewal(lease: Lease, name: str) -> tuple[Lease, platform.Put]:
+    """Returns the lease with the next renewal number, and the renewal."""
     session = dataclasses.replace(
         lease.session, renewals=lease.session.renewals + 1
     )
@@ -51,40 +53,40 @@
     return dataclasses.replace(lease, session=session), put
 
 
-def renewed(
+def apply_renewal(
     lease: Lease,
     outcome: platform.CommitOutcome,
-    sent: float,
-    term: float,
+    sent_at: float,
+    term_s: float,
 ) -> Lease:
     """Returns the lease after a renewal.
 
     Args:
-        lease: as ``renewal`` returned it.
-        outcome: what came of the write.
-        sent: monotonic seconds from before the write was sent. An answer may
-            be late by any time, while watchers count from the write.
-        term: of the lease, in seconds.
+        lease: as ``prepare_renewal`` returned it.
+        outcome: outcome of the write.
+        sent_at: monotonic seconds from before the write was sent. The answer
+            may be arbitrarily late, while watchers count from the write.
+        term_s: term of the lease.
     """
     if isinstance(outcome, platform.Committed):
         return dataclasses.replace(
-            lease, version=outcome.version, expires=sent + term
+            lease, version=outcome.version, expires_at=sent_at + term_s
         )
     if isinstance(outcome, platform.Conflict):
-        return _after_conflict(lease, outcome.found)
+        return _resolve_conflict(lease, outcome.found)
     return lease
 
 
-def _after_conflict(lease: Lease, found: tuple[platform.Row, ...]) -> Lease:
-    """Learns the row's version, or that another start has taken it.
+def _resolve_conflict(lease: Lease, found: tuple[platform.Row, ...]) -> Lease:
+    """Takes over the row's version, or marks the lease as superseded.
 
-    A renewal whose answer was lost may take effect later; the next one then
-    conflicts with our own row. That row grants nothing by itself (when it was
-    sent is no longer known), only its version is learnt.
+    A renewal whose answer was lost may still take effect. The next renewal
+    then conflicts with the controller's own row. That row does not extend the
+    lease, as the time at which its renewal was sent is no longer known.
     """
     for row in found:
-        first = lease.version == platform.ABSENT
-        if row.version == platform.ABSENT or first:
+        is_first = lease.version == platform.ABSENT
+        if row.version == platform.ABSENT or is_first:
             return dataclasses.replace(lease, version=row.version)
         if rows.load(rows.Session, row.value).boot != lease.session.boot:
             return dataclasses.replace(lease, superseded=True)
@@ -93,10 +95,12 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Sighting:
-    """A session row as a watcher has seen it.
+class Observation:
+    """A session row as read by a watcher.
 
     Attributes:
+        session: content of the row.
+        version: version of the row.
         since: monotonic seconds after the first read with this version.
     """
 
@@ -107,62 +111,73 @@
 
 @dataclasses.dataclass(frozen=True)
 class Watch:
-    """A watcher's memory of every session row.
+    """What a watcher knows of every session row.
 
     Attributes:
-        sightings: by the controller's name.
-        read_at: monotonic seconds after the last read that was answered.
-        asked_at: monotonic seconds before that read was sent.
+        observations: by the controller's name.
+        read_answered_at: monotonic seconds after the last answered read.
+        read_sent_at: monotonic seconds before that read was sent.
     """
 
-    sightings: Mapping[str, Sighting] = dataclasses.field(default_factory=dict)
-    read_at: float = 0.0
-    asked_at: float = 0.0
+    observations: Mapping[str, Observation] = dataclasses.field(
+        default_factory=dict
+    )
+    read_answered_at: float = 0.0
+    read_sent_at: float = 0.0
 
 
 def observe(
     watch: Watch,
     found: Iterable[platform.Row],
-    asked: float,
-    answered: float,
-    term: float,
+    sent_at: float,
+    answered_at: float,
+    term_s: float,
 ) -> Watch:
-    """Returns the memory after one read of all session rows.
+    """Returns the watch after one read of all session rows.
+
+    If the table could not be read for a while, no controller could renew
+    either. All sessions would then look dead to the first reader. After such a
+    gap the watch starts counting again, so that an outage moves no duty.
 
-    When the table could not be read for long, nobody could renew either, and
-    every session would look dead to whoever reads first. Such a gap starts
-    the watching anew, so that an outage moves no duty.
+    Args:
+        watch: the watch before the read.
+        found: all session rows.
+        sent_at: monotonic seconds before the read was sent.
+        answered_at: monotonic seconds after it was answered.
+        term_s: term of the leases.
     """
-    gap = asked - watch.read_at > term / 2
-    sightings = {}
+    has_gap = sent_at - watch.read_answered_at > term_s / 2
+    observations = {}
     for row in found:
         name = keys.name_of(keys.SESSIONS, row.key)
-        known = watch.sightings.get(name)
-        if known is None or known.version != row.version or gap:
+        observation = watch.observations.get(name)
+        if observation is None or observation.version != row.version or has_gap:
             session = rows.load(rows.Session, row.value)
-            known = Sighting(session, row.version, answered)
-        sightings[name] = known
-    return Watch(sightings, read_at=answered, asked_at=asked)
+            observation = Observation(session, row.version, answered_at)
+        observations[name] = observation
+    return Watch(
+        observations, read_answered_at=answered_at, read_sent_at=sent_at
+    )
 
 
-def idle(watch: Watch, name: str) -> float:
-    """Returns for how many seconds a session is known to be unchanged."""
-    return watch.asked_at - watch.sightings[name].since
+def unchanged_s(watch: Watch, name: str) -> float:
+    """Returns for how many seconds a session has certainly not changed."""
+    return watch.read_sent_at - watch.observations[name].since
 
 
-def living(watch: Watch, term: float) -> dict[str, str]:
-    """Returns the boot id of each controller not known to be dead."""
+def live_controllers(watch: Watch, term_s: float) -> dict[str, str]:
+    """Returns the boot id of each controller whose lease may be valid."""
     return {
-        name: sighting.session.boot
-        for name, sighting in watch.sightings.items()
-        if idle(watch, name) <= term * MARGIN
+        name: observation.session.boot
+        for name, observation in watch.observations.items()
+        if unchanged_s(watch, name) <= term_s * EXPIRY_FACTOR
     }
 
 
-def forgotten(watch: Watch, after: float) -> list[platform.Put]:
-    """Returns writes that delete sessions unchanged for ``after`` seconds."""
+def dead_session_deletes(watch: Watch, after_s: float) -> list[platform.Put]:
+    """Returns writes that delete sessions unchanged for ``after_s``."""
     return [
-        platform.Put(keys.session(name), sighting.version, None)
-        for name, sighting in sorted(watch.sightings.items())
-        if idle(watch, name) > after
+        platform.Put(keys.session(name), observation.version, None)
+        for name, observation in sorted(watch.observations.items())
+        if unchanged_s(watch, name) > after_s
     ]
--- a/src/vanillaswitch/coordination/control/membership.py
+++ b/src/vanillaswitch/coordination/control/membership.py
@@ -1,4 +1,4 @@
-"""A controller's session: keeps its own lease and watches the others'."""
+"""A controller's session: renews its own lease and watches the others."""
 
 import dataclasses
 import random
@@ -12,14 +12,14 @@
 from vanillaswitch.state import rows
 from vanillaswitch.state import settings as settings_lib
 
-FORGET_TERMS = 20
-"""A session unchanged for this many terms is deleted."""
+DELETE_AFTER_TERMS = 20
+"""A session is deleted if it is unchanged for this many terms."""
 
-FORGET_GROUP = 64
-"""How many sessions one transaction deletes."""
+MAX_DELETES_PER_TRANSACTION = 64
+"""Limit on the sessions that one transaction deletes."""
 
 
-class Member:
+class ControllerSession:
     """The session of one start of a controller."""
 
     def __init__(
@@ -29,9 +29,9 @@
         clock: clock_lib.Clock,
         rng: random.Random,
     ):
-        """Makes a session that is not held yet."""
+        """Creates a session without a lease."""
         self._name = settings.process
-        self._term = settings.lease_s
+        self._term_s = settings.lease_s
         self._table = table
         self._clock = clock
         self._rng = rng
@@ -42,7 +42,7 @@
             renewals=0,
         )
         self._lease = leases.Lease(session)
-        self._joined: float | None = None
+        self._first_granted_at: float | None = None
         self._watch = leases.Watch()
 
     @property
@@ -56,68 +56,73 @@
         return self._lease.session.boot
 
     @property
-    def leased(self) -> bool:
+    def has_lease(self) -> bool:
         """Whether the session lease is held right now."""
-        return self._lease.held(self._clock.monotonic())
+        return self._lease.is_held(self._clock.monotonic())
 
     @property
-    def settled_in(self) -> bool:
-        """Whether a renewal's time has passed since the first grant.
+    def may_rebalance(self) -> bool:
+        """Whether one renewal interval has passed since the first grant.
 
-        Without this wait the first of several controllers that start
-        together would take every duty and hand most over again.
+        Without this wait, the first of several controllers that start at the
+        same time would take every duty and then hand most of them over.
         """
-        if self._joined is None:
+        if self._first_granted_at is None:
             return False
-        waited = self._clock.monotonic() - self._joined
-        return waited >= self._term / leases.RENEWALS_PER_TERM
+        waited_s = self._clock.monotonic() - self._first_granted_at
+        return waited_s >= self._term_s / leases.RENEWALS_PER_TERM
 
     def renew(self) -> None:
         """Renews the lease, unless another start has taken the row."""
         if self._lease.superseded:
             return
-        sent = self._clock.monotonic()
-        self._lease, put = leases.renewal(self._lease, self._name)
+        sent_at = self._clock.monotonic()
+        self._lease, put = leases.prepare_renewal(self._lease, self._name)
         outcome = self.commit((put,))
-        self._lease = leases.renewed(self._lease, outcome, sent, self._term)
-        if self._joined is None and self.leased:
-            self._joined = self._clock.monotonic()
+        self._lease = leases.apply_renewal(
+            self._lease, outcome, sent_at, self._term_s
+        )
+        if self._first_granted_at is None and self.has_lease:
+            self._first_granted_at = self._clock.monotonic()
 
-    def look(self) -> bool:
-        """Reads every session; returns whether the table answered."""
-        asked = self._clock.monotonic()
+    def read_sessions(self) -> bool:
+        """Reads every session row; returns whether the table answered."""
+        sent_at = self._clock.monotonic()
         found = self._table.scan(keys.SESSIONS)
         if isinstance(found, platform.Unavailable):
             return False
-        answered = self._clock.monotonic()
+        answered_at = self._clock.monotonic()
         self._watch = leases.observe(
-            self._watch, found.rows, asked, answered, self._term
+            self._watch, found.rows, sent_at, answered_at, self._term_s
         )
         return True
 
-    def living(self) -> dict[str, str]:
-        """Returns the boot id of each controller not known to be dead."""
-        return leases.living(self._watch, self._term)
+    def live_controllers(self) -> dict[str, str]:
+        """Returns the boot id of each controller whose lease may be valid."""
+        return leases.live_controllers(self._watch, self._term_s)
 
-    def forget(self) -> None:
-        """Deletes the rows of controllers that are long dead.
+    def delete_dead_sessions(self) -> None:
+        """Deletes the rows of controllers that have been dead for long.
 
-        The first by name does it for all; another's attempt is harmless.
+        The live controller with the first name does this for all. It is
+        harmless if another controller tries as well.
         """
-        puts = leases.forgotten(self._watch, FORGET_TERMS * self._term)
-        first = min(self.living(), default="")
-        if puts and self.leased and self._name == first:
-            self.commit(tuple(puts[:FORGET_GROUP]))
+        puts = leases.dead_session_deletes(
+            self._watch, DELETE_AFTER_TERMS * self._term_s
+        )
+        first = min(self.live_controllers(), default="")
+        if puts and self.has_lease and self._name == first:
+            self.commit(tuple(puts[:MAX_DELETES_PER_TRANSACTION]))
 
-    def leave(self) -> None:
-        """Deletes the session's row and never renews it again."""
+    def delete_session(self) -> None:
+        """Deletes the session's row and stops renewing it."""
         key = keys.session(self._name)
         self.commit((platform.Put(key, self._lease.version, None),))
         self._lease = dataclasses.replace(self._lease, superseded=True)
 
     def commit(self, puts: tuple[platform.Put, ...]) -> platform.CommitOutcome:
-        """Commits writes within the time between two renewals."""
+        """Commits writes; gives up after one renewal interval."""
         transaction = platform.Transaction(ids.new_id(self._rng), puts)
-        wait = self._term / leases.RENEWALS_PER_TERM
-        deadline = self._clock.monotonic() + wait
+        timeout_s = self._term_s / leases.RENEWALS_PER_TERM
+        deadline = self._clock.monotonic() + timeout_s
         return commits.settle(self._table, transaction, self._clock, deadline)
--- a/tests/common/controllers.py
+++ b/tests/common/controllers.py
@@ -1,4 +1,4 @@
-"""A few controllers over one table in memory, moved by hand."""
+"""A few controllers that share one in-memory table and a manual clock."""
 
 from collections.abc import Callable
 import random
@@ -18,27 +18,27 @@
 
 
 class OffsetClock:
-    """The same time as another clock, counted from elsewhere."""
+    """A clock that follows another one with a constant offset."""
 
     def __init__(self, base: clocks.ManualClock, offset: float):
         self._base, self._offset = base, offset
 
     def monotonic(self) -> float:
-        """Returns monotonic seconds of its own origin."""
+        """Returns monotonic seconds from this clock's own origin."""
         return self._base.monotonic() + self._offset
 
     def wall(self) -> float:
-        """Returns a wall time that is off."""
+        """Returns a wall-clock time that is wrong by the offset."""
         return self._base.wall() - self._offset
 
     def sleep(self, seconds: float) -> None:
-        """Moves the shared time on and lets other tasks run."""
+        """Advances the shared clock and lets other greenlets run."""
         self._base.sleep(seconds)
         gevent.sleep(0)
 
 
 class HookedTable:
-    """A table whose commits run a hook first: the place for a pause."""
+    """A table that can run a hook, such as a pause, before a commit."""
 
     def __init__(self, inner: table_lib.MemoryTable):
         self.inner = inner
@@ -54,21 +54,21 @@
         return self.inner.commit(wanted)
 
 
-def waves(count: int) -> config.Config:
-    """Returns a configuration with ``count`` duties in all, at least 2."""
+def config_with_duties(count: int) -> config.Config:
+    """Returns a configuration that implies ``count`` duties, at least 2."""
     wave = config.Wave((), config.WaveTarget.MINIONS)
     names = (f"w{number}" for number in range(count - 2))
     return config.Config({}, {}, {}, waves=dict.fromkeys(names, wave))
 
 
-class Group:
+class ControllerGroup:
     """Controllers that share a table, a clock and a configuration."""
 
     def __init__(self, names: str, duties: int):
         self.clock = clocks.ManualClock()
         self.faults = faults.Faults(self.clock)
         self.table = table_lib.MemoryTable(self.faults)
-        self.config = waves(duties)
+        self.config = config_with_duties(duties)
         self.members: dict[str, controller.Controller] = {}
         self.tables: dict[str, HookedTable] = {}
         self.sent: list[object] = []
@@ -77,7 +77,7 @@
             self.start(name)
 
     def start(self, name: str) -> controller.Controller:
-        """Starts a controller, or replaces one by a new start."""
+        """Starts a controller, replacing one of the same name."""
         self._starts += 1
         self.tables[name] = HookedTable(self.table)
         none: Any = None
@@ -91,13 +91,18 @@
         )
         return self.members[name]
 
-    def rounds(self, count: int, names: str = "") -> None:
-        """Ticks controllers in turn, a third of a term between rounds."""
+    def tick_rounds(self, count: int, names: str = "") -> None:
+        """Ticks controllers in turn and advances a third of a lease term.
+
+        Args:
+            count: number of rounds.
+            names: the controllers to tick; all when empty.
+        """
         for _ in range(count):
             for name in names or self.members:
                 self.members[name].tick()
             self.clock.advance(TERM / 3)
 
-    def shares(self) -> dict[str, int]:
-        """Returns how many duties each controller thinks it holds."""
+    def duty_counts(self) -> dict[str, int]:
+        """Returns the number of duties in each controller's local state."""
         return {name: len(m.fences) for name, m in self.members.items()}
--- a/tests/cover/test_duties.py
+++ b/tests/cover/test_duties.py
@@ -19,10 +19,12 @@
 
 
 @st.composite
-def tables(draw: st.DrawFn) -> dict[str, duties.Held]:
+def tables(draw: st.DrawFn) -> dict[str, duties.DutyRecord]:
     holders = draw(st.lists(st.sampled_from(["", *"abcdefgh"]), max_size=40))
     return {
-        f"wave/{n}": duties.Held(f"wave/{n}", n + 1, rows.Duty(who, "b", n))
+        f"wave/{n}": duties.DutyRecord(
+            f"wave/{n}", n + 1, rows.Duty(who, "b", n)
+        )
         for n, who in enumerate(holders)
     }
 
@@ -33,7 +35,7 @@
 
 @given(tables(), MEMBERS)
 def test_shares_differ_by_at_most_one(
-    table: dict[str, duties.Held], members: set[str]
+    table: dict[str, duties.DutyRecord], members: set[str]
 ) -> None:
     assigned = list(duties.assign(table, boots(members)).values())
     counts = [assigned.count(member) for member in members]
@@ -43,7 +45,7 @@
 
 @given(tables(), MEMBERS)
 def test_a_duty_leaves_its_living_holder_only_when_the_share_is_full(
-    table: dict[str, duties.Held], members: set[str]
+    table: dict[str, duties.DutyRecord], members: set[str]
 ) -> None:
     assigned = duties.assign(table, boots(members))
     for member in members:
@@ -55,10 +57,10 @@
 
 @given(tables(), MEMBERS)
 def test_each_change_is_written_by_exactly_one_controller(
-    table: dict[str, duties.Held], members: set[str]
+    table: dict[str, duties.DutyRecord], members: set[str]
 ) -> None:
     alive = boots(members)
-    puts = [p for m in members for p in duties.changes(table, alive, m)]
+    puts = [p for m in members for p in duties.pending_puts(table, alive, m)]
     assert len({put.key for put in puts}) == len(puts)
     for put in puts:
         held = table[keys.name_of(keys.DUTIES, put.key)]
@@ -72,7 +74,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.group = controllers.Group("abc", duties=4)
+        self.group = controllers.ControllerGroup("abc", duties=4)
         self.fences: list[tuple[str, duties.Fence]] = []
         self.writes = 0
         self.epochs: dict[str, int] = {}
@@ -101,7 +103,7 @@
     @stateful.rule()
     def everyone_ticks_for_two_terms(self) -> None:
         """All runs well for a while."""
-        self.group.rounds(6)
+        self.group.tick_rounds(6)
         for member in self.group.members.values():
             self.note(member)
 
@@ -166,7 +168,7 @@
 
 
 def test_every_wanted_duty_is_named_once() -> None:
-    names = duty_names.of_config(controllers.waves(5))
+    names = duty_names.of_config(controllers.config_with_duties(5))
     assert names == ("claim-expiry", "repair", "wave/w0", "wave/w1", "wave/w2")
 
 
--- a/tests/cover/test_leases.py
+++ b/tests/cover/test_leases.py
@@ -20,14 +20,14 @@
 def test_holder_gives_up_before_a_watcher_counts_it_as_dead(
     sent: float, delay: float, reads: list[tuple[float, float]]
 ) -> None:
-    lease, _ = leases.renewal(leases.Lease(SESSION), "a")
-    lease = leases.renewed(lease, platform.Committed(7), sent, TERM)
+    lease, _ = leases.prepare_renewal(leases.Lease(SESSION), "a")
+    lease = leases.apply_renewal(lease, platform.Committed(7), sent, TERM)
     watch, now = leases.Watch(), sent + delay
     for pause, duration in reads:
-        asked, now = now + pause, now + pause + duration
-        watch = leases.observe(watch, [row(7)], asked, now, TERM)
-        if "a" not in leases.living(watch, TERM):
-            assert not lease.held(asked)
+        sent_at, now = now + pause, now + pause + duration
+        watch = leases.observe(watch, [row(7)], sent_at, now, TERM)
+        if "a" not in leases.live_controllers(watch, TERM):
+            assert not lease.is_held(sent_at)
         now += 0.001
 
 
@@ -35,28 +35,28 @@
     watch = leases.Watch()
     for tick in range(6):
         watch = leases.observe(watch, [row(7)], tick, tick, TERM)
-    assert leases.living(watch, TERM) == {}
+    assert leases.live_controllers(watch, TERM) == {}
 
 
 def test_an_answered_renewal_counts_from_before_it_was_sent() -> None:
-    lease = leases.renewed(
+    lease = leases.apply_renewal(
         leases.Lease(SESSION), platform.Committed(1), 10.0, TERM
     )
-    assert lease.held(12.9)
-    assert not lease.held(13.0)
+    assert lease.is_held(12.9)
+    assert not lease.is_held(13.0)
 
 
 def test_an_unknown_outcome_extends_nothing() -> None:
-    lease = leases.Lease(SESSION, version=1, expires=13.0)
+    lease = leases.Lease(SESSION, version=1, expires_at=13.0)
     unknown = platform.OutcomeUnknown("lost")
-    assert leases.renewed(lease, unknown, 12.0, TERM) == lease
+    assert leases.apply_renewal(lease, unknown, 12.0, TERM) == lease
 
 
 def test_a_start_whose_row_was_taken_never_renews_again() -> None:
     other = platform.Row(
         "session/a", 9, {**rows.dump(SESSION), "boot": "x"}, ""
     )
-    lease = leases.Lease(SESSION, version=1, expires=13.0)
-    lease = leases.renewed(lease, platform.Conflict((other,)), 12.0, TERM)
+    lease = leases.Lease(SESSION, version=1, expires_at=13.0)
+    lease = leases.apply_renewal(lease, platform.Conflict((other,)), 12.0, TERM)
     assert lease.superseded
-    assert not lease.held(12.1)
+    assert not lease.is_held(12.1)
--- a/tests/failures/test_duty_failures.py
+++ b/tests/failures/test_duty_failures.py
@@ -18,7 +18,7 @@
 
 
 def write(
-    group: controllers.Group, name: str, duty: str, token: str
+    group: controllers.ControllerGroup, name: str, duty: str, token: str
 ) -> platform.CommitOutcome:
     check = group.members[name].fences[duty].check
     put = platform.Put(f"work/{token}", platform.ABSENT, {"by": name})
@@ -27,7 +27,7 @@
     )
 
 
-def holder(group: controllers.Group, duty: str) -> str:
+def holder(group: controllers.ControllerGroup, duty: str) -> str:
     found = group.table.read([keys.duty(duty)])
     assert isinstance(found, platform.Rows)
     return rows.load(rows.Duty, found.rows[0].value).holder
@@ -39,13 +39,13 @@
     Controller a is paused just before its write leaves. Its lease lapses, b
     takes the duty over and works. Then a wakes up and its write goes out.
     """
-    group = controllers.Group("ab", duties=4)
-    group.rounds(4)
+    group = controllers.ControllerGroup("ab", duties=4)
+    group.tick_rounds(4)
     duty = next(iter(group.members["a"].fences))
-    group.tables["a"].before_commit = lambda: group.rounds(8, "b")
+    group.tables["a"].before_commit = lambda: group.tick_rounds(8, "b")
     outcome = write(group, "a", duty, "late")
     assert isinstance(outcome, platform.Conflict)
-    assert group.shares()["b"] == 4
+    assert group.duty_counts()["b"] == 4
     assert not group.members["a"].leased
 
 
@@ -55,8 +55,8 @@
     The renewal waits on its way for longer than the term. The holder must
     count from before it sent it, for the watchers have counted on.
     """
-    group = controllers.Group("ab", duties=4)
-    group.rounds(4)
+    group = controllers.ControllerGroup("ab", duties=4)
+    group.tick_rounds(4)
     late = group.members["a"]
     group.tables["a"].before_commit = functools.partial(
         group.clock.advance, 2 * controllers.TERM
@@ -71,12 +71,12 @@
     The table answers nothing and applies the write much later. Meanwhile the
     holder has died and its duty has a new holder.
     """
-    group = controllers.Group("ab", duties=4)
-    group.rounds(4)
+    group = controllers.ControllerGroup("ab", duties=4)
+    group.tick_rounds(4)
     duty = next(iter(group.members["a"].fences))
     group.faults.delay_effect = 1
     write(group, "a", duty, "delayed")
-    group.rounds(8, "b")
+    group.tick_rounds(8, "b")
     group.faults.release_delayed()
     assert group.table.read(["work/delayed"]) == platform.Rows(())
 
@@ -87,11 +87,11 @@
     The write that takes the duties takes effect, its answer is lost. The
     token in the rows tells the taker that it did.
     """
-    group = controllers.Group("ab", duties=10)
-    group.rounds(1)
+    group = controllers.ControllerGroup("ab", duties=10)
+    group.tick_rounds(1)
     group.faults.lose_answers = 5
-    group.rounds(3)
-    assert sum(group.shares().values()) == 10
+    group.tick_rounds(3)
+    assert sum(group.duty_counts().values()) == 10
     for name, member in group.members.items():
         assert all(holder(group, duty) == name for duty in member.fences)
 
@@ -102,17 +102,17 @@
     Nobody could renew for an hour, so that all sessions look dead to the
     controller that reads first. All leases lapse; nothing may be written.
     """
-    group = controllers.Group("abc", duties=9)
-    group.rounds(4)
-    group.rounds(1, "a")
+    group = controllers.ControllerGroup("abc", duties=9)
+    group.tick_rounds(4)
+    group.tick_rounds(1, "a")
     before = {name: m.fences for name, m in group.members.items()}
     group.faults.down = True
     for _ in range(60):
-        group.rounds(1)
+        group.tick_rounds(1)
         group.clock.advance(59)
     assert not any(member.leased for member in group.members.values())
     group.faults.down = False
-    group.rounds(8)
+    group.tick_rounds(8)
     assert {n: m.fences for n, m in group.members.items()} == before
     assert all(member.leased for member in group.members.values())
 
@@ -123,14 +123,14 @@
     Every controller is killed and started anew in one moment, under the same
     names; the rows still name the old starts.
     """
-    group = controllers.Group("abc", duties=9)
-    group.rounds(4)
+    group = controllers.ControllerGroup("abc", duties=9)
+    group.tick_rounds(4)
     for name in "abc":
         group.start(name)
-    group.rounds(1)
-    assert group.shares() == {"a": 0, "b": 0, "c": 0}
-    group.rounds(8)
-    assert group.shares() == {"a": 3, "b": 3, "c": 3}
+    group.tick_rounds(1)
+    assert group.duty_counts() == {"a": 0, "b": 0, "c": 0}
+    group.tick_rounds(8)
+    assert group.duty_counts() == {"a": 3, "b": 3, "c": 3}
     newer = [f.epoch for m in group.members.values() for f in m.fences.values()]
     assert min(newer) > 1
 
@@ -141,10 +141,10 @@
     Controller a cannot reach anything for a while and still has its fence;
     b rightly took over. Both write.
     """
-    group = controllers.Group("ab", duties=4)
-    group.rounds(4)
+    group = controllers.ControllerGroup("ab", duties=4)
+    group.tick_rounds(4)
     duty = next(iter(group.members["a"].fences))
-    group.rounds(8, "b")
+    group.tick_rounds(8, "b")
     assert duty in group.members["a"].fences
     assert duty in group.members["b"].fences
     assert isinstance(write(group, "b", duty, "b"), platform.Committed)
@@ -157,15 +157,15 @@
     The old holders hand duties over directly; no duty is ever without a
     living holder.
     """
-    group = controllers.Group("ab", duties=9)
-    group.rounds(4)
+    group = controllers.ControllerGroup("ab", duties=9)
+    group.tick_rounds(4)
     group.start("c")
     for _ in range(4):
-        group.rounds(1)
+        group.tick_rounds(1)
         assert group.table.scan(keys.DUTIES) != platform.Rows(())
         for duty in duty_names.of_config(group.config):
             assert holder(group, duty) in group.members
-    assert group.shares() == {"a": 3, "b": 3, "c": 3}
+    assert group.duty_counts() == {"a": 3, "b": 3, "c": 3}
 
 
 def test_operators_and_controllers_race_and_no_duty_is_lost() -> None:
@@ -174,13 +174,13 @@
     The operator adds and removes waves between any two ticks, so that
     controllers decide by different configurations.
     """
-    group = controllers.Group("abc", duties=6)
+    group = controllers.ControllerGroup("abc", duties=6)
     for count in (9, 4, 12, 7):
-        group.config = controllers.waves(count)
-        group.rounds(1, "a")
-        group.config = controllers.waves(count + 1)
-        group.rounds(1, "cb")
-    group.rounds(4)
+        group.config = controllers.config_with_duties(count)
+        group.tick_rounds(1, "a")
+        group.config = controllers.config_with_duties(count + 1)
+        group.tick_rounds(1, "cb")
+    group.tick_rounds(4)
     held = [duty for m in group.members.values() for duty in m.fences]
     assert collections.Counter(held).most_common(1)[0][1] == 1
     assert len(held) == 8
@@ -188,11 +188,11 @@
 
 def test_a_stopped_controller_hands_everything_over_at_once() -> None:
     """Each planned restart of a controller halts its waves for seconds."""
-    group = controllers.Group("ab", duties=6)
-    group.rounds(4)
+    group = controllers.ControllerGroup("ab", duties=6)
+    group.tick_rounds(4)
     group.members.pop("a").resign()
-    group.rounds(1)
-    assert group.shares() == {"b": 6}
+    group.tick_rounds(1)
+    assert group.duty_counts() == {"b": 6}
 
 
 def test_a_failing_duty_stops_neither_the_others_nor_the_lease(
@@ -212,8 +212,8 @@
         if name == "wave/w0":
             raise ValueError("this duty always fails")
 
-    group = controllers.Group("a", duties=5)
-    group.rounds(3)
+    group = controllers.ControllerGroup("a", duties=5)
+    group.tick_rounds(3)
     member = group.members["a"]
     for name in member.fences:
         member.step(name)
@@ -235,16 +235,16 @@
         kinds: registry.Registry[controller.Step] = registry.Registry("duty")
         kinds.register("repair")(lambda *_, name=name: called.append(name))  # type: ignore[misc]
         monkeypatch.setattr(controller, name, kinds)
-    group = controllers.Group("a", duties=2)
-    group.rounds(3)
+    group = controllers.ControllerGroup("a", duties=2)
+    group.tick_rounds(3)
     group.members["a"].step("repair")
     group.faults.down = True
-    group.rounds(6)
+    group.tick_rounds(6)
     group.members["a"].step("repair")
     assert called == ["STEPS", "KEEPALIVES"]
     group.faults.down = False
     group.start("b")
-    group.rounds(8, "b")
+    group.tick_rounds(8, "b")
     group.members["a"].tick()
     group.members["a"].step("repair")
     assert called == ["STEPS", "KEEPALIVES"]
@@ -265,7 +265,7 @@
         raise errors.InvariantError("an instance is in two pools")
 
     with pytest.raises(errors.InvariantError):
-        controllers.Group("a", duties=2).members["a"].run()
+        controllers.ControllerGroup("a", duties=2).members["a"].run()
 
 
 def test_a_running_controller_steps_its_duties_and_stops_cleanly(
@@ -277,8 +277,8 @@
     """
     kinds: registry.Registry[controller.Step] = registry.Registry("duty")
     monkeypatch.setattr(controller, "STEPS", kinds)
-    group = controllers.Group("ab", duties=2)
-    group.rounds(4)
+    group = controllers.ControllerGroup("ab", duties=2)
+    group.tick_rounds(4)
     stepped: list[str] = []
 
     @kinds.register("repair")
@@ -290,8 +290,8 @@
 
     group.members["a"].run()
     assert len(stepped) == 3
-    group.rounds(1, "b")
-    assert group.shares() == {"a": 0, "b": 2}
+    group.tick_rounds(1, "b")
+    assert group.duty_counts() == {"a": 0, "b": 2}
     found = group.table.scan(keys.SESSIONS)
     assert isinstance(found, platform.Rows)
     assert [row.key for row in found.rows] == [keys.session("b")]
