--- a/tests/cover/test_duties.py
+++ b/tests/cover/test_duties.py
@@ -1,4 +1,4 @@
-"""Duties are shared evenly, moved rarely, and fenced at any time."""
+"""Tests that duties are shared evenly, moved rarely, and always fenced."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -19,48 +19,50 @@
 
 
 @st.composite
-def tables(draw: st.DrawFn) -> dict[str, duties.DutyRecord]:
+def duty_tables(draw: st.DrawFn) -> dict[str, duties.DutyRecord]:
     holders = draw(st.lists(st.sampled_from(["", *"abcdefgh"]), max_size=40))
     return {
         f"wave/{n}": duties.DutyRecord(
-            f"wave/{n}", n + 1, rows.Duty(who, "b", n)
+            f"wave/{n}", n + 1, rows.Duty(holder, "b", n)
         )
-        for n, who in enumerate(holders)
+        for n, holder in enumerate(holders)
     }
 
 
-def boots(members: set[str]) -> dict[str, str]:
+def boot_ids(members: set[str]) -> dict[str, str]:
     return dict.fromkeys(sorted(members), "b")
 
 
-@given(tables(), MEMBERS)
+@given(duty_tables(), MEMBERS)
 def test_shares_differ_by_at_most_one(
     table: dict[str, duties.DutyRecord], members: set[str]
 ) -> None:
-    assigned = list(duties.assign(table, boots(members)).values())
+    assigned = list(duties.assign(table, boot_ids(members)).values())
     counts = [assigned.count(member) for member in members]
     assert sum(counts) == len(table)
     assert max(counts) - min(counts) <= 1
 
 
-@given(tables(), MEMBERS)
-def test_a_duty_leaves_its_living_holder_only_when_the_share_is_full(
+@given(duty_tables(), MEMBERS)
+def test_a_duty_leaves_a_live_holder_only_when_its_share_is_full(
     table: dict[str, duties.DutyRecord], members: set[str]
 ) -> None:
-    assigned = duties.assign(table, boots(members))
+    assigned = duties.assign(table, boot_ids(members))
     for member in members:
         held = {n for n, h in table.items() if h.duty.holder == member}
-        if held - {n for n, who in assigned.items() if who == member}:
+        if held - {n for n, holder in assigned.items() if holder == member}:
             assert list(assigned.values()).count(member) <= len(held)
             assert all(assigned[n] != member for n in table if n not in held)
 
 
-@given(tables(), MEMBERS)
+@given(duty_tables(), MEMBERS)
 def test_each_change_is_written_by_exactly_one_controller(
     table: dict[str, duties.DutyRecord], members: set[str]
 ) -> None:
-    alive = boots(members)
-    puts = [p for m in members for p in duties.pending_puts(table, alive, m)]
+    live_boot_ids = boot_ids(members)
+    puts = [
+        p for m in members for p in duties.pending_puts(table, live_boot_ids, m)
+    ]
     assert len({put.key for put in puts}) == len(puts)
     for put in puts:
         held = table[keys.name_of(keys.DUTIES, put.key)]
@@ -69,8 +71,8 @@
         )
 
 
-class Fencing(stateful.RuleBasedStateMachine):
-    """Any interleaving: pauses, lost and delayed writes, replacements."""
+class FencingMachine(stateful.RuleBasedStateMachine):
+    """Interleaves ticks, pauses, restarts, lost and delayed writes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -81,37 +83,37 @@
 
     @stateful.rule(name=st.sampled_from("abc"))
     def tick(self, name: str) -> None:
-        """One controller renews, looks and takes."""
+        """One controller renews its lease and rebalances."""
         member = self.group.members[name]
         member.tick()
-        self.note(member)
+        self.record_fences(member)
 
-    def note(self, member: controller.Controller) -> None:
-        """Remembers what a controller believes to hold."""
+    def record_fences(self, member: controller.Controller) -> None:
+        """Records the fences in a controller's local state."""
         self.fences += [(member.boot, f) for f in member.fences.values()]
 
     @stateful.rule(thirds=st.integers(1, 5))
     def time_passes(self, thirds: int) -> None:
-        """Nobody runs: everyone is paused."""
+        """All controllers are paused."""
         self.group.clock.advance(controllers.TERM * thirds / 3)
 
     @stateful.rule(name=st.sampled_from("abc"))
     def replace(self, name: str) -> None:
-        """A controller is killed and started anew."""
+        """A controller is killed and restarted."""
         self.group.start(name)
 
     @stateful.rule()
     def everyone_ticks_for_two_terms(self) -> None:
-        """All runs well for a while."""
+        """All controllers run for two terms."""
         self.group.tick_rounds(6)
         for member in self.group.members.values():
-            self.note(member)
+            self.record_fences(member)
 
     @stateful.rule(
         fault=st.sampled_from(["lose_answers", "drop_calls", "delay_effect"])
     )
     def fail_next(self, fault: str) -> None:
-        """The next commit fails in this way."""
+        """The next commit has this fault."""
         setattr(self.group.faults, fault, 1)
 
     @stateful.rule()
@@ -121,13 +123,13 @@
 
     @stateful.rule(down=st.booleans())
     def switch_table(self, down: bool) -> None:
-        """An outage begins or ends."""
+        """An outage of the table starts or ends."""
         self.group.faults.down = down
 
     @stateful.precondition(lambda self: self.fences)
     @stateful.rule(data=st.data())
     def write_under_a_fence_of_any_age(self, data: st.DataObject) -> None:
-        """A holder, or one that was, writes."""
+        """A current or former holder of a duty writes."""
         holder, fence = data.draw(st.sampled_from(self.fences))
         self.writes += 1
         value = {"duty": fence.key, "epoch": fence.epoch, "holder": holder}
@@ -138,22 +140,22 @@
 
     @stateful.invariant()
     def writes_take_effect_in_the_order_of_epochs(self) -> None:
-        """One holder writes in each epoch."""
+        """Epochs of writes never decrease, and each has one writer."""
         if self.group.faults.down:
             return
         found = self.group.table.scan("work/")
         assert isinstance(found, platform.Rows)
         last: dict[str, tuple[int, str]] = {}
         for row in sorted(found.rows, key=lambda row: row.version):
-            duty, written = row.value["duty"], row.value
+            duty, row_value = row.value["duty"], row.value
             epoch, holder = last.get(duty, (0, ""))
-            assert written["epoch"] >= epoch
-            assert written["epoch"] > epoch or written["holder"] == holder
-            last[duty] = (written["epoch"], written["holder"])
+            assert row_value["epoch"] >= epoch
+            assert row_value["epoch"] > epoch or row_value["holder"] == holder
+            last[duty] = (row_value["epoch"], row_value["holder"])
 
     @stateful.invariant()
     def epochs_only_grow(self) -> None:
-        """No row goes back."""
+        """The epoch in a duty's row never decreases."""
         found = self.group.table.scan(keys.DUTIES)
         for row in found.rows if isinstance(found, platform.Rows) else ():
             epoch = rows.load(rows.Duty, row.value).epoch
@@ -161,18 +163,18 @@
             self.epochs[row.key] = epoch
 
 
-TestFencing = Fencing.TestCase
+TestFencing = FencingMachine.TestCase
 TestFencing.settings = settings(
     max_examples=40, stateful_step_count=30, deadline=None, derandomize=True
 )
 
 
-def test_every_wanted_duty_is_named_once() -> None:
+def test_a_configuration_implies_one_name_for_each_duty() -> None:
     names = duty_names.of_config(controllers.config_with_duties(5))
     assert names == ("claim-expiry", "repair", "wave/w0", "wave/w1", "wave/w2")
 
 
-def test_a_duty_of_pools_rests_only_while_it_has_nothing_to_do():
+def test_a_pool_duty_pauses_longer_only_while_it_is_idle():
     pools = {"a": config_lib.Pool("a", 1)}
     bench = benches.Bench(
         benches.worker_listings(2),
--- a/tests/cover/test_leases.py
+++ b/tests/cover/test_leases.py
@@ -1,4 +1,4 @@
-"""Session leases: the holder always gives up before a watcher counts it out."""
+"""Tests of session leases: they expire before the holder counts as dead."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
 
 
 @given(sent=TIMES, delay=TIMES, reads=st.lists(st.tuples(TIMES, TIMES)))
-def test_holder_gives_up_before_a_watcher_counts_it_as_dead(
+def test_a_lease_expires_before_a_watcher_considers_its_holder_dead(
     sent: float, delay: float, reads: list[tuple[float, float]]
 ) -> None:
     lease, _ = leases.prepare_renewal(leases.Lease(SESSION), "a")
@@ -31,14 +31,14 @@
         now += 0.001
 
 
-def test_watcher_counts_a_silent_session_as_dead_after_the_term() -> None:
+def test_a_session_without_renewals_is_dead_after_the_term() -> None:
     watch = leases.Watch()
     for tick in range(6):
         watch = leases.observe(watch, [row(7)], tick, tick, TERM)
     assert leases.live_controllers(watch, TERM) == {}
 
 
-def test_an_answered_renewal_counts_from_before_it_was_sent() -> None:
+def test_a_renewed_term_starts_before_the_renewal_is_sent() -> None:
     lease = leases.apply_renewal(
         leases.Lease(SESSION), platform.Committed(1), 10.0, TERM
     )
@@ -46,13 +46,13 @@
     assert not lease.is_held(13.0)
 
 
-def test_an_unknown_outcome_extends_nothing() -> None:
+def test_a_renewal_with_unknown_outcome_does_not_extend_the_lease() -> None:
     lease = leases.Lease(SESSION, version=1, expires_at=13.0)
     unknown = platform.OutcomeUnknown("lost")
     assert leases.apply_renewal(lease, unknown, 12.0, TERM) == lease
 
 
-def test_a_start_whose_row_was_taken_never_renews_again() -> None:
+def test_a_lease_is_superseded_when_another_start_takes_its_row() -> None:
     other = platform.Row(
         "session/a", 9, {**rows.dump(SESSION), "boot": "x"}, ""
     )
--- a/tests/cover/test_wave_plan.py
+++ b/tests/cover/test_wave_plan.py
@@ -1,4 +1,4 @@
-"""Plans of maintenance waves."""
+"""Tests of the plans of maintenance waves."""
 
 import collections
 
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("order", wave_plan.ORDERS.names)
 @given(targets, allowances, st.integers(1, 4), st.floats(1.0, 4.0))
-def test_each_round_keeps_budget_and_failure_domain(
+def test_each_round_stays_in_budget_and_one_failure_domain(
     order, targets, allowance, canary, growth
 ):
     wave = config_lib.Wave(SERVICES, MINIONS, canary, growth)
@@ -51,14 +51,14 @@
         assert len(rounds) >= fewest
 
 
-def test_a_plan_says_that_a_budget_of_none_forbids_the_wave():
+def test_a_budget_of_zero_makes_the_plan_impossible():
     config = benches.config_of(minions_down=0)
     fleet = benches.Bench(benches.minion_listings(), config).fleet()
     plan = wave_plan.plan(fleet, config, config_lib.Wave(("quotes",), MINIONS))
     assert plan.cannot == ("quotes: its budget allows no minion to be down",)
 
 
-def test_a_plan_says_that_too_much_is_down_already():
+def test_an_exhausted_budget_makes_the_plan_impossible():
     config = benches.config_of(minions_down=1)
     bench = benches.Bench(benches.minion_listings(), config)
     bench.platform.instances.kill("quotes-3", vanish=True)
@@ -67,7 +67,7 @@
     assert plan.cannot == ("quotes: 1 of 1 allowed minions are down already",)
 
 
-def test_a_wave_of_one_service_takes_one_data_centre_at_a_time():
+def test_each_round_of_one_service_stays_in_one_data_centre():
     config = benches.config_of()
     fleet = benches.Bench(benches.minion_listings(), config).fleet()
     plan = wave_plan.plan(fleet, config, config_lib.Wave(("quotes",), MINIONS))
--- a/tests/failures/test_duty_failures.py
+++ b/tests/failures/test_duty_failures.py
@@ -1,4 +1,4 @@
-"""Failures around duties, each told first as a story."""
+"""Tests of duties under failures of controllers and of the table."""
 
 import collections
 import functools
@@ -17,7 +17,7 @@
 from vanillaswitch.state import rows
 
 
-def write(
+def write_under_duty(
     group: controllers.ControllerGroup, name: str, duty: str, token: str
 ) -> platform.CommitOutcome:
     check = group.members[name].fences[duty].check
@@ -27,33 +27,33 @@
     )
 
 
-def holder(group: controllers.ControllerGroup, duty: str) -> str:
+def holder_of(group: controllers.ControllerGroup, duty: str) -> str:
     found = group.table.read([keys.duty(duty)])
     assert isinstance(found, platform.Rows)
     return rows.load(rows.Duty, found.rows[0].value).holder
 
 
-def test_a_holder_paused_in_the_middle_of_a_write_writes_nothing() -> None:
-    """An instance is drained twice: by a controller and by its successor.
+def test_a_write_delayed_past_the_lease_conflicts() -> None:
+    """Guards against a drain by both a controller and its successor.
 
-    Controller a is paused just before its write leaves. Its lease lapses, b
-    takes the duty over and works. Then a wakes up and its write goes out.
+    Controller a is paused just before it sends a write. Its lease expires and
+    b takes the duty over. Then a resumes and sends the write.
     """
     group = controllers.ControllerGroup("ab", duties=4)
     group.tick_rounds(4)
     duty = next(iter(group.members["a"].fences))
     group.tables["a"].before_commit = lambda: group.tick_rounds(8, "b")
-    outcome = write(group, "a", duty, "late")
+    outcome = write_under_duty(group, "a", duty, "late")
     assert isinstance(outcome, platform.Conflict)
     assert group.duty_counts()["b"] == 4
     assert not group.members["a"].leased
 
 
-def test_a_renewal_that_was_answered_late_grants_nothing() -> None:
-    """Two controllers work on one wave although each has a lease.
+def test_a_late_answer_to_a_renewal_grants_no_lease() -> None:
+    """Guards against two controllers that work on one wave, both leased.
 
-    The renewal waits on its way for longer than the term. The holder must
-    count from before it sent it, for the watchers have counted on.
+    A renewal takes longer than the lease term. The holder must measure the
+    term from before it sent the renewal, because the watchers go on counting.
     """
     group = controllers.ControllerGroup("ab", duties=4)
     group.tick_rounds(4)
@@ -65,27 +65,27 @@
     assert not late.leased
 
 
-def test_a_delayed_write_has_no_effect_under_the_next_epoch() -> None:
-    """A decision that was long revised comes back and undoes the new one.
+def test_a_write_that_takes_effect_in_the_next_epoch_is_rejected() -> None:
+    """Guards against an outdated write that overwrites newer decisions.
 
-    The table answers nothing and applies the write much later. Meanwhile the
+    The table does not answer, and applies the write much later. By then the
     holder has died and its duty has a new holder.
     """
     group = controllers.ControllerGroup("ab", duties=4)
     group.tick_rounds(4)
     duty = next(iter(group.members["a"].fences))
     group.faults.delay_effect = 1
-    write(group, "a", duty, "delayed")
+    write_under_duty(group, "a", duty, "delayed")
     group.tick_rounds(8, "b")
     group.faults.release_delayed()
     assert group.table.read(["work/delayed"]) == platform.Rows(())
 
 
-def test_a_lost_answer_of_a_take_leaves_one_holder() -> None:
-    """A wave stands still: its duty has a holder that doesn't know of it.
+def test_a_lost_answer_to_a_take_over_leaves_one_holder() -> None:
+    """Guards against a duty whose holder doesn't know that it holds it.
 
-    The write that takes the duties takes effect, its answer is lost. The
-    token in the rows tells the taker that it did.
+    The write that takes the duties is applied, but its answer is lost. The
+    transaction token in the rows shows the controller that it was applied.
     """
     group = controllers.ControllerGroup("ab", duties=10)
     group.tick_rounds(1)
@@ -93,14 +93,14 @@
     group.tick_rounds(3)
     assert sum(group.duty_counts().values()) == 10
     for name, member in group.members.items():
-        assert all(holder(group, duty) == name for duty in member.fences)
+        assert all(holder_of(group, duty) == name for duty in member.fences)
 
 
 def test_an_outage_of_an_hour_moves_no_duty() -> None:
-    """After an outage every wave pauses while all duties change hands.
+    """Guards against moving all duties after an outage of the table.
 
-    Nobody could renew for an hour, so that all sessions look dead to the
-    controller that reads first. All leases lapse; nothing may be written.
+    No controller can renew for an hour, so all leases expire and all sessions
+    look dead to the first controller that reads them again.
     """
     group = controllers.ControllerGroup("abc", duties=9)
     group.tick_rounds(4)
@@ -117,11 +117,11 @@
     assert all(member.leased for member in group.members.values())
 
 
-def test_duties_go_on_when_all_controllers_are_replaced_at_once() -> None:
-    """Maintenance stops for good after a roll-out of the system itself.
+def test_duties_find_holders_after_all_controllers_restart_at_once() -> None:
+    """Guards against duties without a holder after a roll-out.
 
-    Every controller is killed and started anew in one moment, under the same
-    names; the rows still name the old starts.
+    All controllers are killed and restarted at once under the same names. The
+    rows still name the boot ids of their earlier starts.
     """
     group = controllers.ControllerGroup("abc", duties=9)
     group.tick_rounds(4)
@@ -135,11 +135,11 @@
     assert min(newer) > 1
 
 
-def test_of_two_that_think_they_hold_a_duty_one_writes() -> None:
-    """Two controllers reboot two racks of one service at the same time.
+def test_of_two_controllers_with_a_fence_only_the_holder_can_write() -> None:
+    """Guards against two controllers that reboot two racks of one service.
 
-    Controller a cannot reach anything for a while and still has its fence;
-    b rightly took over. Both write.
+    Controller a is cut off for a while and keeps its fence. Controller b takes
+    the duty over. Then both write.
     """
     group = controllers.ControllerGroup("ab", duties=4)
     group.tick_rounds(4)
@@ -147,15 +147,19 @@
     group.tick_rounds(8, "b")
     assert duty in group.members["a"].fences
     assert duty in group.members["b"].fences
-    assert isinstance(write(group, "b", duty, "b"), platform.Committed)
-    assert isinstance(write(group, "a", duty, "a"), platform.Conflict)
+    assert isinstance(
+        write_under_duty(group, "b", duty, "b"), platform.Committed
+    )
+    assert isinstance(
+        write_under_duty(group, "a", duty, "a"), platform.Conflict
+    )
 
 
-def test_a_joining_controller_gets_its_share_without_a_gap() -> None:
-    """A new controller idles, or duties rest a whole term while they move.
+def test_a_new_controller_gets_its_share_without_a_gap() -> None:
+    """Guards against an idle new controller, and pauses of duties that move.
 
-    The old holders hand duties over directly; no duty is ever without a
-    living holder.
+    The holders hand duties over directly, so that each duty has a live holder
+    at all times.
     """
     group = controllers.ControllerGroup("ab", duties=9)
     group.tick_rounds(4)
@@ -164,15 +168,15 @@
         group.tick_rounds(1)
         assert group.table.scan(keys.DUTIES) != platform.Rows(())
         for duty in duty_names.of_config(group.config):
-            assert holder(group, duty) in group.members
+            assert holder_of(group, duty) in group.members
     assert group.duty_counts() == {"a": 3, "b": 3, "c": 3}
 
 
-def test_operators_and_controllers_race_and_no_duty_is_lost() -> None:
-    """A wave that an operator has just declared is never begun.
+def test_no_duty_is_lost_while_operators_change_the_configuration() -> None:
+    """Guards against a newly configured wave that gets no holder.
 
-    The operator adds and removes waves between any two ticks, so that
-    controllers decide by different configurations.
+    An operator adds and removes waves between ticks, so that the controllers
+    decide on different configurations.
     """
     group = controllers.ControllerGroup("abc", duties=6)
     for count in (9, 4, 12, 7):
@@ -186,8 +190,8 @@
     assert len(held) == 8
 
 
-def test_a_stopped_controller_hands_everything_over_at_once() -> None:
-    """Each planned restart of a controller halts its waves for seconds."""
+def test_a_stopping_controller_hands_all_duties_over_at_once() -> None:
+    """Guards against waves that halt for a term at each planned restart."""
     group = controllers.ControllerGroup("ab", duties=6)
     group.tick_rounds(4)
     group.members.pop("a").resign()
@@ -195,12 +199,12 @@
     assert group.duty_counts() == {"b": 6}
 
 
-def test_a_failing_duty_stops_neither_the_others_nor_the_lease(
+def test_a_failing_duty_affects_neither_the_others_nor_the_lease(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One broken wave brings all maintenance to a halt.
+    """Guards against one failing wave that halts all maintenance.
 
-    The step of one duty raises each time it runs.
+    The step of one duty raises an exception each time it runs.
     """
     kinds: registry.Registry[controller.Step] = registry.Registry("duty")
     monkeypatch.setattr(controller, "STEPS", kinds)
@@ -222,13 +226,13 @@
     assert member.leased
 
 
-def test_keepalives_go_on_for_held_duties_while_the_table_is_away(
+def test_keepalives_run_for_held_duties_during_a_table_outage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An outage of the table ends every running task within a lease.
+    """Guards against the end of all running tasks in a table outage.
 
-    The session lease lapses, so that steps stop; what keeps tasks alive must
-    go on, and end once the duty has another holder.
+    The session lease expires, so steps stop. The keepalive must continue, and
+    stop once the duty has another holder.
     """
     called: list[str] = []
     for name in ("STEPS", "KEEPALIVES"):
@@ -253,9 +257,9 @@
 def test_a_broken_invariant_in_a_step_ends_the_process(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A controller that found the rows contradict each other goes on.
+    """Guards against a controller that continues with contradictory rows.
 
-    Any other error of a step is counted and the step tried again.
+    Any other error of a step is only counted, and the step is tried again.
     """
     kinds: registry.Registry[controller.Step] = registry.Registry("duty")
     monkeypatch.setattr(controller, "STEPS", kinds)
@@ -271,9 +275,9 @@
 def test_a_running_controller_steps_its_duties_and_stops_cleanly(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A planned stop leaves duties with a controller that is gone.
+    """Guards against duties left with a controller that stopped as planned.
 
-    It is asked to stop in the middle of a step.
+    The controller is asked to stop in the middle of a step.
     """
     kinds: registry.Registry[controller.Step] = registry.Registry("duty")
     monkeypatch.setattr(controller, "STEPS", kinds)
@@ -298,8 +302,8 @@
 
 
 @pytest.mark.parametrize("count", [10, 200])
-def test_takes_are_grouped_in_few_transactions(count: int) -> None:
-    """The table is overrun when many duties change hands at once."""
+def test_take_overs_need_few_transactions(count: int) -> None:
+    """Guards against overload of the table when many duties move at once."""
     measured = measure_duties.measure(controllers=8, duties=count)
     assert measured.transactions_to_settle <= 8 * 2 + 8 * 6
     assert measured.seconds_to_take_over <= 2 * controllers.TERM
--- a/tests/failures/test_wave_failures.py
+++ b/tests/failures/test_wave_failures.py
@@ -1,4 +1,7 @@
-"""Maintenance waves while instances, controllers and operators fail."""
+"""Tests of maintenance waves under failures.
+
+Instances and controllers fail, calls get lost, and operators interfere.
+"""
 
 import dataclasses
 
@@ -22,10 +25,10 @@
 
 
 class WaveBench(benches.Bench):
-    """A bench whose waves are begun, watched and judged."""
+    """A bench that runs waves and records their reboots."""
 
-    def begin(self, *names: str, **fields) -> "WaveBench":
-        """Starts waves; counts reboots and the most that was down."""
+    def start_waves(self, *names: str, **fields) -> "WaveBench":
+        """Starts waves, and records reboots and the peak of instances down."""
         wave = dataclasses.replace(WAVE, **fields)
         waves = dict.fromkeys(names, wave)
         self.config = dataclasses.replace(self.config, waves=waves)
@@ -34,8 +37,8 @@
         for name in names:
             plan = wave_plan.plan(self.fleet(), self.config, wave)
             assert not plan.cannot
-            # Every second wave goes the other way round, so that two of them
-            # meet in the budget rather than at one instance.
+            # Every second wave runs its rounds in reverse, so that two waves
+            # compete for the budget rather than for one instance.
             rounds = plan.rounds[:: -1 if names.index(name) % 2 else 1]
             row = wave_state.Wave(
                 RUNNING, "run", rounds, self.clock.wall(), plan.expected_s
@@ -44,7 +47,7 @@
         self.platform.instances.add_listener(self._on_phase)
         return self
 
-    def run(self, steps: int = 300) -> wave_state.Wave:
+    def run_until_stopped(self, steps: int = 300) -> wave_state.Wave:
         """Steps all waves in turn until none is running."""
         for _ in range(steps):
             waves = self.fleet().waves
@@ -62,75 +65,75 @@
         self.most_down = max(self.most_down, len(down))
 
 
-def bench(minions: int = 6, **fields) -> WaveBench:
+def make_bench(minions: int = 6, **fields) -> WaveBench:
     listings = benches.minion_listings(count=minions)
     return WaveBench(listings, benches.config_of(minions=minions), **fields)
 
 
-def assert_each_rebooted_once(subject: WaveBench) -> None:
-    names = [one.instance for one in subject.listings]
-    assert sorted(subject.reboots) == names
-    assert not subject.not_serving()
-    assert not subject.fleet().budget("quotes").row.down
+def assert_each_rebooted_once(bench: WaveBench) -> None:
+    names = [one.instance for one in bench.listings]
+    assert sorted(bench.reboots) == names
+    assert not bench.not_serving()
+    assert not bench.fleet().budget("quotes").row.down
 
 
 @pytest.mark.parametrize("when", ["before", "after"])
-def test_a_wave_goes_on_when_its_controller_is_killed_at_any_call(when):
-    """An operator sees each minion rebooted once, whoever held the wave.
+def test_a_wave_finishes_when_its_controller_is_killed_at_any_call(when):
+    """Guards against second reboots after a change of the duty's holder.
 
     The controller is killed just before or just after one of its calls, and
-    another takes the duty. Intents are written first, so that the next holder
-    asks for the same operation again.
+    another takes the duty. Intents are written before the calls, so the next
+    holder repeats the same operation.
     """
     for call in range(1, 150, 2):
-        subject = bench(minions=3).begin("kernel")
-        subject.kill_at, subject.kill_when = call, when
-        assert subject.run().state is wave_state.WaveState.FINISHED
-        assert_each_rebooted_once(subject)
-        assert subject.most_down <= 2
+        bench = make_bench(minions=3).start_waves("kernel")
+        bench.kill_at, bench.kill_when = call, when
+        assert bench.run_until_stopped().state is wave_state.WaveState.FINISHED
+        assert_each_rebooted_once(bench)
+        assert bench.most_down <= 2
 
 
 @settings(max_examples=20, deadline=None, derandomize=True)
 @given(st.lists(st.integers(1, 9), min_size=1, max_size=12))
-def test_a_wave_passes_between_processes_that_know_it_from_long_ago(turns):
-    """A minion is rebooted twice, or two too many are down.
+def test_a_wave_finishes_when_holders_with_stale_caches_take_turns(turns):
+    """Guards against second reboots and against an exceeded budget.
 
-    A process held the wave, lost it, and takes it again: it knows the fleet
-    as it was. Budget rows tell it whose rows have changed, and what it still
-    has wrong makes its transaction conflict.
+    A process that held the duty before takes it again with an outdated cache
+    of the fleet. Budget rows show which instance rows have changed. If the
+    cache is still wrong, the transaction conflicts.
     """
-    subject = bench().begin("kernel")
+    bench = make_bench().start_waves("kernel")
     for number, steps in enumerate(turns):
-        subject.hand_over("wave/kernel", number % 2)
+        bench.hand_over("wave/kernel", number % 2)
         for _ in range(steps):
-            subject.step("wave/kernel")
-    assert subject.run().state is wave_state.WaveState.FINISHED
-    assert_each_rebooted_once(subject)
-    assert subject.most_down <= 2
+            bench.step("wave/kernel")
+    assert bench.run_until_stopped().state is wave_state.WaveState.FINISHED
+    assert_each_rebooted_once(bench)
+    assert bench.most_down <= 2
 
 
-def test_a_process_that_read_the_fleet_too_early_maintains_all_of_it():
-    """A wave finishes, and one minion still has the old kernel.
+def test_a_holder_maintains_instances_that_its_cache_lacks():
+    """Guards against a wave that finishes without some of its minions.
 
-    A controller has read the fleet before its minions got their pools. It
-    takes the wave and finds instances that it does not know.
+    A controller reads the fleet before the minions join their pools. It then
+    takes the wave, whose minions are missing from its cache.
     """
-    subject = bench()
-    listings, subject.listings = subject.listings, []
-    rows_of = {}
+    bench = make_bench()
+    listings, bench.listings = bench.listings, []
+    saved_rows = {}
     for one in listings:
-        [row] = subject.platform.table.read([keys.instance(one.instance)]).rows
-        rows_of[row.key] = rows.load(rows.Instance, row.value)
+        [row] = bench.platform.table.read([keys.instance(one.instance)]).rows
+        saved_rows[row.key] = rows.load(rows.Instance, row.value)
         gone = platform.Put(row.key, row.version, None)
-        subject.platform.table.commit(platform.Transaction(row.key, (gone,)))
-    subject.config = dataclasses.replace(subject.config, waves={"kernel": WAVE})
-    subject.step("wave/kernel")
-    for key, row in rows_of.items():
-        subject.put(key, row)
-    subject.listings = listings
-    subject.begin("kernel")
-    assert subject.run().state is wave_state.WaveState.FINISHED
-    assert_each_rebooted_once(subject)
+        bench.platform.table.commit(platform.Transaction(row.key, (gone,)))
+    bench.config = dataclasses.replace(bench.config, waves={"kernel": WAVE})
+    bench.step("wave/kernel")
+    for key, row in saved_rows.items():
+        bench.put(key, row)
+    bench.listings = listings
+    bench.start_waves("kernel")
+    assert bench.run_until_stopped().state is wave_state.WaveState.FINISHED
+    assert_each_rebooted_once(bench)
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
@@ -140,226 +143,227 @@
         max_size=12,
     )
 )
-def test_a_wave_holds_its_budget_when_calls_and_answers_are_lost(faults):
-    """Quotes keep four of six minions while the platform answers badly.
+def test_a_wave_stays_in_budget_when_calls_and_answers_are_lost(faults):
+    """Guards against more than two of six minions down under lost calls.
 
-    Calls are lost, lose their answer, or take effect only later. A row moves
-    on only when the instance itself names the operation, so that a late copy
-    finds it done.
+    Calls are lost, lose their answer, or take effect late. A row advances only
+    when the status of the instance names the operation, so a late duplicate of
+    the call has no effect.
     """
-    subject = bench().begin("kernel")
-    subject.take_over("wave/kernel")
+    bench = make_bench().start_waves("kernel")
+    bench.take_over("wave/kernel")
     for fault in faults:
         for part in ("table", "instances"):
-            setattr(subject.platform.faults[part], fault, 1)
-        subject.step("wave/kernel")
+            setattr(bench.platform.faults[part], fault, 1)
+        bench.step("wave/kernel")
     for part in ("table", "instances"):
-        subject.platform.faults[part].release_delayed()
-        vars(subject.platform.faults[part]).update(
+        bench.platform.faults[part].release_delayed()
+        vars(bench.platform.faults[part]).update(
             lose_answers=0, drop_calls=0, delay_effect=0
         )
-    assert subject.run().state is wave_state.WaveState.FINISHED
-    assert_each_rebooted_once(subject)
-    assert subject.most_down <= 2
+    assert bench.run_until_stopped().state is wave_state.WaveState.FINISHED
+    assert_each_rebooted_once(bench)
+    assert bench.most_down <= 2
 
 
 def test_two_waves_on_one_service_share_its_budget():
-    """Two operators start waves at once; quotes must not notice.
+    """Guards against two waves that use the same headroom of one service.
 
-    Both controllers see room for the same minions and decide at the same
-    time. Both write the service's budget row, so that the second one
-    conflicts and looks again.
+    Both controllers see headroom and decide at the same time. Both write the
+    service's budget row, so the second write conflicts and its step runs
+    again.
     """
-    subject = bench().begin("kernel", "firmware")
-    for name in subject.config.waves:
-        subject.take_over(f"wave/{name}")
+    bench = make_bench().start_waves("kernel", "firmware")
+    for name in bench.config.waves:
+        bench.take_over(f"wave/{name}")
     for _ in range(60):
-        subject.before_next_commit(lambda: subject.step("wave/firmware"))
-        subject.step("wave/kernel")
-    subject.run()
-    assert subject.most_down <= 2
-    names = [one.instance for one in subject.listings]
-    assert sorted(subject.reboots) == sorted(2 * names)
+        bench.before_next_commit(lambda: bench.step("wave/firmware"))
+        bench.step("wave/kernel")
+    bench.run_until_stopped()
+    assert bench.most_down <= 2
+    names = [one.instance for one in bench.listings]
+    assert sorted(bench.reboots) == sorted(2 * names)
 
 
-def test_a_rack_lost_in_the_middle_halts_the_wave_and_returns_drains():
-    """Half the minions die while two more drain for maintenance.
+def test_losing_half_the_minions_halts_the_wave_and_undoes_drains():
+    """Guards against a wave that takes down more during an outage.
 
-    The budget is overdrawn without the wave's doing. It takes nothing more
-    down, and returns what only drains, since that can serve again at once.
+    Half of the minions die while another one drains, which exceeds the budget.
+    The wave takes no more down, and returns the draining minion to service, as
+    it can serve again at once.
     """
-    subject = bench().begin("kernel")
-    instances = subject.platform.instances
-    drained = subject.fleet().waves["kernel"].row.rounds[0][0]
+    bench = make_bench().start_waves("kernel")
+    instances = bench.platform.instances
+    drained = bench.fleet().waves["kernel"].row.rounds[0][0]
     instances.set_in_flight(drained, 1)
     while instances.phase(drained) is not platform.Phase.DRAINING:
-        subject.step("wave/kernel")
-    others = [o.instance for o in subject.listings if o.instance != drained]
+        bench.step("wave/kernel")
+    others = [o.instance for o in bench.listings if o.instance != drained]
     for name in others[:3]:
         instances.kill(name, vanish=True)
     for _ in range(10):
-        subject.step("wave/kernel")
-    assert subject.not_serving() == set(others[:3])
-    assert not subject.reboots
+        bench.step("wave/kernel")
+    assert bench.not_serving() == set(others[:3])
+    assert not bench.reboots
 
 
-def test_a_minion_that_died_counts_although_the_list_shows_it_live():
-    """A quote finds too few minions because the list was believed.
+def test_a_dead_minion_that_is_still_listed_live_counts_as_down():
+    """Guards against headroom computed from an outdated list.
 
-    Two minions die; the list shows them live for a minute more. They don't
-    answer for themselves, so that they count as down from the first moment.
+    Two minions die, but the list shows them as live for another minute. They
+    don't answer status requests, so they count as down at once.
     """
-    subject = bench(lag_s=60.0)
-    fleet = subject.fleet()
-    assert not wave_plan.plan(fleet, subject.config, WAVE).cannot
-    subject.begin("kernel")
+    bench = make_bench(lag_s=60.0)
+    fleet = bench.fleet()
+    assert not wave_plan.plan(fleet, bench.config, WAVE).cannot
+    bench.start_waves("kernel")
     for name in ("quotes-4", "quotes-5"):
-        subject.platform.instances.kill(name, vanish=True)
-    subject.step("wave/kernel")
-    subject.step("wave/kernel")
-    assert subject.not_serving() == {"quotes-4", "quotes-5"}
+        bench.platform.instances.kill(name, vanish=True)
+    bench.step("wave/kernel")
+    bench.step("wave/kernel")
+    assert bench.not_serving() == {"quotes-4", "quotes-5"}
 
 
 def test_a_canary_that_does_not_come_back_stops_the_wave():
-    """New software doesn't boot; without a stop every minion would go.
+    """Guards against a wave that loses every minion to broken software.
 
-    The canary never returns. One failure within minutes is more than one
-    a day explains: the wave stops, says why, and leaves the rest serving.
+    The canary never comes back from its reboot. One failure within minutes is
+    more than a background rate of one a day explains, so the wave stops with a
+    reason and the other minions keep serving.
     """
-    subject = bench().begin("kernel")
-    canary = subject.fleet().waves["kernel"].row.rounds[0][0]
-    subject.platform.instances.fail_to_return(canary)
-    wave = subject.run()
+    bench = make_bench().start_waves("kernel")
+    canary = bench.fleet().waves["kernel"].row.rounds[0][0]
+    bench.platform.instances.fail_to_return(canary)
+    wave = bench.run_until_stopped()
     assert wave.state is wave_state.WaveState.STOPPED
     assert canary in wave.reason
-    assert subject.not_serving() == {canary}
-    assert subject.reboots == [canary]
+    assert bench.not_serving() == {canary}
+    assert bench.reboots == [canary]
 
 
-def test_a_wave_that_stops_returns_what_only_drains():
-    """A wave stops, and a minion reboots into the broken software after it.
+def test_a_stopped_wave_undoes_its_drains():
+    """Guards against a reboot into broken software after the wave stopped.
 
-    Of two minions of a round one doesn't come back while the other still
-    answers a quote. The second is returned to service without a reboot.
+    Of two minions in a round, one doesn't come back while the other still
+    drains. The second one returns to service without a reboot.
     """
-    subject = bench().begin("kernel")
-    broken, busy = subject.fleet().waves["kernel"].row.rounds[1]
-    subject.platform.instances.fail_to_return(broken)
-    subject.platform.instances.set_in_flight(busy, 1)
-    assert subject.run().state is wave_state.WaveState.STOPPED
-    subject.platform.instances.set_in_flight(busy, 0)
+    bench = make_bench().start_waves("kernel")
+    broken, busy = bench.fleet().waves["kernel"].row.rounds[1]
+    bench.platform.instances.fail_to_return(broken)
+    bench.platform.instances.set_in_flight(busy, 1)
+    assert bench.run_until_stopped().state is wave_state.WaveState.STOPPED
+    bench.platform.instances.set_in_flight(busy, 0)
     for _ in range(10):
-        subject.step("wave/kernel")
-    assert subject.not_serving() == {broken}
-    assert busy not in subject.reboots
+        bench.step("wave/kernel")
+    assert bench.not_serving() == {broken}
+    assert busy not in bench.reboots
 
 
-def test_a_pause_refuses_the_take_down_that_was_under_way():
-    """An operator pauses a wave and a minion goes down all the same.
+def test_a_pause_rejects_a_take_down_decided_before_it():
+    """Guards against a take-down after an operator paused the wave.
 
-    The controller decided before the pause was written. Its transaction
-    writes the wave's row too, so that the pause makes it conflict.
+    The controller decides before the pause is written. Its transaction checks
+    the version of the wave's row, so it conflicts with the pause.
     """
-    subject = bench().begin("kernel")
-    row = subject.fleet().waves["kernel"].row
+    bench = make_bench().start_waves("kernel")
+    row = bench.fleet().waves["kernel"].row
     paused = dataclasses.replace(row, state=wave_state.WaveState.PAUSED)
-    subject.take_over("wave/kernel")
-    subject.before_next_commit(lambda: subject.put(keys.wave("kernel"), paused))
+    bench.take_over("wave/kernel")
+    bench.before_next_commit(lambda: bench.put(keys.wave("kernel"), paused))
     for _ in range(5):
-        subject.step("wave/kernel")
-        assert not subject.not_serving()
+        bench.step("wave/kernel")
+        assert not bench.not_serving()
 
 
-def test_a_holder_that_lost_the_duty_takes_nothing_down():
-    """Two controllers maintain one wave because one was paused meanwhile.
+def test_a_former_holder_takes_nothing_down():
+    """Guards against two controllers that run one wave.
 
-    The first sleeps past its lease and wakes up in the middle of a step. Its
-    writes carry the fence of the old epoch and conflict.
+    The first one is paused past its lease and resumes in the middle of a step.
+    Its writes carry the fence of the old epoch and conflict.
     """
-    subject = bench().begin("kernel")
-    subject.take_over("wave/kernel")
-    old = subject.fences["wave/kernel"]
-    subject.take_over("wave/kernel")
-    subject.fences["wave/kernel"] = old
+    bench = make_bench().start_waves("kernel")
+    bench.take_over("wave/kernel")
+    old = bench.fences["wave/kernel"]
+    bench.take_over("wave/kernel")
+    bench.fences["wave/kernel"] = old
     for _ in range(5):
-        subject.step("wave/kernel")
-    assert not subject.not_serving()
+        bench.step("wave/kernel")
+    assert not bench.not_serving()
 
 
-def test_a_wave_takes_no_more_down_beside_a_cordoned_worker():
-    """Jobs lose three of six workers where the budget allows two.
+def test_a_cordoned_worker_counts_against_the_budget_of_a_wave():
+    """Guards against three unusable workers where the budget allows two.
 
-    A worker that fails all its jobs is cordoned, and a wave begins. It
-    carries nothing, so that it counts as down; it costs nothing more to
-    maintain it, and it stays cordoned.
+    A worker is cordoned before a wave starts. It runs no jobs, so it counts as
+    down. Its maintenance uses no further headroom, and it stays cordoned.
     """
     pools = {"batch": config_lib.Pool("quotes", 6)}
-    subject = WaveBench(
+    bench = WaveBench(
         benches.worker_listings(6, per_rack=6),
         benches.config_of(minions=0, pools=pools, workers_down=2),
         lambda _: ("batch", "quotes"),
     )
     key = keys.instance("worker-000")
-    row = subject.fleet().members["worker-000"].row
-    subject.put(key, dataclasses.replace(row, cordoned=True))
-    subject.begin("kernel", targets=config_lib.WaveTarget.WORKERS)
+    row = bench.fleet().members["worker-000"].row
+    bench.put(key, dataclasses.replace(row, cordoned=True))
+    bench.start_waves("kernel", targets=config_lib.WaveTarget.WORKERS)
     unusable = set()
-    while subject.fleet().waves["kernel"].row.state is RUNNING:
-        subject.step("wave/kernel")
-        unusable.add(len(subject.not_serving() | {"worker-000"}))
+    while bench.fleet().waves["kernel"].row.state is RUNNING:
+        bench.step("wave/kernel")
+        unusable.add(len(bench.not_serving() | {"worker-000"}))
     assert max(unusable) == 2
-    assert_each_rebooted_once(subject)
-    assert subject.fleet().members["worker-000"].row.cordoned
+    assert_each_rebooted_once(bench)
+    assert bench.fleet().members["worker-000"].row.cordoned
 
 
-def test_a_canary_that_dies_while_it_serves_stops_the_wave():
-    """New software boots, and crashes on every minion a minute later.
+def test_a_canary_that_dies_during_the_soak_stops_the_wave():
+    """Guards against software that boots and crashes a minute later.
 
-    The canary comes back and serves. The wave lets it serve for a while
-    before the next round, sees it go down, and stops.
+    The canary comes back and serves. During the soak before the next round it
+    goes down, and the wave stops.
     """
-    subject = bench().begin("kernel", soak_s=60.0)
-    canary = subject.fleet().waves["kernel"].row.rounds[0][0]
-    while "serves for 60 s" not in subject.fleet().waves["kernel"].row.waits:
-        subject.step("wave/kernel")
+    bench = make_bench().start_waves("kernel", soak_s=60.0)
+    canary = bench.fleet().waves["kernel"].row.rounds[0][0]
+    while "serves for 60 s" not in bench.fleet().waves["kernel"].row.waits:
+        bench.step("wave/kernel")
     for _ in range(40):
-        subject.step("wave/kernel")
-    subject.platform.instances.kill(canary)
-    assert subject.run().state is wave_state.WaveState.STOPPED
-    assert subject.reboots == [canary]
+        bench.step("wave/kernel")
+    bench.platform.instances.kill(canary)
+    assert bench.run_until_stopped().state is wave_state.WaveState.STOPPED
+    assert bench.reboots == [canary]
 
 
-def test_a_soak_ends_and_the_wave_goes_on():
-    """A wave stands still for ever after its canary."""
-    subject = bench().begin("kernel", soak_s=30.0)
-    began = subject.clock.monotonic()
-    assert subject.run().state is wave_state.WaveState.FINISHED
-    assert subject.clock.monotonic() - began >= 30.0
-    assert_each_rebooted_once(subject)
+def test_a_wave_continues_after_the_soak():
+    """Guards against a wave that never starts its second round."""
+    bench = make_bench().start_waves("kernel", soak_s=30.0)
+    started_at = bench.clock.monotonic()
+    assert bench.run_until_stopped().state is wave_state.WaveState.FINISHED
+    assert bench.clock.monotonic() - started_at >= 30.0
+    assert_each_rebooted_once(bench)
 
 
-def test_a_drain_that_does_not_end_is_told_and_not_forced():
-    """A wave hangs for days on a request that never ends, and says nothing.
+def test_a_slow_drain_is_reported_and_not_forced():
+    """Guards against a wave that hangs on a drain without any report.
 
-    One minion keeps a request in flight. After the limit status and
-    explanation name it; its request is not cut off, and the wave goes on
-    when the request is over.
+    One minion keeps a request in flight. After the limit, the wave's row and a
+    decision record name the minion. The request is not cut off, and the wave
+    continues when it ends.
     """
-    subject = bench().begin("kernel", drain_limit_s=30.0)
-    busy = subject.fleet().waves["kernel"].row.rounds[0][0]
-    subject.platform.instances.set_in_flight(busy, 1)
+    bench = make_bench().start_waves("kernel", drain_limit_s=30.0)
+    busy = bench.fleet().waves["kernel"].row.rounds[0][0]
+    bench.platform.instances.set_in_flight(busy, 1)
     for _ in range(40):
-        subject.step("wave/kernel")
-        assert not subject.fleet().waves["kernel"].row.slow
+        bench.step("wave/kernel")
+        assert not bench.fleet().waves["kernel"].row.slow
     for _ in range(40):
-        subject.step("wave/kernel")
-    assert busy in subject.fleet().waves["kernel"].row.slow
+        bench.step("wave/kernel")
+    assert busy in bench.fleet().waves["kernel"].row.slow
     key = explain.key_of(explain.wave_subject("kernel"))
-    [row] = subject.platform.table.read([key]).rows
+    [row] = bench.platform.table.read([key]).rows
     rules = [entry.rule for entry in explain.history(row).entries]
     assert rules.count("slow drain") == 1
-    assert not subject.reboots
-    subject.platform.instances.set_in_flight(busy, 0)
-    assert subject.run().state is wave_state.WaveState.FINISHED
-    assert not subject.fleet().waves["kernel"].row.slow
-    assert subject.platform.instances.reboots_in_use == 0
+    assert not bench.reboots
+    bench.platform.instances.set_in_flight(busy, 0)
+    assert bench.run_until_stopped().state is wave_state.WaveState.FINISHED
+    assert not bench.fleet().waves["kernel"].row.slow
+    assert bench.platform.instances.reboots_in_use == 0
