--- a/src/vanillaswitch/coordination/peering/__init__.py
+++ b/src/vanillaswitch/coordination/peering/__init__.py
@@ -1,1 +1,1 @@
-"""Who the peers are, what they tell and are told."""
+"""Membership, heartbeats and messages between peer processes."""
--- a/src/vanillaswitch/coordination/peering/announcer.py
+++ b/src/vanillaswitch/coordination/peering/announcer.py
@@ -1,4 +1,4 @@
-"""Sends a process's own heartbeats, each peer in its turn."""
+"""Sends a process's own heartbeats to its peers on a schedule."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -10,8 +10,13 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Identity:
-    """Who this process is towards its peers."""
+class ProcessIdentity:
+    """What identifies this process to its peers.
+
+    Attributes:
+        process: name of the process.
+        boot: random id of this process start.
+    """
 
     process: str
     boot: str
@@ -21,7 +26,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Own:
-    """What a process tells of itself in each heartbeat."""
+    """The part of a heartbeat that changes while the process runs.
+
+    Attributes:
+        config_version: number of the configuration in force.
+        view_version: version of the drains in the fleet view.
+        leaving: whether the process is shutting down.
+        loads: own requests in flight by minion instance.
+    """
 
     config_version: int
     view_version: int
@@ -29,65 +41,74 @@
     loads: Mapping[str, int]
 
 
-class Announcer:
-    """The heartbeats of one process; owned by one task."""
+class HeartbeatSender:
+    """Sends the heartbeats of one process; used by a single task."""
 
     def __init__(
-        self, identity: Identity, streams: peer_transport.PeerTransport
+        self, identity: ProcessIdentity, transport: peer_transport.PeerTransport
     ):
         self._identity = identity
-        self._streams = streams
-        self._ticks = 0
+        self._transport = transport
+        self._tick_number = 0
         self._sequence = 0
-        self._greeted: frozenset[str] = frozenset()
-        self._left = False
-
-    def tick(self, state: peer_membership.MembershipState, own: Own) -> None:
-        """Sends the heartbeats of the next tick."""
-        self._ticks += 1
-        near, far = self._groups(state)
-        if own.leaving and not self._left:
-            # Peers have to stop counting on us at once, not at their turn.
-            self._left = True
-            self._send(state, own, _all_of(near, far))
+        self._known_addresses: frozenset[str] = frozenset()
+        self._leave_sent = False
+
+    def send_due(
+        self, state: peer_membership.MembershipState, status: Own
+    ) -> None:
+        """Advances by one tick and sends the heartbeats that are due."""
+        self._tick_number += 1
+        same_role, other_roles = self._groups(state)
+        if status.leaving and not self._leave_sent:
+            # Peers must stop sending work to this process at once, not only
+            # when their next heartbeat is due.
+            self._leave_sent = True
+            self._send(state, status, _all_targets(same_role, other_roles))
             return
         due = (
-            *heartbeat_schedule.due(near, self._ticks),
-            *heartbeat_schedule.due(far, self._ticks),
+            *heartbeat_schedule.due(same_role, self._tick_number),
+            *heartbeat_schedule.due(other_roles, self._tick_number),
         )
-        self._send(state, own, due)
+        self._send(state, status, due)
 
-    def greet(self, state: peer_membership.MembershipState, own: Own) -> None:
-        """Sends to newly known addresses at once, closes forgotten ones."""
-        known = frozenset(peer_membership.addresses(state))
-        if known == self._greeted:
+    def send_to_new_addresses(
+        self, state: peer_membership.MembershipState, status: Own
+    ) -> None:
+        """Sends to new addresses at once; closes streams to dropped ones."""
+        known = frozenset(peer_membership.known_addresses(state))
+        if known == self._known_addresses:
             return
-        new = known - self._greeted
-        self._greeted = known
-        self._streams.retain(known)
-        everyone = _all_of(*self._groups(state))
-        greeted = tuple(one for one in everyone if one.address in new)
-        self._send(state, own, greeted)
+        new = known - self._known_addresses
+        self._known_addresses = known
+        self._transport.retain(known)
+        all_targets = _all_targets(*self._groups(state))
+        targets = tuple(one for one in all_targets if one.address in new)
+        self._send(state, status, targets)
 
     def _groups(
         self, state: peer_membership.MembershipState
-    ) -> tuple[heartbeat_schedule.Group, heartbeat_schedule.Group]:
-        ours = {
+    ) -> tuple[heartbeat_schedule.PeerGroup, heartbeat_schedule.PeerGroup]:
+        same_role_addresses = {
             member.last.address
             for member in state.members.values()
             if member.last.role is self._identity.role
             and member.standing is not peer_membership.Standing.GONE
         }
-        known = peer_membership.addresses(state)
+        known = peer_membership.known_addresses(state)
         return (
-            heartbeat_schedule.near([one for one in known if one in ours]),
-            heartbeat_schedule.far([one for one in known if one not in ours]),
+            heartbeat_schedule.near(
+                [one for one in known if one in same_role_addresses]
+            ),
+            heartbeat_schedule.far(
+                [one for one in known if one not in same_role_addresses]
+            ),
         )
 
     def _send(
         self,
         state: peer_membership.MembershipState,
-        own: Own,
+        status: Own,
         targets: tuple[heartbeat_schedule.Target, ...],
     ) -> None:
         self._sequence += 1
@@ -98,24 +119,24 @@
             address=state.address,
             data_centre=self._identity.data_centre,
             sequence=self._sequence,
-            config_version=own.config_version,
-            view_version=own.view_version,
-            leaving=own.leaving,
-            loads=own.loads,
-            peers=peer_membership.gossip(state),
+            config_version=status.config_version,
+            view_version=status.view_version,
+            leaving=status.leaving,
+            loads=status.loads,
+            peers=peer_membership.gossip_addresses(state),
         )
         for target in targets:
-            promised = dataclasses.replace(
+            announced = dataclasses.replace(
                 heartbeat, interval_s=target.interval_s
             )
-            self._streams.send(target.address, promised)
+            self._transport.send(target.address, announced)
 
 
-def _all_of(
-    *groups: heartbeat_schedule.Group,
+def _all_targets(
+    *groups: heartbeat_schedule.PeerGroup,
 ) -> tuple[heartbeat_schedule.Target, ...]:
     return tuple(
         target
         for group in groups
-        for target in heartbeat_schedule.all_of(group)
+        for target in heartbeat_schedule.all_targets(group)
     )
--- a/src/vanillaswitch/coordination/peering/heartbeat_schedule.py
+++ b/src/vanillaswitch/coordination/peering/heartbeat_schedule.py
@@ -1,11 +1,11 @@
-"""Which peers get a heartbeat on which tick.
-
-A heartbeat to every peer on every tick costs as much as there are peers. Peers
-of our own role (near), who need our load, come first; the others (far) come
-more seldom. Each group has a bounded number of heartbeats a tick and goes
-round, so a process's traffic stays bounded however many there are. Each
-heartbeat promises when its receiver gets the next one, and silence is judged
-by that promise.
+"""Decides which peers get a heartbeat on which tick.
+
+A heartbeat to every peer on every tick would cost traffic in proportion to the
+number of peers. Peers of the same role need this process's load and get
+heartbeats often; the others get them less often. Each group is served
+round-robin with a bounded number of heartbeats per tick, so the traffic of a
+process stays bounded for any number of peers. Each heartbeat announces the
+interval to the next one; its receiver measures silence against that interval.
 """
 
 from collections.abc import Sequence
@@ -15,47 +15,58 @@
 NEAR_A_TICK = 4
 FAR_A_TICK = 2
 FAR_SHORTEST_TICKS = 8
-SLACK = 1.1
-"""Promised intervals are this much longer than the mean, for jitter."""
+INTERVAL_SLACK = 1.1
+"""Factor of the announced interval over the mean one; allows for jitter."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Group:
-    """Peers that are treated alike."""
+class PeerGroup:
+    """Peers with the same heartbeat schedule.
+
+    Attributes:
+        addresses: of the peers.
+        max_per_tick: most heartbeats to the group per tick.
+        min_period_ticks: fewest ticks between two heartbeats to one peer.
+    """
 
     addresses: Sequence[str]
-    a_tick: int
-    shortest_ticks: int
+    max_per_tick: int
+    min_period_ticks: int
 
     @property
     def period_ticks(self) -> int:
-        """How many ticks lie between two heartbeats to one peer."""
-        needed = -(-len(self.addresses) // self.a_tick)
-        return max(self.shortest_ticks, needed)
+        """Ticks between two heartbeats to one peer."""
+        needed = -(-len(self.addresses) // self.max_per_tick)
+        return max(self.min_period_ticks, needed)
 
 
 @dataclasses.dataclass(frozen=True)
 class Target:
-    """One heartbeat to send."""
+    """One heartbeat to send.
+
+    Attributes:
+        address: of the peer.
+        interval_s: announced time to the next heartbeat to this peer.
+    """
 
     address: str
     interval_s: float
 
 
-def near(addresses: Sequence[str]) -> Group:
-    """Returns the group of peers of our own role."""
-    return Group(addresses, NEAR_A_TICK, 1)
+def near(addresses: Sequence[str]) -> PeerGroup:
+    """Returns the group of peers of this process's role."""
+    return PeerGroup(addresses, NEAR_A_TICK, 1)
 
 
-def far(addresses: Sequence[str]) -> Group:
-    """Returns the group of all other peers."""
-    return Group(addresses, FAR_A_TICK, FAR_SHORTEST_TICKS)
+def far(addresses: Sequence[str]) -> PeerGroup:
+    """Returns the group of peers of other roles."""
+    return PeerGroup(addresses, FAR_A_TICK, FAR_SHORTEST_TICKS)
 
 
-def due(group: Group, tick: int) -> tuple[Target, ...]:
-    """Returns the heartbeats of one tick."""
+def due(group: PeerGroup, tick: int) -> tuple[Target, ...]:
+    """Returns the heartbeats that are due on one tick."""
     period = group.period_ticks
-    interval_s = period * TICK_S * SLACK
+    interval_s = period * TICK_S * INTERVAL_SLACK
     return tuple(
         Target(address, interval_s)
         for index, address in enumerate(group.addresses)
@@ -63,7 +74,7 @@
     )
 
 
-def all_of(group: Group) -> tuple[Target, ...]:
-    """Returns a heartbeat to each peer of a group, whatever the tick."""
-    interval_s = group.period_ticks * TICK_S * SLACK
+def all_targets(group: PeerGroup) -> tuple[Target, ...]:
+    """Returns a heartbeat to each peer of a group, due or not."""
+    interval_s = group.period_ticks * TICK_S * INTERVAL_SLACK
     return tuple(Target(address, interval_s) for address in group.addresses)
--- a/src/vanillaswitch/coordination/peering/peer_membership.py
+++ b/src/vanillaswitch/coordination/peering/peer_membership.py
@@ -1,8 +1,9 @@
-"""Which processes live, as one process sees it from heartbeats alone.
+"""Liveness of peers as one process sees it from their heartbeats.
 
-Everything is pure: a state and what happened give the next state. All times
-are monotonic seconds on our own clock; no clocks are compared. The table's
-leases stay the truth for ownership; this is soft state for routing and load.
+The functions are pure: they take a state and an event and return the next
+state. All times are monotonic seconds of the local clock; clocks of different
+processes are never compared. Ownership depends on the leases in the table
+only; this is soft state for routing and load.
 """
 
 from collections.abc import Iterable
@@ -13,20 +14,20 @@
 
 from vanillaswitch.protocol import peers
 
-SHORTEST_INTERVAL_S = 0.5
-LONGEST_INTERVAL_S = 10.0
+MIN_INTERVAL_S = 0.5
+MAX_INTERVAL_S = 10.0
 SUSPECT_INTERVALS = 3.0
 GONE_INTERVALS = 6.0
-LOAD_INTERVALS = 3.0
-FORGET_S = 60.0
+LOAD_VALID_INTERVALS = 3.0
+FORGET_AFTER_S = 60.0
 PAUSE_S = 1.5
 MAX_MEMBERS = 256
-MAX_LEARNT = 256
-MAX_RETIRED = 4
+MAX_LEARNED_ADDRESSES = 256
+MAX_PREVIOUS_BOOTS = 4
 
 
 class Standing(enum.StrEnum):
-    """What is believed of a member."""
+    """Liveness of a member as seen from here."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -35,93 +36,103 @@
 
 @dataclasses.dataclass(frozen=True)
 class Retired:
-    """A boot that another one has replaced."""
+    """An earlier start of a process, replaced by a later one.
+
+    Attributes:
+        boot: random id of that start.
+        sequence: of its newest heartbeat.
+        replaced_at: when a heartbeat of another boot replaced it.
+    """
 
     boot: str
     sequence: int
-    since: float
+    replaced_at: float
 
 
 @dataclasses.dataclass(frozen=True)
 class Member:
-    """A process that was heard.
+    """A process that sent at least one heartbeat.
 
     Attributes:
         last: its newest heartbeat.
-        standing: as of the last tick or heartbeat.
-        received: when ``last`` came.
-        heard: the same, moved on by the time in which we did not listen.
-        retired: its earlier boots, the latest last.
+        standing: liveness as of the last tick or heartbeat.
+        received_at: when ``last`` was received.
+        silent_since: start of its silence: ``received_at`` plus the time for
+            which this process was paused since.
+        retired: its earlier boots, the latest one last.
     """
 
     last: peers.Heartbeat
     standing: Standing
-    received: float
-    heard: float
+    received_at: float
+    silent_since: float
     retired: tuple[Retired, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True)
 class MembershipState:
-    """All that one process believes of its peers.
+    """What one process knows about its peers.
 
     Attributes:
-        process: our own name; we are no member of our own view.
-        address: our own peer address.
+        process: name of this process; it is not one of its own members.
+        address: peer address of this process.
         seeds: addresses from the settings, never forgotten.
+        last_tick_at: when ``tick`` last ran.
         members: by process.
-        learnt: addresses told by peers, and when they were first told.
-        ticked: when ``tick`` last ran.
-        namesakes: heartbeats of others that use our own name.
+        learned: addresses from peers' heartbeats, with the time of the first.
+        name_conflicts: number of heartbeats from other processes that use this
+            process's name.
     """
 
     process: str
     address: str
     seeds: tuple[str, ...]
-    ticked: float
+    last_tick_at: float
     members: Mapping[str, Member] = dataclasses.field(default_factory=dict)
-    learnt: Mapping[str, float] = dataclasses.field(default_factory=dict)
-    namesakes: int = 0
+    learned: Mapping[str, float] = dataclasses.field(default_factory=dict)
+    name_conflicts: int = 0
 
 
-def interval_s(heartbeat: peers.Heartbeat) -> float:
-    """Returns the promised time to the next heartbeat, within bounds."""
-    promised = max(SHORTEST_INTERVAL_S, heartbeat.interval_s)
-    return min(promised, LONGEST_INTERVAL_S)
+def announced_interval_s(heartbeat: peers.Heartbeat) -> float:
+    """Returns the announced time to the next heartbeat, within bounds."""
+    announced = max(MIN_INTERVAL_S, heartbeat.interval_s)
+    return min(announced, MAX_INTERVAL_S)
 
 
 def on_heartbeat(
     state: MembershipState, heartbeat: peers.Heartbeat, now: float
 ) -> MembershipState:
-    """Takes in a heartbeat; one that is old or doubled changes nothing."""
+    """Applies a heartbeat; an old or duplicate one changes nothing."""
     if heartbeat.process == state.process:
-        return dataclasses.replace(state, namesakes=state.namesakes + 1)
+        return dataclasses.replace(
+            state, name_conflicts=state.name_conflicts + 1
+        )
     known = state.members.get(heartbeat.process)
     if known is None and len(state.members) >= MAX_MEMBERS:
         return state
-    if known is not None and not _is_news(known, heartbeat):
+    if known is not None and not _is_newer(known, heartbeat):
         return state
     member = Member(
         last=heartbeat,
         standing=Standing.GONE if heartbeat.leaving else Standing.ALIVE,
-        received=now,
-        heard=now,
-        retired=_retired(known, heartbeat.boot, now),
+        received_at=now,
+        silent_since=now,
+        retired=_previous_boots(known, heartbeat.boot, now),
     )
     members = {**state.members, heartbeat.process: member}
     state = dataclasses.replace(state, members=members)
-    return _learn(state, heartbeat.peers, now)
+    return _with_learned(state, heartbeat.peers, now)
 
 
-def _is_news(known: Member, heartbeat: peers.Heartbeat) -> bool:
-    """Whether a heartbeat says more than what is known.
+def _is_newer(known: Member, heartbeat: peers.Heartbeat) -> bool:
+    """Whether a heartbeat is newer than the last known one.
 
-    Boots are random and have no order, so a message of an older boot that
-    comes late looks like a restart. Two rules tell them apart. A boot that
-    was replaced is not taken back while its successor is heard. And if a
-    late message of a boot never seen did replace the living one, that late
-    boot falls silent, and its predecessor, whose sequence goes on growing, is
-    taken back as soon as the silence makes the late one suspect.
+    Boot ids are random and have no order, so a late message of an older boot
+    looks like a restart. Two rules handle this. A replaced boot is not accepted
+    again while its successor is alive. If a late message of an unknown old boot
+    replaced the current one, no more messages of the old boot follow. Once the
+    silence makes it suspect, the current boot is accepted again, because its
+    sequence has grown since.
     """
     last = known.last
     if heartbeat.boot == last.boot:
@@ -130,12 +141,12 @@
         )
     for retired in known.retired:
         if retired.boot == heartbeat.boot:
-            grown = heartbeat.sequence > retired.sequence
-            return grown and known.standing is not Standing.ALIVE
+            is_sequence_newer = heartbeat.sequence > retired.sequence
+            return is_sequence_newer and known.standing is not Standing.ALIVE
     return True
 
 
-def _retired(
+def _previous_boots(
     known: Member | None, boot: str, now: float
 ) -> tuple[Retired, ...]:
     if known is None:
@@ -143,25 +154,25 @@
     last = known.last
     if last.boot == boot:
         return known.retired
-    others = [one for one in known.retired if one.boot != boot]
-    others.append(Retired(last.boot, last.sequence, now))
-    return tuple(others[-MAX_RETIRED:])
+    previous = [one for one in known.retired if one.boot != boot]
+    previous.append(Retired(last.boot, last.sequence, now))
+    return tuple(previous[-MAX_PREVIOUS_BOOTS:])
 
 
-def _learn(
+def _with_learned(
     state: MembershipState, addresses: Iterable[str], now: float
 ) -> MembershipState:
-    learnt = dict(state.learnt)
+    learned = dict(state.learned)
     for address in addresses:
-        if len(learnt) >= MAX_LEARNT:
+        if len(learned) >= MAX_LEARNED_ADDRESSES:
             break
-        if address not in learnt and is_address(address):
-            learnt[address] = now
-    return dataclasses.replace(state, learnt=learnt)
+        if address not in learned and is_peer_address(address):
+            learned[address] = now
+    return dataclasses.replace(state, learned=learned)
 
 
-def is_address(address: str) -> bool:
-    """Whether a text is "ip:port" with a port that can be connected to."""
+def is_peer_address(address: str) -> bool:
+    """Whether a text is "ip:port" with an IPv4 address and a valid port."""
     ip, _, port = address.rpartition(":")
     try:
         ipaddress.IPv4Address(ip)
@@ -171,46 +182,48 @@
 
 
 def tick(state: MembershipState, now: float) -> MembershipState:
-    """Judges silence; to be called at least twice a second.
+    """Updates the liveness of all members; call it at least twice a second.
 
-    While this process is paused it hears nobody, and all its peers would
-    look gone when it goes on. So only time in which we listened counts as
-    silence: a gap between two ticks moves every ``heard`` along.
+    A paused process receives nothing, so all its peers would look gone when it
+    resumes. Only time in which this process ran counts as silence: a long gap
+    between two ticks moves ``silent_since`` of every member forward.
     """
-    gap = now - state.ticked
-    unheard = gap if gap > PAUSE_S else 0.0
+    since_last_tick_s = now - state.last_tick_at
+    pause_s = since_last_tick_s if since_last_tick_s > PAUSE_S else 0.0
     members = {}
     for process, member in state.members.items():
-        moved = min(now, member.heard + unheard)
-        if now - moved > FORGET_S:
+        silent_since = min(now, member.silent_since + pause_s)
+        if now - silent_since > FORGET_AFTER_S:
             continue
-        members[process] = _judged(member, moved, now)
-    learnt = {
-        address: since
-        for address, since in state.learnt.items()
-        if now - since <= FORGET_S
+        members[process] = _with_liveness(member, silent_since, now)
+    learned = {
+        address: learned_at
+        for address, learned_at in state.learned.items()
+        if now - learned_at <= FORGET_AFTER_S
     }
     return dataclasses.replace(
-        state, members=members, learnt=learnt, ticked=now
+        state, members=members, learned=learned, last_tick_at=now
     )
 
 
-def _judged(member: Member, heard: float, now: float) -> Member:
+def _with_liveness(member: Member, silent_since: float, now: float) -> Member:
     return dataclasses.replace(
         member,
-        heard=heard,
-        standing=_standing(member.last, now - heard),
+        silent_since=silent_since,
+        standing=_liveness(member.last, now - silent_since),
         retired=tuple(
-            one for one in member.retired if now - one.since <= FORGET_S
+            one
+            for one in member.retired
+            if now - one.replaced_at <= FORGET_AFTER_S
         ),
     )
 
 
-def _standing(last: peers.Heartbeat, silence_s: float) -> Standing:
-    intervals = silence_s / interval_s(last)
-    if last.leaving or intervals > GONE_INTERVALS:
+def _liveness(last: peers.Heartbeat, silence_s: float) -> Standing:
+    missed_intervals = silence_s / announced_interval_s(last)
+    if last.leaving or missed_intervals > GONE_INTERVALS:
         return Standing.GONE
-    if intervals > SUSPECT_INTERVALS:
+    if missed_intervals > SUSPECT_INTERVALS:
         return Standing.SUSPECT
     return Standing.ALIVE
 
@@ -218,7 +231,7 @@
 def alive(
     state: MembershipState, role: peers.Role | None = None
 ) -> tuple[peers.Heartbeat, ...]:
-    """Returns the newest heartbeats of living members, by process."""
+    """Returns the newest heartbeats of live members, ordered by process."""
     return tuple(
         member.last
         for _, member in sorted(state.members.items())
@@ -227,38 +240,41 @@
     )
 
 
-def addresses(state: MembershipState) -> tuple[str, ...]:
-    """Returns every address that is worth a heartbeat, in order.
+def known_addresses(state: MembershipState) -> tuple[str, ...]:
+    """Returns every address to send heartbeats to, sorted.
 
-    Members that are gone stay until they are forgotten: a link that was cut
-    may heal, and both ends would wait for each other otherwise.
+    Gone members are included until they are forgotten. After a network
+    partition ends, both sides would otherwise wait for each other's heartbeat.
     """
-    known = {*state.seeds, *state.learnt}
+    known = {*state.seeds, *state.learned}
     known.update(one.last.address for one in state.members.values())
     known.discard(state.address)
-    return tuple(sorted(filter(is_address, known)))
+    return tuple(sorted(filter(is_peer_address, known)))
 
 
-def gossip(state: MembershipState) -> tuple[str, ...]:
-    """Returns the addresses to tell to peers.
+def gossip_addresses(state: MembershipState) -> tuple[str, ...]:
+    """Returns the addresses to send to peers in heartbeats.
 
-    Only those heard by ourselves, or an address that is dead would be told
-    in circles for ever.
+    These are the addresses of live members only. If learned addresses were
+    passed on too, peers would keep sending a dead one to each other for ever.
     """
     return tuple(sorted({one.address for one in alive(state) if one.address}))
 
 
 def loads(state: MembershipState, now: float) -> Mapping[str, int]:
-    """Returns the others' requests in flight, summed by minion.
+    """Returns the peers' requests in flight, summed by minion.
 
-    A load that was not renewed counts for a short time only: its sender has
-    finished, or holds nothing any more. A leaving member's requests still
-    run, so they count as long as it goes on telling them.
+    A reported load expires after a few intervals without a new heartbeat: its
+    sender has exited or has no requests in flight any more. The requests of a
+    leaving member still run, so they count while it sends heartbeats.
     """
     total: dict[str, int] = {}
     for member in state.members.values():
         last = member.last
-        if now - member.received > LOAD_INTERVALS * interval_s(last):
+        if (
+            now - member.received_at
+            > LOAD_VALID_INTERVALS * announced_interval_s(last)
+        ):
             continue
         for minion, in_flight in last.loads.items():
             total[minion] = total.get(minion, 0) + max(0, in_flight)
--- a/src/vanillaswitch/coordination/peering/peer_task.py
+++ b/src/vanillaswitch/coordination/peering/peer_task.py
@@ -1,7 +1,7 @@
-"""The task that tells peers of us and keeps what they tell.
+"""Exchanges heartbeats and messages with peers.
 
-Streams put what they receive into one queue; one task reads it, so the view
-of the peers and the handlers of messages need no locks.
+Streams put received messages into one queue that a single task reads. So the
+membership state and the message handlers need no locks.
 """
 
 import collections
@@ -34,77 +34,87 @@
 INBOX_LIMIT = 1024
 
 Handler = Callable[[str | None, M, peer_transport.Reply], None]
-"""Takes (sender's address or None, message, reply); must not block."""
+"""Called with (sender's address or None, message, reply); must not block."""
 
 
 @dataclasses.dataclass(frozen=True)
-class _Received:
+class _ReceivedMessage:
     sender: str | None
     message: peers.Message
     reply: peer_transport.Reply
 
 
 class PeerNetwork:
-    """A process's place among its peers."""
+    """Membership of a process among its peers, and messages to them."""
 
     def __init__(
         self,
-        identity: announcer.Identity,
+        identity: announcer.ProcessIdentity,
         seeds: tuple[str, ...],
         clock: clocks.Clock,
         snapshot: Callable[[], announcer.Own],
     ):
-        """Makes a network that is not running; see ``run``."""
+        """Initializes a network that is not running; see ``run``.
+
+        Args:
+            identity: identifies this process to its peers.
+            seeds: peer addresses to contact first.
+            clock: measures silence.
+            snapshot: returns what to send in the next heartbeats; must not
+                block.
+        """
         self._identity = identity
         self._clock = clock
         self._snapshot = snapshot
         self._transport: peer_transport.PeerTransport | None = None
         self._inbox: gevent.queue.Queue = gevent.queue.Queue(INBOX_LIMIT)
         self._handlers: dict[type, list[Handler[Any]]] = {}
-        self._asked: dict[str, gevent.event.AsyncResult] = {}
+        self._pending_queries: dict[str, gevent.event.AsyncResult] = {}
         self._counters: collections.Counter[str] = collections.Counter()
-        self._announcer: announcer.Announcer | None = None
+        self._heartbeat_sender: announcer.HeartbeatSender | None = None
         self._state = peer_membership.MembershipState(
             process=identity.process,
             address="",
             seeds=seeds,
-            ticked=clock.monotonic(),
+            last_tick_at=clock.monotonic(),
         )
 
     @property
     def address(self) -> str:
-        """The "ip:port" that peers reach this process at."""
+        """The "ip:port" at which peers reach this process."""
         return self._state.address
 
     @property
     def boot(self) -> str:
-        """Random id of this start."""
+        """Random id of this process start."""
         return self._identity.boot
 
     @property
     def membership(self) -> peer_membership.MembershipState:
-        """The view of the peers as of now."""
+        """Current membership state of the peers."""
         return self._state
 
     @property
     def counters(self) -> Mapping[str, int]:
-        """Counts since the start, those of the streams among them."""
-        return {**self._streams.counters, **self._counters}
+        """Counts since the start, including those of the streams."""
+        return {**self._running_transport.counters, **self._counters}
 
     @property
-    def _streams(self) -> peer_transport.PeerTransport:
+    def _running_transport(self) -> peer_transport.PeerTransport:
         assert self._transport is not None, "the peer network is not running"
         return self._transport
 
     @property
-    def _sender(self) -> announcer.Announcer:
-        assert self._announcer is not None, "the peer network is not running"
-        return self._announcer
+    def _running_sender(self) -> announcer.HeartbeatSender:
+        assert self._heartbeat_sender is not None, (
+            "the peer network is not running"
+        )
+        return self._heartbeat_sender
 
     def alive(
         self, role: peers.Role | None = None
     ) -> tuple[peers.Heartbeat, ...]:
-        """Returns the newest heartbeat of each living peer, by process."""
+        """Returns the newest heartbeats of live peers, ordered by process."""
         return peer_membership.alive(self._state, role)
 
     def peer_loads(self) -> Mapping[str, int]:
@@ -112,45 +122,46 @@
         return peer_membership.loads(self._state, self._clock.monotonic())
 
     def subscribe(self, kind: type[M], handler: Handler[M]) -> None:
-        """Has ``handler`` called with each message of one type.
+        """Registers a handler for all messages of one type.
 
-        It is called in the network's own task and has to return without
-        blocking; slow work goes into a queue of its own.
+        It runs in the network's task and must not block. A handler with slow
+        work puts it into a queue of its own.
         """
         self._handlers.setdefault(kind, []).append(handler)
 
     def send(self, address: str, message: peers.Message) -> bool:
-        """Queues a message to one peer; False when it was dropped."""
-        return self._streams.send(address, message)
+        """Queues a message to one peer; returns False if it was dropped."""
+        return self._running_transport.send(address, message)
 
     def broadcast(self, message: peers.Message) -> None:
-        """Queues a message to every known peer that is not known as gone."""
+        """Queues a message to every known peer that does not count as gone."""
         gone = {
             member.last.address
             for member in self._state.members.values()
             if member.standing is peer_membership.Standing.GONE
         }
-        for address in peer_membership.addresses(self._state):
+        for address in peer_membership.known_addresses(self._state):
             if address not in gone:
-                self._streams.send(address, message)
+                self._running_transport.send(address, message)
 
     def ask(
         self, address: str, query: peers.ClaimQuery, timeout_s: float
     ) -> peers.ClaimReply | None:
-        """Asks one peer and waits for its reply.
+        """Sends a claim query to one peer and waits for its reply.
 
         Returns:
-            None when none came in time, which says nothing about the claim.
+            The reply; None if the message was dropped or no reply came within
+            the timeout. None says nothing about the state of the claim.
         """
-        waiting = gevent.event.AsyncResult()
-        self._asked[query.query] = waiting
+        pending = gevent.event.AsyncResult()
+        self._pending_queries[query.query] = pending
         try:
-            if not self._streams.send(address, query):
+            if not self._running_transport.send(address, query):
                 return None
-            reply: peers.ClaimReply | None = waiting.wait(timeout=timeout_s)
+            reply: peers.ClaimReply | None = pending.wait(timeout=timeout_s)
             return reply
         finally:
-            self._asked.pop(query.query, None)
+            self._pending_queries.pop(query.query, None)
 
     def _receive(
         self,
@@ -158,17 +169,19 @@
         message: peers.Message,
         reply: peer_transport.Reply,
     ) -> None:
-        self._inbox.put(_Received(sender, message, reply))
+        self._inbox.put(_ReceivedMessage(sender, message, reply))
 
     def _start(self, transport: peer_transport.PeerTransport) -> None:
         self._transport = transport
-        self._announcer = announcer.Announcer(self._identity, transport)
+        self._heartbeat_sender = announcer.HeartbeatSender(
+            self._identity, transport
+        )
         self._state = dataclasses.replace(
             self._state, address=transport.address
         )
 
-    def _work(self) -> None:
-        """Handles one thing after another; None in the queue is a tick."""
+    def _process_inbox(self) -> None:
+        """Handles queued messages and ticks in order; None is a tick."""
         while True:
             received = self._inbox.get()
             if received is None:
@@ -176,36 +189,40 @@
             else:
                 self._handle(received)
 
-    def _handle(self, received: _Received) -> None:
+    def _handle(self, received: _ReceivedMessage) -> None:
         message = received.message
         if isinstance(message, peers.Heartbeat):
-            self._take_in(message)
+            self._update_membership(message)
         elif isinstance(message, peers.ClaimReply):
-            waiting = self._asked.get(message.query)
-            if waiting is not None:
-                waiting.set(message)
+            pending = self._pending_queries.get(message.query)
+            if pending is not None:
+                pending.set(message)
         for handler in self._handlers.get(type(message), ()):
             handler(received.sender, message, received.reply)
 
-    def _take_in(self, heartbeat: peers.Heartbeat) -> None:
+    def _update_membership(self, heartbeat: peers.Heartbeat) -> None:
         before = self._state
         self._state = peer_membership.on_heartbeat(
             before, heartbeat, self._clock.monotonic()
         )
-        self._tell_changes(before)
-        self._greet()
+        self._log_liveness_changes(before)
+        self._send_to_new_addresses()
 
     def _tick(self) -> None:
         before = self._state
         self._state = peer_membership.tick(before, self._clock.monotonic())
-        self._tell_changes(before)
-        self._greet()
-        self._sender.tick(self._state, self._snapshot())
+        self._log_liveness_changes(before)
+        self._send_to_new_addresses()
+        self._running_sender.send_due(self._state, self._snapshot())
 
-    def _greet(self) -> None:
-        self._sender.greet(self._state, self._snapshot())
+    def _send_to_new_addresses(self) -> None:
+        self._running_sender.send_to_new_addresses(
+            self._state, self._snapshot()
+        )
 
-    def _tell_changes(self, before: peer_membership.MembershipState) -> None:
+    def _log_liveness_changes(
+        self, before: peer_membership.MembershipState
+    ) -> None:
         for process, member in self._state.members.items():
             known = before.members.get(process)
             if known is None or known.standing is not member.standing:
@@ -213,10 +230,10 @@
                 logs.info("peer {} is {}", process, member.standing)
 
 
-def _keep_time(
+def _tick_periodically(
     inbox: gevent.queue.Queue, clock: clocks.Clock, rng: random.Random
 ) -> None:
-    """Ticks with a little jitter, so that processes do not beat as one."""
+    """Queues ticks, with jitter so that processes do not send in lockstep."""
     while True:
         inbox.put(None)
         clock.sleep(heartbeat_schedule.TICK_S * (0.95 + 0.1 * rng.random()))
@@ -232,26 +249,29 @@
     rng: random.Random,
     snapshot: Callable[[], announcer.Own],
 ) -> Iterator[PeerNetwork]:
-    """Joins the peers, and leaves them at exit.
+    """Runs the peer network of a process until the context exits.
+
+    An error in a handler is a broken invariant. It is raised in the task that
+    opened this context, so that the process stops instead of running on
+    without handling messages.
 
     Args:
-        settings: who we are, where to listen, whom to begin with.
+        settings: name, data centre, listen address and seeds of the process.
         role: which daemon this is.
-        boot: random id of this start.
-        open_transport: listens and carries messages.
-        clock: judges silence and paces the heartbeats.
-        rng: jitter of the heartbeats.
-        snapshot: what to tell of ourselves; must not block.
-
-    An error in a handler is a broken invariant: it is raised in the task that
-    opened this context, so that the process stops rather than go on deaf.
+        boot: random id of this process start.
+        open_transport: opens the transport that listens and sends messages.
+        clock: measures silence and paces the heartbeats.
+        rng: draws the jitter of the heartbeats.
+        snapshot: returns what to send in the next heartbeats; must not block.
     """
-    identity = announcer.Identity(
+    identity = announcer.ProcessIdentity(
         settings.process, boot, role, settings.data_centre
     )
     network = PeerNetwork(identity, settings.seeds, clock, snapshot)
     with open_transport(settings.peer_listen, network._receive) as transport:
         network._start(transport)
-        keep_time = functools.partial(_keep_time, network._inbox, clock, rng)
-        with supervision.running(network._work, keep_time):
+        tick_periodically = functools.partial(
+            _tick_periodically, network._inbox, clock, rng
+        )
+        with supervision.running(network._process_inbox, tick_periodically):
             yield network
--- a/tests/cover/test_heartbeat_schedule.py
+++ b/tests/cover/test_heartbeat_schedule.py
@@ -1,4 +1,4 @@
-"""Which peers get a heartbeat when."""
+"""The schedule of heartbeats to peers."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,21 +10,23 @@
 GROUPS = st.sampled_from([heartbeat_schedule.near, heartbeat_schedule.far])
 
 
-def group_of(make, size):
-    return make([f"10.0.0.{number}:7000" for number in range(size)])
+def group_of_size(make_group, size):
+    return make_group([f"10.0.0.{number}:7000" for number in range(size)])
 
 
 @properties.steady
 @given(GROUPS, SIZES, st.integers(0, 1000))
-def test_a_tick_never_sends_more_than_its_share(make, size, tick):
-    group = group_of(make, size)
-    assert len(heartbeat_schedule.due(group, tick)) <= group.a_tick
+def test_heartbeats_per_tick_are_bounded(make_group, size, tick):
+    group = group_of_size(make_group, size)
+    assert len(heartbeat_schedule.due(group, tick)) <= group.max_per_tick
 
 
 @properties.steady
 @given(GROUPS, SIZES, st.integers(0, 1000))
-def test_each_peer_gets_one_within_the_promised_interval(make, size, first):
-    group = group_of(make, size)
+def test_each_peer_gets_a_heartbeat_within_its_announced_interval(
+    make_group, size, first
+):
+    group = group_of_size(make_group, size)
     ticks = range(first, first + group.period_ticks)
     sent = [
         target
--- a/tests/cover/test_peer_task.py
+++ b/tests/cover/test_peer_task.py
@@ -1,4 +1,4 @@
-"""A process's place among its peers, over an in-memory transport."""
+"""Peer networks that exchange messages over an in-memory transport."""
 
 import contextlib
 import random
@@ -19,13 +19,13 @@
 REPLY = peers.ClaimReply("q", peers.ClaimState.RELEASED)
 
 
-class Group:
-    """Networks on one bus, with one clock."""
+class PeerGroup:
+    """Peer networks that share an in-memory transport and a clock."""
 
     def __init__(self, stack):
         self.bus = peer_doubles.Bus()
         self.clock = peer_doubles.StepClock()
-        self.owns = {}
+        self.statuses = {}
         self._stack = stack
 
     def start(self, name, *seeds, role=peers.Role.ENTRY):
@@ -42,12 +42,12 @@
                 self.bus.open,
                 self.clock,
                 random.Random(1),
-                lambda: self.owns.get(name, IDLE),
+                lambda: self.statuses.get(name, IDLE),
             )
         )
 
     def pass_ticks(self, count=1):
-        """Lets each network tick so often."""
+        """Advances time so that each network ticks ``count`` times."""
         for _ in range(count):
             peer_doubles.settle()
             self.clock.advance(1.05 * heartbeat_schedule.TICK_S)
@@ -55,52 +55,52 @@
 
 
 @pytest.fixture
-def group():
+def networks():
     with contextlib.ExitStack() as stack:
-        yield Group(stack)
+        yield PeerGroup(stack)
 
 
 def names(network, role=None):
     return [one.process for one in network.alive(role)]
 
 
-def test_processes_find_each_other_through_one_seed(group):
-    group.owns["b"] = announcer.Own(1, 1, False, {"m": 2})
-    group.owns["c"] = announcer.Own(1, 1, False, {"m": 3})
-    a = group.start("a")
-    b = group.start("b", a)
-    c = group.start("c", a, role=peers.Role.CONTROLLER)
-    group.pass_ticks()
+def test_processes_find_each_other_through_one_seed(networks):
+    networks.statuses["b"] = announcer.Own(1, 1, False, {"m": 2})
+    networks.statuses["c"] = announcer.Own(1, 1, False, {"m": 3})
+    a = networks.start("a")
+    b = networks.start("b", a)
+    c = networks.start("c", a, role=peers.Role.CONTROLLER)
+    networks.pass_ticks()
     assert names(a) + names(b) + names(c) == [*"bc", *"ac", *"ab"]
     assert names(a, peers.Role.CONTROLLER) == ["c"]
     assert a.peer_loads() == {"m": 5}
 
 
-def test_a_leaving_process_is_out_for_all_after_one_tick(group):
-    a = group.start("a")
-    others = [group.start(name, a) for name in "bcdefgh"]
-    group.pass_ticks(ROUND_TICKS)
-    group.owns["a"] = announcer.Own(1, 1, True, {})
+def test_a_leaving_process_is_not_alive_for_any_peer_after_one_tick(networks):
+    a = networks.start("a")
+    others = [networks.start(name, a) for name in "bcdefgh"]
+    networks.pass_ticks(ROUND_TICKS)
+    networks.statuses["a"] = announcer.Own(1, 1, True, {})
     assert all("a" in names(one) for one in others)
-    group.pass_ticks()
+    networks.pass_ticks()
     assert not any("a" in names(one) for one in others)
 
 
-def test_a_one_way_cut_is_noticed_on_the_deaf_side_only(group):
-    a = group.start("a")
-    b = group.start("b", a)
-    group.pass_ticks()
-    group.bus.cut.add((a.address, b.address))
-    group.pass_ticks(2 * ROUND_TICKS)
+def test_a_one_way_cut_is_noticed_by_the_receiver_only(networks):
+    a = networks.start("a")
+    b = networks.start("b", a)
+    networks.pass_ticks()
+    networks.bus.cut.add((a.address, b.address))
+    networks.pass_ticks(2 * ROUND_TICKS)
     assert (names(a), names(b)) == (["b"], [])
-    group.bus.cut.clear()
-    group.pass_ticks(ROUND_TICKS)
+    networks.bus.cut.clear()
+    networks.pass_ticks(ROUND_TICKS)
     assert names(b) == ["a"]
 
 
-def test_a_question_gets_the_reply_to_its_own_query(group):
-    a = group.start("a")
-    b = group.start("b", a)
+def test_a_query_gets_the_reply_with_its_own_id(networks):
+    a = networks.start("a")
+    b = networks.start("b", a)
 
     def answer(_sender, _query, reply):
         reply(peers.ClaimReply("of another", peers.ClaimState.DONE))
@@ -111,37 +111,39 @@
     assert b.ask(a.address, QUERY, 0.0) is None
 
 
-def test_a_broadcast_reaches_all_but_those_that_left(group):
-    a = group.start("a")
-    b, c = group.start("b", a), group.start("c", a)
-    group.owns["c"] = announcer.Own(1, 1, True, {})
-    group.pass_ticks(ROUND_TICKS)
+def test_a_broadcast_reaches_all_peers_except_those_that_left(networks):
+    a = networks.start("a")
+    b, c = networks.start("b", a), networks.start("c", a)
+    networks.statuses["c"] = announcer.Own(1, 1, True, {})
+    networks.pass_ticks(ROUND_TICKS)
     offer = peers.ConfigOffer(2, "d")
     a.broadcast(offer)
-    reached = {target for _, target, sent in group.bus.sent if sent == offer}
+    reached = {target for _, target, sent in networks.bus.sent if sent == offer}
     assert reached == {b.address} != {c.address}
 
 
-def test_a_broken_invariant_in_a_handler_stops_the_process(group):
+def test_an_invariant_error_in_a_handler_is_raised_in_the_opener(networks):
     def broken(*_):
         raise errors.InvariantError("broken")
 
-    a = group.start("a")
-    b = group.start("b", a)
+    a = networks.start("a")
+    b = networks.start("b", a)
     b.subscribe(peers.ConfigOffer, broken)
     with pytest.raises(errors.InvariantError):
         a.send(b.address, peers.ConfigOffer(2, "d"))
         peer_doubles.settle()
 
 
-def test_a_process_sends_a_bounded_number_of_heartbeats(group):
-    a = group.start("a")
+def test_heartbeats_are_bounded_and_reach_every_peer_in_a_round(networks):
+    a = networks.start("a")
     for name in "bcdefghijklm":
-        group.start(name, a)
-    group.pass_ticks(2 * ROUND_TICKS)
-    group.bus.sent.clear()
-    group.pass_ticks(ROUND_TICKS)
-    sent = [one for one in group.bus.sent if one[0] == a.address]
-    a_tick = heartbeat_schedule.NEAR_A_TICK + heartbeat_schedule.FAR_A_TICK
-    assert len(sent) <= ROUND_TICKS * a_tick
+        networks.start(name, a)
+    networks.pass_ticks(2 * ROUND_TICKS)
+    networks.bus.sent.clear()
+    networks.pass_ticks(ROUND_TICKS)
+    sent = [one for one in networks.bus.sent if one[0] == a.address]
+    max_per_tick = (
+        heartbeat_schedule.NEAR_A_TICK + heartbeat_schedule.FAR_A_TICK
+    )
+    assert len(sent) <= ROUND_TICKS * max_per_tick
     assert len({target for _, target, _ in sent}) == 12
