--- a/src/vanillaswitch/coordination/configuration/__init__.py
+++ b/src/vanillaswitch/coordination/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Putting a configuration in force, everywhere and for good."""
+"""Applies configurations and distributes them to all processes."""
--- a/src/vanillaswitch/coordination/configuration/config_task.py
+++ b/src/vanillaswitch/coordination/configuration/config_task.py
@@ -1,8 +1,8 @@
-"""Keeps this process's configuration the newest that it can hear of.
+"""Keeps the configuration of this process up to date.
 
-It comes from the table, polled once a second, and from peers, who push what
-they take. Either is enough: while the table is down, peers pass on what one
-of them has taken.
+New configurations come from the table, which is polled once a second, and from
+peers, which offer each configuration that they apply. Either source is enough:
+while the table is down, peers pass on what one of them has read.
 """
 
 from collections.abc import Callable
@@ -24,13 +24,13 @@
 
 @dataclasses.dataclass
 class Counters:
-    """What happened so far.
+    """Counts since the start.
 
     Attributes:
         polls_failed: reads of the head that got no answer.
         taken: configurations that came into force.
-        late: bodies of peers that were not newer than what is in force.
-        damaged: bodies that do not have their digest.
+        late: bodies from peers that were not newer than the one in force.
+        damaged: bodies that do not match their digest.
         unreadable: bodies that this version of the program can't read.
     """
 
@@ -42,10 +42,10 @@
 
 
 class ConfigTask:
-    """Polls the table and talks with peers about configurations.
+    """Polls the table and exchanges configurations with peers.
 
     Attributes:
-        counters: what happened so far.
+        counters: counts since the start.
     """
 
     def __init__(
@@ -56,14 +56,14 @@
         clock: clocks.Clock,
         broadcast: Broadcast,
     ):
-        """Makes a task that is not yet running.
+        """Initializes a task that is not running yet.
 
         Args:
             view: this process's configuration; only this task changes it.
             table: holds the head.
             objects: holds the bodies.
             clock: paces the polls.
-            broadcast: reaches the peers.
+            broadcast: sends a message to all peers.
         """
         self.counters = Counters()
         self._view = view
@@ -72,7 +72,7 @@
         self._clock = clock
         self._broadcast = broadcast
         self._body = b""
-        self._table_answers = True
+        self._is_table_available = True
 
     def run(self) -> None:
         """Polls until its greenlet is killed."""
@@ -81,17 +81,17 @@
             self._clock.sleep(POLL_S)
 
     def poll(self) -> None:
-        """Takes the configuration of the table if it is newer."""
+        """Applies the configuration in the table if it is newer."""
         if self._view.number == rollout.NONE_YET:
             self._broadcast(peers.ConfigRequest(1))
         head = rollout.read_head(self._table)
         if isinstance(head, platform.Unavailable):
             self.counters.polls_failed += 1
-            self._note_table(False)
+            self._log_table_state(False)
             return
-        self._note_table(True)
+        self._log_table_state(True)
         if head.row.number > self._view.number:
-            self._fetch(head.row.number, head.row.digest)
+            self._fetch_body(head.row.number, head.row.digest)
 
     def on_message(
         self,
@@ -99,22 +99,22 @@
         message: peers.Message,
         reply: Callable[[peers.Message], None],
     ) -> None:
-        """Handles a message of a peer; those about other things are ignored.
+        """Handles a message from a peer; ignores those of other types.
 
         Args:
             sender_address: the peer's address, for the log; None if unknown.
-            message: what it sent.
-            reply: sends a message back to it.
+            message: the received message.
+            reply: sends a message back to the peer.
         """
         match message:
             case peers.ConfigOffer():
-                self._compare(message.version, reply)
+                self._compare_versions(message.version, reply)
             case peers.Heartbeat():
-                self._compare(message.config_version, reply)
+                self._compare_versions(message.config_version, reply)
             case peers.ConfigRequest():
-                self._answer(message, reply)
+                self._send_body(message, reply)
             case peers.ConfigBody() if message.version > self._view.number:
-                self._take(
+                self._apply(
                     message.version,
                     message.digest,
                     message.body,
@@ -123,16 +123,16 @@
             case peers.ConfigBody():
                 self.counters.late += 1
 
-    def _compare(
+    def _compare_versions(
         self, number: int, reply: Callable[[peers.Message], None]
     ) -> None:
-        """Asks a peer that is ahead, tells one that is behind."""
+        """Requests a newer configuration or offers the peer a newer one."""
         if number > self._view.number:
             reply(peers.ConfigRequest(number))
         elif number < self._view.number:
             reply(peers.ConfigOffer(self._view.number, self._view.digest))
 
-    def _answer(
+    def _send_body(
         self,
         request: peers.ConfigRequest,
         reply: Callable[[peers.Message], None],
@@ -144,16 +144,18 @@
                 )
             )
 
-    def _fetch(self, number: int, digest: str) -> None:
+    def _fetch_body(self, number: int, digest: str) -> None:
         body = rollout.load_body(self._objects, digest)
         if body is None:
-            # The head can be read and the body can't: the object store is
-            # down alone. A peer that took it earlier has the body.
+            # Only the object store is down, since the head could be read. A
+            # peer that applied this configuration earlier has the body.
             self._broadcast(peers.ConfigRequest(number))
             return
-        self._take(number, digest, body, "the platform")
+        self._apply(number, digest, body, "the platform")
 
-    def _take(self, number: int, digest: str, body: bytes, source: str) -> None:
+    def _apply(
+        self, number: int, digest: str, body: bytes, source: str
+    ) -> None:
         if canonical.digest(body) != digest:
             self.counters.damaged += 1
             return
@@ -161,8 +163,8 @@
         if config is None:
             self.counters.unreadable += 1
             return
-        # The view decides, not the comparison made before the body was
-        # fetched: a newer one may have come from a peer in the meantime.
+        # The view compares numbers again: a newer configuration may have come
+        # from a peer while the body was fetched.
         if not self._view.offer(number, digest, config):
             return
         self._body = body
@@ -170,8 +172,8 @@
         logs.info("configuration {} taken from {}", number, source)
         self._broadcast(peers.ConfigOffer(number, digest))
 
-    def _note_table(self, answers: bool) -> None:
-        if answers != self._table_answers:
-            self._table_answers = answers
-            state = "answers again" if answers else "does not answer"
-            logs.warning("the table {} for the configuration", state)
+    def _log_table_state(self, is_available: bool) -> None:
+        if is_available != self._is_table_available:
+            self._is_table_available = is_available
+            state = "available again" if is_available else "unavailable"
+            logs.warning("table {}, polled for configurations", state)
--- a/src/vanillaswitch/coordination/configuration/rollout.py
+++ b/src/vanillaswitch/coordination/configuration/rollout.py
@@ -1,8 +1,8 @@
-"""Puts a checked configuration in force, against operators who race for it.
+"""Applies a checked configuration with optimistic concurrency control.
 
-The body is stored under its digest first. Then one transaction swaps the head
-from the configuration that the operator started from to the new one, so of
-two operators who started from the same one, exactly one is accepted.
+The body is stored under its digest first. Then one transaction moves the head
+from the configuration that the operator started from to the new one. Of two
+operators who started from the same one, exactly one is accepted.
 """
 
 import dataclasses
@@ -19,24 +19,24 @@
 from vanillaswitch.state import rows
 
 NONE_YET = 0
-"""The number to start from when no configuration was ever applied."""
+"""Number of the head while no configuration was applied yet."""
 
-SETTLE_S = 10.0
-"""How long a lost answer is asked for again."""
+SETTLE_TIMEOUT_S = 10.0
+"""How long a commit is retried whose answer was lost."""
 
-HANDED_TO = 8
-"""To how many controllers an accepted configuration is given directly."""
+MAX_DIRECT_CONTROLLERS = 8
+"""Most controllers to which an accepted configuration is sent directly."""
 
-RECENT = 16
-"""Accepted configurations that the head remembers."""
+MAX_RECENT = 16
+"""Most accepted configurations that are recorded in the head."""
 
-UNREADABLE = "(the configurations to compare can't be read)"
-"""Stands for the changes of another operator that can't be told."""
+UNREADABLE_CHANGES = "(the configurations to compare can't be read)"
+"""Replaces the list of another operator's changes if it is unknown."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Head:
-    """The head as read, with the version of its row."""
+    """The head and the version of its row."""
 
     version: int
     row: rows.ConfigHead
@@ -47,10 +47,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Applied:
-    """The configuration was accepted under this number.
+    """The configuration was accepted.
 
     Attributes:
-        in_force: the newest number seen; higher when another has followed.
+        number: of the accepted configuration.
+        digest: of the accepted configuration.
+        in_force: newest number in the head; higher than ``number`` if another
+            configuration was accepted since.
     """
 
     number: int
@@ -60,9 +63,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Conflict:
-    """Another configuration was accepted first; ours never will be.
+    """Another configuration was accepted first; this one is refused for good.
 
     Attributes:
+        started_from: number from which the operator started.
         found: the number in force.
         changes: dotted paths that changed since ``started_from``.
     """
@@ -74,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Undecided:
-    """The configuration was sent; it may be accepted, even later."""
+    """The commit was sent; it may have taken effect or may do so later."""
 
     reason: str
 
@@ -83,8 +87,14 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Attempt:
-    """One operator's attempt to change the head."""
+class ApplyAttempt:
+    """One operator's attempt to change the head.
+
+    Attributes:
+        token: of the transaction.
+        digest: of the new configuration.
+        started_from: number from which the operator started.
+    """
 
     token: str
     digest: str
@@ -101,40 +111,43 @@
 ) -> ApplyOutcome:
     """Stores a configuration and puts it in force.
 
-    Applying what is in force already changes nothing and is accepted.
+    Applying the configuration in force is accepted and changes nothing.
 
     Args:
-        platform: where configurations are kept.
-        clock: paces the tries, stamps the head.
+        platform: stores configurations.
+        clock: paces the retries, stamps the head.
         rng: draws the transaction's token.
         config: a checked configuration.
         author: who applies it.
-        started_from: the number that the operator looked at; ``NONE_YET``
-            for the first configuration.
+        started_from: the number on which the operator's change is based;
+            ``NONE_YET`` for the first configuration.
 
     Returns:
-        ``Unavailable`` promises that nothing of it was or will be accepted.
+        The outcome. After ``Unavailable`` the configuration neither was nor
+        will be accepted.
     """
     body = canonical.dump(config)
-    attempt = Attempt(ids.new_id(rng), canonical.digest(body), started_from)
+    attempt = ApplyAttempt(
+        ids.new_id(rng), canonical.digest(body), started_from
+    )
     head = read_head(platform.table)
     if isinstance(head, platform_module.Unavailable):
         return head
     if head.row.number != started_from or head.row.digest == attempt.digest:
-        return _settled(platform, head, attempt)
+        return _final_outcome(platform, head, attempt)
     stored = platform.objects.put(attempt.digest, body)
     if isinstance(stored, platform_module.Unavailable):
         return stored
-    return _swap(platform, clock, head, attempt, author)
+    return _commit_head(platform, clock, head, attempt, author)
 
 
 def peer_addresses(table: platform_module.Table) -> tuple[str, ...]:
-    """Returns where some controllers listen for peers.
+    """Returns the peer addresses of some controllers.
 
-    An accepted configuration is given to these directly, and they pass it on.
-    None are returned when the table can't be read.
+    An accepted configuration is sent to them directly, and they pass it on.
+    The result is empty if the table can't be read.
     """
-    found = table.scan(keys.SESSIONS, limit=HANDED_TO)
+    found = table.scan(keys.SESSIONS, limit=MAX_DIRECT_CONTROLLERS)
     if isinstance(found, platform_module.Unavailable):
         return ()
     sessions = [rows.load(rows.Session, row.value) for row in found.rows]
@@ -144,39 +157,42 @@
 def read_head(
     table: platform_module.Table,
 ) -> Head | platform_module.Unavailable:
-    """Reads the head; ``NO_HEAD`` when there is none."""
+    """Reads the head; returns ``NO_HEAD`` if there is none."""
     found = table.read([keys.CONFIG_HEAD])
     if isinstance(found, platform_module.Unavailable):
         return found
-    return _head(found.rows)
+    return _head_from_rows(found.rows)
 
 
-def successor(
-    head: Head, attempt: Attempt, author: str, wall_s: float
+def next_head_transaction(
+    head: Head, attempt: ApplyAttempt, author: str, wall_s: float
 ) -> platform_module.Transaction:
-    """Returns the transaction that puts an attempt after a head."""
+    """Returns the transaction that makes an attempt the successor of a head."""
     number = head.row.number + 1
     accepted = rows.AcceptedConfig(number, attempt.digest, attempt.token)
-    recent = (accepted, *head.row.recent)[:RECENT]
+    recent = (accepted, *head.row.recent)[:MAX_RECENT]
     row = rows.ConfigHead(number, attempt.digest, author, wall_s, recent)
     put = platform_module.Put(keys.CONFIG_HEAD, head.version, rows.dump(row))
     return platform_module.Transaction(attempt.token, (put,))
 
 
-def judge(head: Head, attempt: Attempt) -> Applied | Conflict | None:
-    """Tells from the head what became of an attempt.
+def outcome_from_head(
+    head: Head, attempt: ApplyAttempt
+) -> Applied | Conflict | None:
+    """Determines the outcome of an attempt from the head.
 
-    The failure guarded against: our write took effect, its answer was lost,
-    and another operator's write has followed. The head's row shows only the
-    other's token then, and taking it for a lost race would deny a
-    configuration that was in force. The head therefore remembers the latest
-    writers: one of them has our number, and it is us or it is not. Once the
-    head has moved past ``started_from`` no copy of our write can take effect
-    any more, for it checks the row's version.
+    This guards against the following failure: the write of the attempt took
+    effect, its answer was lost, and another operator's write followed. The
+    head's row then shows the token of the other write only, and a conflict
+    would be reported for a configuration that was in force. So the head
+    records the latest accepted configurations with their tokens; the one
+    numbered ``started_from`` + 1 shows whether the attempt was accepted. Once
+    the head has moved past ``started_from``, no copy of the write can take
+    effect any more, since it checks the version of the row.
 
     Returns:
-        None when it can't be told: the head has not moved, so that a delayed
-        copy may still take effect, or it has moved too far to remember.
+        None if the outcome is unknown: the head has not moved, so a delayed
+        copy may still take effect, or it has moved further than it records.
     """
     in_force = head.row.number
     if any(a.token == attempt.token for a in head.row.recent):
@@ -186,10 +202,10 @@
         return Applied(in_force, attempt.digest, in_force)
     if in_force == attempt.started_from:
         return None
-    forgotten = attempt.started_from + 1 < min(
+    is_forgotten = attempt.started_from + 1 < min(
         (a.number for a in head.row.recent), default=0
     )
-    if forgotten:
+    if is_forgotten:
         return None
     return Conflict(attempt.started_from, in_force, ())
 
@@ -197,32 +213,32 @@
 def load_body(
     objects: platform_module.ObjectStore, digest: str
 ) -> bytes | None:
-    """Fetches a body; None when it is not to be had or not what it says."""
+    """Fetches a body; returns None if it is missing, unavailable or damaged."""
     found = objects.get(digest)
     if not isinstance(found, platform_module.Body):
         return None
-    # A body that was cut or changed on its way shows another digest.
+    # A truncated or corrupted body has another digest.
     if canonical.digest(found.content) != digest:
         return None
     return found.content
 
 
-def _head(found: tuple[platform_module.Row, ...]) -> Head:
+def _head_from_rows(found: tuple[platform_module.Row, ...]) -> Head:
     for row in found:
         if row.key == keys.CONFIG_HEAD and row.version:
             return Head(row.version, rows.load(rows.ConfigHead, row.value))
     return NO_HEAD
 
 
-def _swap(
+def _commit_head(
     platform: platform_module.Platform,
     clock: clocks.Clock,
     head: Head,
-    attempt: Attempt,
+    attempt: ApplyAttempt,
     author: str,
 ) -> ApplyOutcome:
-    transaction = successor(head, attempt, author, clock.wall())
-    deadline = clock.monotonic() + SETTLE_S
+    transaction = next_head_transaction(head, attempt, author, clock.wall())
+    deadline = clock.monotonic() + SETTLE_TIMEOUT_S
     outcome = commits.settle(platform.table, transaction, clock, deadline)
     if isinstance(outcome, platform_module.Unavailable):
         return outcome
@@ -230,22 +246,22 @@
         number = attempt.started_from + 1
         return Applied(number, attempt.digest, number)
     if isinstance(outcome, platform_module.Conflict):
-        return _settled(platform, _head(outcome.found), attempt)
+        return _final_outcome(platform, _head_from_rows(outcome.found), attempt)
     newest = read_head(platform.table)
     if isinstance(newest, platform_module.Unavailable):
         return Undecided(newest.reason)
-    if judge(newest, attempt) is None:
+    if outcome_from_head(newest, attempt) is None:
         return Undecided(outcome.reason)
-    return _settled(platform, newest, attempt)
+    return _final_outcome(platform, newest, attempt)
 
 
-def _settled(
-    platform: platform_module.Platform, head: Head, attempt: Attempt
+def _final_outcome(
+    platform: platform_module.Platform, head: Head, attempt: ApplyAttempt
 ) -> ApplyOutcome:
-    """Returns what became of an attempt that can't take effect any more."""
-    judged = judge(head, attempt)
-    if isinstance(judged, Applied):
-        return judged
+    """Returns the outcome of an attempt that can't take effect any more."""
+    decided = outcome_from_head(head, attempt)
+    if isinstance(decided, Applied):
+        return decided
     changes = _changes_since(platform.objects, head.row, attempt.started_from)
     return Conflict(attempt.started_from, head.row.number, changes)
 
@@ -255,16 +271,16 @@
     head: rows.ConfigHead,
     started_from: int,
 ) -> tuple[str, ...]:
-    """Returns the dotted paths that differ from what an operator knew."""
+    """Returns the dotted paths that differ from the ``started_from`` one."""
     digests = {a.number: a.digest for a in head.recent}
-    newest = _load(objects, head.digest)
-    known = _load(objects, digests.get(started_from, ""))
+    newest = _load_config(objects, head.digest)
+    known = _load_config(objects, digests.get(started_from, ""))
     if newest is None or (known is None and started_from != NONE_YET):
-        return (UNREADABLE,)
+        return (UNREADABLE_CHANGES,)
     return tuple(change.path for change in diff.diff(known, newest))
 
 
-def _load(
+def _load_config(
     objects: platform_module.ObjectStore, digest: str
 ) -> config_module.Config | None:
     body = load_body(objects, digest) if digest else None
--- a/tests/common/config_stores.py
+++ b/tests/common/config_stores.py
@@ -1,4 +1,4 @@
-"""A platform's table and objects in memory, for tests of configurations."""
+"""An in-memory table and object store for tests of configurations."""
 
 import dataclasses
 import random
@@ -18,26 +18,26 @@
 from vanillaswitch.state import config_view
 
 
-def with_cores(cores):
-    """Returns a configuration that differs in one team's cores."""
+def config_with_cores(cores):
+    """Returns an example configuration with this quota of one team."""
     config = configs.example()
     ledger = dataclasses.replace(config.teams["ledger"], cores=float(cores))
     return dataclasses.replace(config, teams={**config.teams, "ledger": ledger})
 
 
-def body_of(number, config):
+def body_message(number, config):
     """Returns the message that carries a configuration."""
     body = canonical.dump(config)
     return peers.ConfigBody(number, canonical.digest(body), body)
 
 
-def ignore(message):
-    """Takes a message and does nothing."""
+def ignore_message(message):
+    """Discards a message."""
     del message
 
 
 class Store:
-    """A platform's table and objects, with switches for their faults."""
+    """A platform with a table and an object store that can fail."""
 
     def __init__(self):
         self.clock = clocks.ManualClock()
@@ -47,19 +47,19 @@
         self._rng = random.Random(1)
 
     def platform(self, table=None):
-        """Returns a platform that has these two parts only."""
+        """Returns a platform with a table and an object store only."""
         return platform_module.Platform(
             table or self.table, self.objects, None, None
         )
 
     def apply(self, config, started_from, author="ana", table=None):
-        """Applies as an operator does."""
+        """Applies a configuration as an operator does."""
         platform = self.platform(table)
         return rollout.apply(
             platform, self.clock, self._rng, config, author, started_from
         )
 
-    def process(self, broadcast=ignore):
+    def new_process(self, broadcast=ignore_message):
         """Returns the view and the task of a new process."""
         view = config_view.ConfigView()
         task = config_task.ConfigTask(
@@ -69,40 +69,44 @@
 
 
 class InterleavedTable:
-    """A table that pauses its caller before each call, and fails by choice.
+    """A table that switches to the parent greenlet before each call.
 
-    It does not know a token again, which the interface does not promise. A
-    delayed effect also uses up the caller's patience.
+    It does not recognize the token of an earlier commit, because the interface
+    does not promise that. A delayed effect also exhausts the caller's time.
 
     Attributes:
-        fates: switches of the faults for the next commits; "" for none.
+        fault_switches: faults to switch on for the next commits, taken from
+            the end; "" for none.
     """
 
-    def __init__(self, store, fates):
-        self.fates = fates
+    def __init__(self, store, fault_switches):
+        self.fault_switches = fault_switches
         self._store = store
 
     def read(self, keys):
-        """Lets another operator go on first, then reads."""
+        """Lets another operator run first, then reads."""
         greenlet.getcurrent().parent.switch()
         return self._store.table.read(keys)
 
     def commit(self, transaction):
-        """Lets another operator go on first, then commits."""
+        """Lets another operator run first, then commits."""
         greenlet.getcurrent().parent.switch()
         [put] = transaction.puts
         found = self._store.table.read([put.key]).rows
         if found and found[0].version != put.version:
             return platform_module.Conflict(found)
-        return self._commit(transaction, self.fates.pop() if self.fates else "")
+        return self._commit(
+            transaction,
+            self.fault_switches.pop() if self.fault_switches else "",
+        )
 
-    def _commit(self, transaction, fate):
+    def _commit(self, transaction, fault_switch):
         faults = self._store.faults
-        if fate:
-            setattr(faults, fate, 1)
+        if fault_switch:
+            setattr(faults, fault_switch, 1)
         outcome = self._store.table.commit(transaction)
-        if fate:
-            setattr(faults, fate, 0)
-        if fate == "delay_effect":
-            self._store.clock.advance(rollout.SETTLE_S)
+        if fault_switch:
+            setattr(faults, fault_switch, 0)
+        if fault_switch == "delay_effect":
+            self._store.clock.advance(rollout.SETTLE_TIMEOUT_S)
         return outcome
--- a/tests/failures/test_config_handed_over.py
+++ b/tests/failures/test_config_handed_over.py
@@ -1,4 +1,4 @@
-"""A configuration whose table goes down as soon as it has accepted it."""
+"""Direct delivery of an accepted configuration while the table is down."""
 
 import contextlib
 import dataclasses
@@ -25,8 +25,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Inbox:
-    """What a controller at ``address`` gets."""
+class _ControllerInbox:
+    """Messages that a controller at ``address`` receives."""
 
     address: str
     messages: gevent.queue.Queue
@@ -41,7 +41,7 @@
         clocks.SystemClock(),
         random.Random(1),
     ) as listening:
-        yield _Inbox(listening.address, messages)
+        yield _ControllerInbox(listening.address, messages)
 
 
 def _apply(store):
@@ -52,12 +52,12 @@
     )
 
 
-def test_a_controller_gets_what_was_accepted_without_the_table(inbox):
-    """A price change is accepted and in force nowhere for the whole outage.
+def test_a_controller_gets_an_accepted_configuration_without_the_table(inbox):
+    """Guards against an accepted change that no process gets in an outage.
 
     The table accepts it and goes down before any process has read it. The
-    operator's command still has the body, and gives it to the controllers
-    whose sessions it saw, a dead one among them.
+    operator's command still has the body and sends it to the controllers
+    whose sessions it read, one of which is dead.
     """
     store = stores.Store()
     puts = tuple(
@@ -78,21 +78,23 @@
     assert canonical.digest(message.body) == head.digest
 
 
-def test_what_was_refused_is_handed_to_nobody(inbox, monkeypatch):
-    """A change that lost its race must come into force nowhere."""
-    handed = []
+def test_a_configuration_that_was_not_accepted_is_sent_to_nobody(
+    inbox, monkeypatch
+):
+    """A change that was not accepted must not come into force anywhere."""
+    sent = []
     monkeypatch.setattr(
         "vanillaswitch.transport.hand_over.send",
-        lambda *arguments: handed.append(arguments),
+        lambda *arguments: sent.append(arguments),
     )
     store = stores.Store()
     session = rows.Session("boot", inbox.address, "hall-recife", 1)
     put = platform.Put(keys.session("c"), platform.ABSENT, rows.dump(session))
     store.platform().table.commit(platform.Transaction("t", (put,)))
     assert _apply(store).exit_code == 0
-    assert len(handed) == 1
-    with_other = stores.Store()
-    with_other.platform().table.commit(platform.Transaction("t", (put,)))
-    with_other.platform().table.faults.down = True
-    assert _apply(with_other).exit_code == 3
-    assert len(handed) == 1
+    assert len(sent) == 1
+    unavailable_store = stores.Store()
+    unavailable_store.platform().table.commit(platform.Transaction("t", (put,)))
+    unavailable_store.platform().table.faults.down = True
+    assert _apply(unavailable_store).exit_code == 3
+    assert len(sent) == 1
--- a/tests/failures/test_config_races.py
+++ b/tests/failures/test_config_races.py
@@ -1,4 +1,4 @@
-"""Operators who race, answers that are lost, outages: no configuration is."""
+"""Configurations survive races of operators, lost answers and outages."""
 
 import dataclasses
 import functools
@@ -23,85 +23,90 @@
     return stores.Store()
 
 
-def test_the_loser_of_a_race_is_told_what_the_other_changed(store):
-    """An operator's change would silently undo a colleague's.
+def test_the_loser_of_a_race_gets_a_conflict_with_the_other_changes(store):
+    """Guards against a change that silently undoes another operator's.
 
-    Both look at number 1 and change it; Bia applies first. Ana's folder
-    does not hold Bia's change, so Ana's apply must be refused.
+    Both operators start from number 1, and Bia applies first. Ana's folder
+    lacks Bia's change, so Ana's apply must be refused.
     """
-    store.apply(stores.with_cores(1), rollout.NONE_YET)
-    assert store.apply(stores.with_cores(2), 1, "bia").number == 2
-    outcome = store.apply(stores.with_cores(3), 1, "ana")
+    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
+    assert store.apply(stores.config_with_cores(2), 1, "bia").number == 2
+    outcome = store.apply(stores.config_with_cores(3), 1, "ana")
     assert outcome == rollout.Conflict(1, 2, ("teams.ledger.cores",))
 
 
-def test_the_loser_is_told_when_the_bodies_cannot_be_compared(store):
-    """An operator who lost a race reads that nothing was changed.
+def test_a_conflict_says_when_the_bodies_cannot_be_compared(store):
+    """Guards against a conflict that lists no changes although there are some.
 
     The object store goes down after the race, so the two bodies can't be
-    compared; an empty list of changes would be untrue.
+    compared. An empty list of changes would be wrong.
     """
-    store.apply(stores.with_cores(1), rollout.NONE_YET)
-    store.apply(stores.with_cores(2), 1, "bia")
+    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
+    store.apply(stores.config_with_cores(2), 1, "bia")
     store.objects.faults.down = True
-    outcome = store.apply(stores.with_cores(3), 1)
-    assert outcome.changes == (rollout.UNREADABLE,)
+    outcome = store.apply(stores.config_with_cores(3), 1)
+    assert outcome.changes == (rollout.UNREADABLE_CHANGES,)
 
 
-@pytest.mark.parametrize("followers", [1, rollout.RECENT + 1])
+@pytest.mark.parametrize("followers", [1, rollout.MAX_RECENT + 1])
 def test_a_lost_answer_is_found_after_other_operators_have_followed(
     store, followers
 ):
-    """An operator is told "nothing was applied" of a change that was.
+    """Guards against "nothing was applied" for a change that was applied.
 
-    Ana's write takes effect and its answer is lost. Before she asks again,
-    others apply theirs on top of it, and the head shows their tokens. After
-    too many of them the head does not tell, and neither must we.
+    Ana's write takes effect and its answer is lost. Before the retry, others
+    apply theirs on top of it, and the head's row shows their tokens. After
+    too many of them the head no longer records Ana's write, and the outcome
+    must be reported as unknown.
     """
-    store.apply(stores.with_cores(1), rollout.NONE_YET)
+    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
 
-    class Overtaken:
+    class OvertakenTable:
         read = store.table.read
 
         def commit(self, transaction):
             store.table.commit(transaction)
             for number in range(2, 2 + followers):
-                store.apply(stores.with_cores(number + 1), number, "bia")
+                store.apply(stores.config_with_cores(number + 1), number, "bia")
             return platform_module.OutcomeUnknown("the answer was lost")
 
-    outcome = store.apply(stores.with_cores(2), 1, "ana", table=Overtaken())
+    outcome = store.apply(
+        stores.config_with_cores(2), 1, "ana", table=OvertakenTable()
+    )
     if followers == 1:
         assert (outcome.number, outcome.in_force) == (2, 3)
     else:
         assert isinstance(outcome, rollout.Undecided)
 
 
-def test_an_answer_that_stays_unknown_is_not_called_unavailable(store):
-    """An operator reads "nothing was applied"; a minute later it is.
+def test_an_outcome_that_stays_unknown_is_not_reported_as_unavailable(store):
+    """Guards against "nothing was applied" for a change that applies later.
 
-    The write is delayed on its way, and the table is asked in vain until
-    the operator's command gives up. Then the delayed copy takes effect.
+    The write is delayed in the network, and retries fail until the operator's
+    command gives up. Then the delayed copy takes effect.
     """
     store.faults.delay_effect = 100
-    outcome = store.apply(stores.with_cores(1), rollout.NONE_YET)
+    outcome = store.apply(stores.config_with_cores(1), rollout.NONE_YET)
     assert isinstance(outcome, rollout.Undecided)
     store.faults.release_delayed()
-    view, task = store.process()
+    view, task = store.new_process()
     task.poll()
-    assert view.config == stores.with_cores(1)
-    assert store.apply(stores.with_cores(1), rollout.NONE_YET).number == 1
+    assert view.config == stores.config_with_cores(1)
+    assert (
+        store.apply(stores.config_with_cores(1), rollout.NONE_YET).number == 1
+    )
 
 
 def test_peers_get_an_accepted_configuration_while_the_table_is_down(store):
-    """Some entries stay on the old quotes for the length of an outage.
+    """Guards against entries that keep old quotes throughout an outage.
 
-    A configuration is accepted, one process polls it, and the table goes
-    down before the others do. The one that has it passes it on.
+    A configuration is accepted, one process polls it, and the table goes down
+    before the others have polled. The first process passes it on.
     """
     sent = []
-    store.apply(stores.with_cores(1), rollout.NONE_YET)
-    view, task = store.process(sent.append)
-    other_view, other = store.process()
+    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
+    view, task = store.new_process(sent.append)
+    other_view, other = store.new_process()
     task.poll()
     store.faults.down = True
     other.poll()
@@ -114,18 +119,18 @@
         other.on_message(None, message, to_task)
 
     to_other(sent[-1])
-    assert other_view.config == view.config == stores.with_cores(1)
+    assert other_view.config == view.config == stores.config_with_cores(1)
     assert other_view.wait_beyond(0, timeout_s=0)
 
 
-def test_a_process_that_missed_the_offer_catches_up_by_a_heartbeat(store):
-    """One entry stays on the old configuration until the table is back.
+def test_a_heartbeat_replaces_an_offer_that_was_lost(store):
+    """Guards against an entry that stays on the old configuration.
 
     The table is down and the offer to one peer is lost. The next heartbeat
-    of either side shows the difference.
+    from either side shows that the versions differ.
     """
-    store.apply(stores.with_cores(1), rollout.NONE_YET)
-    _, task = store.process()
+    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
+    _, task = store.new_process()
     task.poll()
     beat = peers.Heartbeat(
         "p", "b", peers.Role.ENTRY, "127.0.0.1:1", "d", 1, 0, 0, False, {}
@@ -134,100 +139,104 @@
     task.on_message(None, beat, replies.append)
     ahead = dataclasses.replace(beat, config_version=2)
     task.on_message(None, ahead, replies.append)
-    digest = stores.body_of(1, stores.with_cores(1)).digest
+    digest = stores.body_message(1, stores.config_with_cores(1)).digest
     assert replies == [peers.ConfigOffer(1, digest), peers.ConfigRequest(2)]
 
 
-def test_the_body_comes_from_peers_while_only_the_objects_are_down(store):
-    """Entries know that a change was accepted and can't get it.
+def test_the_body_comes_from_peers_while_only_the_object_store_is_down(store):
+    """Guards against entries that can't fetch a change they know about.
 
-    The head can be read, the object store is down. The process asks its
-    peers for the body instead.
+    The head can be read, but the object store is down. The process requests
+    the body from its peers instead.
     """
     sent = []
-    store.apply(stores.with_cores(1), rollout.NONE_YET)
+    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
     store.objects.faults.down = True
-    view, task = store.process(sent.append)
+    view, task = store.new_process(sent.append)
     task.poll()
     assert peers.ConfigRequest(1) in sent
-    task.on_message(None, stores.body_of(1, stores.with_cores(1)), sent.append)
+    task.on_message(
+        None, stores.body_message(1, stores.config_with_cores(1)), sent.append
+    )
     assert view.number == 1
 
 
 def test_a_late_older_body_never_reverts_a_process(store):
-    """Prices go back to last week's for a few seconds.
+    """Guards against old prices that come into force again for a few seconds.
 
-    A peer that was cut off sends the body of an older number after the
-    process has taken a newer one.
+    A peer that was partitioned sends the body of an older number after the
+    process has applied a newer one.
     """
-    store.apply(stores.with_cores(1), rollout.NONE_YET)
-    store.apply(stores.with_cores(2), 1)
-    view, task = store.process()
+    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
+    store.apply(stores.config_with_cores(2), 1)
+    view, task = store.new_process()
     task.poll()
     task.on_message(
-        None, stores.body_of(1, stores.with_cores(1)), stores.ignore
+        None,
+        stores.body_message(1, stores.config_with_cores(1)),
+        stores.ignore_message,
     )
-    assert (view.number, view.config) == (2, stores.with_cores(2))
+    assert (view.number, view.config) == (2, stores.config_with_cores(2))
     assert task.counters.late == 1
 
 
 def test_a_damaged_or_unreadable_body_changes_nothing(store):
-    """An entry stops, or runs without a service, after a bad message.
+    """Guards against an entry that stops or loses a service by a bad message.
 
-    A body is cut on its way, or comes from a newer program that writes
-    what this one can't read.
+    A body is truncated in transit, or comes from a newer program whose format
+    this one can't read.
     """
-    view, task = store.process()
-    whole = stores.body_of(1, stores.with_cores(1))
-    cut = dataclasses.replace(whole, body=whole.body[:-1])
-    strange = peers.ConfigBody(1, canonical.digest(b"[]"), b"[]")
-    for message in (cut, strange):
-        task.on_message(None, message, stores.ignore)
+    view, task = store.new_process()
+    body = stores.body_message(1, stores.config_with_cores(1))
+    truncated = dataclasses.replace(body, body=body.body[:-1])
+    unreadable_body = peers.ConfigBody(1, canonical.digest(b"[]"), b"[]")
+    for message in (truncated, unreadable_body):
+        task.on_message(None, message, stores.ignore_message)
     counters = task.counters
     assert (counters.damaged, counters.unreadable) == (1, 1)
     assert view.config is None
 
 
-FATES = st.sampled_from(
+FAULT_SWITCHES = st.sampled_from(
     ["", "lose_answers", "drop_calls", "delay_effect", "down"]
 )
 TURNS = st.tuples(st.integers(0, 3), st.integers(1, 5))
-"""Which operator goes on, and how many calls it may make."""
+"""Which operator continues, and how many calls it may make."""
 
 
 @hypothesis.settings(properties.steady, max_examples=100)
 @given(
     st.lists(TURNS, max_size=30),
-    st.lists(FATES, max_size=12),
+    st.lists(FAULT_SWITCHES, max_size=12),
     st.integers(2, 4),
 )
 @example([(0, 3), (1, 4), (0, 1)], ["lose_answers"], 2)
 @example([(0, 5), (1, 5)], ["", "delay_effect"], 2)
-def test_numbers_never_go_back_and_what_was_accepted_is_never_lost(
-    turns, fates, operators
+def test_numbers_never_decrease_and_accepted_configurations_are_never_lost(
+    turns, fault_switches, operators
 ):
-    """An accepted change is gone, or a refused one is in force.
+    """Guards against an accepted change that is lost or a refused one in force.
 
-    Several operators each apply twice, interrupted before every call, with
-    answers lost, calls dropped, delayed and refused in any order.
+    Several operators each apply twice. They are interrupted before every call,
+    and answers are lost and calls dropped, delayed and refused in any order.
     """
     store = stores.Store()
-    table = stores.InterleavedTable(store, fates)
+    table = stores.InterleavedTable(store, fault_switches)
     outcomes = []
 
     def operate(author):
         for round_number in range(2):
-            config = stores.with_cores(10 * author + round_number + 1)
+            config = stores.config_with_cores(10 * author + round_number + 1)
             greenlet.getcurrent().parent.switch()
             seen = rollout.read_head(store.table).row.number
             outcome = store.apply(config, seen, str(author), table)
             outcomes.append((canonical.digest(canonical.dump(config)), outcome))
 
-    running = [
+    greenlets = [
         greenlet.greenlet(functools.partial(operate, author))
         for author in range(operators)
     ]
-    view, task = store.process()
+    view, task = store.new_process()
     history = {}
     number = 0
 
@@ -244,8 +253,8 @@
         assert view.number == max(before, head.number)
 
     def resume(index):
-        if not running[index].dead:
-            running[index].switch()
+        if not greenlets[index].dead:
+            greenlets[index].switch()
             observe()
 
     for turn, calls in turns:
@@ -254,7 +263,7 @@
         if turn == 3:
             store.faults.release_delayed()
             observe()
-    while not all(one.dead for one in running):
+    while not all(one.dead for one in greenlets):
         for index in range(operators):
             resume(index)
     store.faults.release_delayed()
