--- a/src/vanillaswitch/coordination/__init__.py
+++ b/src/vanillaswitch/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: pure functions over typed state, and the tasks around them."""
+"""Coordination logic: pure functions over typed state, and their tasks."""
--- a/src/vanillaswitch/coordination/commits.py
+++ b/src/vanillaswitch/coordination/commits.py
@@ -1,31 +1,32 @@
-"""Settles commits to the platform's table whose answer was lost.
+"""Commits to the platform's table and resolves lost answers.
 
-A commit can take effect although its answer is lost, and a copy that was
-delayed can take effect long after we gave up waiting for it. Both are settled
-by two properties of the table:
+A commit can take effect although its answer is lost, and a delayed copy can
+take effect long after its caller has given up. Two properties of the table
+make it possible to find the outcome:
 
-* Every put is also a check of its row's version, and versions never come
-  back. Once one copy of a transaction took effect, each other copy conflicts
-  with it; once a row moved past an expected version, no copy can take effect
+* Every put also checks the version of its row, and versions are never reused.
+  Once one copy of a transaction took effect, every other copy conflicts with
+  it. Once a row has moved past an expected version, no copy can take effect
   any more. So sending the *same* transaction again is safe.
-* A row shows the token of the transaction that wrote it, and a transaction
-  takes effect as a whole. So one put row with our token proves all of them.
-
-``ABSENT`` is the one version that can come back, when a row is deleted. A
-delayed insert can therefore take effect after its row was written by another
-and deleted again. Whoever inserts rows that are deleted has to make such an
-insert harmless; claims do it by a retention (see ``claim_expiry``).
-
-A deleted row shows no token. A transaction that only deletes can be settled
-as long as a copy is answered ``Committed``; after a lost answer, a conflict
-on rows that are gone is reported as ``OutcomeUnknown``.
+* A row contains the token of the transaction that wrote it, and transactions
+  are atomic. So one put row with the transaction's token proves that all of
+  it took effect.
+
+``ABSENT`` is the only version that recurs, when a row is deleted. A delayed
+insert can therefore take effect after another writer wrote the row and deleted
+it again. Callers that insert rows which may be deleted have to make such an
+insert harmless; claims do so by a retention period (see ``claim_expiry``).
+
+A deleted row has no token. A transaction that only deletes is resolved if a
+copy is answered ``Committed``. After a lost answer, a conflict on deleted rows
+is reported as ``OutcomeUnknown``.
 """
 
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import platform
 
-FIRST_WAIT_S = 0.02
-LONGEST_WAIT_S = 0.5
+INITIAL_BACKOFF_S = 0.02
+MAX_BACKOFF_S = 0.5
 
 
 def settle(
@@ -35,60 +36,60 @@
     deadline: float,
     exclusive: bool = False,
 ) -> platform.CommitOutcome:
-    """Commits a transaction and settles a lost answer.
+    """Commits a transaction, and retries it while its outcome is unknown.
 
     Args:
-        table: where to commit.
-        transaction: has a token of its own.
-        clock: paces the tries.
-        deadline: monotonic seconds at which to give up; one try is always
-            made, and a try under way is waited for.
-        exclusive: the caller vouches that nobody else overwrites or deletes
-            what this transaction writes before it is settled.
+        table: the table to commit to.
+        transaction: must have a unique token.
+        clock: paces the retries.
+        deadline: monotonic seconds at which to give up; at least one attempt
+            is made, and an attempt under way is completed.
+        exclusive: the caller guarantees that nobody else overwrites or deletes
+            the rows of this transaction before its outcome is known.
 
     Returns:
-        ``Committed`` or ``Conflict`` when that is certain, ``Unavailable``
-        when the only try surely had no effect, otherwise ``OutcomeUnknown``:
-        a copy may have taken effect or may yet do so.
+        ``Committed`` or ``Conflict`` if that is certain. ``Unavailable`` if the
+        only attempt had no effect. Otherwise ``OutcomeUnknown``: a copy may
+        have taken effect or may do so later.
     """
     in_doubt = False
-    wait = FIRST_WAIT_S
+    backoff_s = INITIAL_BACKOFF_S
     while True:
         outcome = table.commit(transaction)
         if isinstance(outcome, platform.Committed):
             return outcome
         if isinstance(outcome, platform.Conflict):
             return (
-                _judge(outcome, transaction, exclusive)
+                _resolve_conflict(outcome, transaction, exclusive)
                 if in_doubt
-                else (outcome)
+                else outcome
             )
         if isinstance(outcome, platform.Unavailable) and not in_doubt:
             return outcome
         in_doubt = True
-        settled = _read_back(table, transaction, exclusive)
-        if settled is not None:
-            return settled
-        if clock.monotonic() + wait >= deadline:
+        resolved = _read_back(table, transaction, exclusive)
+        if resolved is not None:
+            return resolved
+        if clock.monotonic() + backoff_s >= deadline:
             return platform.OutcomeUnknown(outcome.reason)
-        clock.sleep(wait)
-        wait = min(2 * wait, LONGEST_WAIT_S)
+        clock.sleep(backoff_s)
+        backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
 
 def _read_back(
     table: platform.Table, transaction: platform.Transaction, exclusive: bool
 ) -> platform.Committed | platform.Conflict | None:
-    """Reads the put rows; returns the outcome where they prove it.
+    """Reads the put rows; returns the outcome if they prove it.
 
-    Our token on one of them proves the commit. Rows that moved on without it
-    prove, for an exclusive writer, that no copy took effect or ever can: the
-    answer that was lost was a conflict, and to wait for another one would
-    keep the truth from the caller for as long as answers are lost.
+    The transaction's token on one of them proves the commit. For an exclusive
+    writer, rows with a newer version and another token prove that no copy took
+    effect or ever will: the lost answer was a conflict. Waiting for another
+    answer would only delay the caller while answers are lost.
     """
     read = table.read([put.key for put in transaction.puts])
     if isinstance(read, platform.Unavailable):
         return None
-    written = _ours(read.rows, transaction)
+    written = _own_commit(read.rows, transaction)
     if written is not None or not exclusive:
         return written
     found = {row.key: row for row in read.rows}
@@ -100,7 +101,7 @@
     return platform.Conflict(moved) if moved else None
 
 
-def _ours(
+def _own_commit(
     rows: tuple[platform.Row, ...], transaction: platform.Transaction
 ) -> platform.Committed | None:
     for row in rows:
@@ -109,28 +110,29 @@
     return None
 
 
-def _judge(
+def _resolve_conflict(
     conflict: platform.Conflict,
     transaction: platform.Transaction,
     exclusive: bool,
 ) -> platform.CommitOutcome:
-    """Tells what a conflict means while earlier copies are unanswered.
-
-    The failure guarded against: the first copy took effect, its answer was
-    lost, the second copy conflicts with the first. Taken at its word, that
-    conflict would deny a write that happened. A put row that still has its
-    expected version shows that no copy took effect, for each of them would
-    have moved it. Where every put row has moved on and none shows our token,
-    an earlier copy may have been overwritten since, and nobody can tell.
+    """Returns the outcome of a conflict while earlier copies are unanswered.
+
+    This guards against the following failure: the first copy took effect, its
+    answer was lost, and the second copy conflicts with the first. That
+    conflict must not be reported, because the write happened. A put row that
+    still has its expected version shows that no copy took effect, since each
+    copy changes it. If every put row has a newer version and none has the
+    transaction's token, an earlier copy may have been overwritten since, and
+    the outcome is unknown.
     """
-    written = _ours(conflict.found, transaction)
+    written = _own_commit(conflict.found, transaction)
     if written is not None:
         return written
     moved = {row.key for row in conflict.found}
-    untouched = any(
+    is_any_unchanged = any(
         put.key not in moved and put.version != platform.ABSENT
         for put in transaction.puts
     )
-    if exclusive or untouched:
+    if exclusive or is_any_unchanged:
         return conflict
     return platform.OutcomeUnknown("rows were overwritten since")
--- a/src/vanillaswitch/coordination/prompt_table.py
+++ b/src/vanillaswitch/coordination/prompt_table.py
@@ -1,15 +1,16 @@
-"""A table whose calls return soon, also while answers get lost.
-
-A call without an answer holds its task until its time limit, which has to
-allow for a slow store. Guarded against here: a store that carries writes out
-and loses their answers. It shows as an owner that cannot renew its lease
-within a term, though it lives and its writes take effect, and as clients that
-wait for seconds for the outcome of a hand-in that is stored.
-
-So a call returns as "not known" once an answer is overdue, and goes on behind.
-The caller settles it as any lost answer, by the same transaction again: that
-is a copy beside the first one, and whichever is answered first counts. A copy
-that comes late finds its rows changed and has no effect (see ``commits``).
+"""A table that hedges calls, so that lost answers cause little delay.
+
+A call without an answer blocks its task until its time limit, which has to
+allow for a slow store. This guards against a store that executes writes and
+loses their answers. Otherwise an owner that is alive can't renew its lease
+within a term although its writes take effect, and clients wait for seconds for
+the outcome of a submission that is already stored.
+
+So a commit returns ``OutcomeUnknown`` once its answer is overdue, while its
+call continues in the background. The caller retries the same transaction as
+after any lost answer. The retry runs as a copy beside the first call, and the
+first answer counts. A late copy finds its rows changed and has no effect (see
+``commits``).
 """
 
 from collections.abc import Callable
@@ -23,28 +24,29 @@
 from vanillaswitch.protocol import platform
 
 MAX_COPIES = 6
-"""Copies of one transaction under way at once. The waits between them grow to
-0.3 s, so that a silent store is sent no more than these within the 1.5 s
-after which the first one is given up."""
+"""Most copies of one call in flight at once. The delays between them grow to
+0.3 s, so a store that does not answer is sent no more than these within the
+1.5 s after which the first one times out."""
 
-READ_AGAIN_S = 0.3
-"""Longest pause between copies of a reading, as between those of a write."""
+MAX_READ_DELAY_S = 0.3
+"""Longest delay between copies of a read, as between those of a write."""
 
-FORGET_S = 10.0
-"""A transaction that was not tried for so long was given up by its caller:
-pauses between copies are 0.5 s at most."""
+FORGET_AFTER_S = 10.0
+"""A transaction that was not retried for so long was abandoned by its caller:
+retries are at most 0.5 s apart."""
 
 
 @dataclasses.dataclass
-class _Copies:
-    """What is under way for one transaction.
+class _PendingCommit:
+    """The copies of one transaction.
 
     Attributes:
-        in_doubt: a copy was sent whose outcome nobody learnt.
-        tried_at: monotonic seconds of the newest copy.
+        last_tried_at: monotonic seconds of the newest attempt.
+        calls: copies in flight.
+        in_doubt: whether the outcome of an earlier copy is unknown.
     """
 
-    tried_at: float
+    last_tried_at: float
 
     calls: list[gevent.Greenlet] = dataclasses.field(default_factory=list)
     in_doubt: bool = False
@@ -56,13 +58,13 @@
     def __init__(self, table: platform.Table, clock: clocks.Clock):
         self._table = table
         self._clock = clock
-        self._reads = answer_times.AnswerTimes()
-        self._writes = answer_times.AnswerTimes()
-        self._open: dict[str, _Copies] = {}
+        self._read_delay = answer_times.HedgingDelay()
+        self._write_delay = answer_times.HedgingDelay()
+        self._pending: dict[str, _PendingCommit] = {}
 
     def read(self, keys: Sequence[str]) -> platform.ReadOutcome:
-        """Reads rows by name, again where the answer is overdue."""
-        return self._read(lambda: self._table.read(keys))
+        """Reads rows by key; sends another read if the answer is overdue."""
+        return self._hedged_read(lambda: self._table.read(keys))
 
     def scan(
         self, prefix: str, after: str = "", limit: int = 0
@@ -73,107 +75,115 @@
     def commit(
         self, transaction: platform.Transaction
     ) -> platform.CommitOutcome:
-        """Tries a transaction; copies of the same one go on side by side.
+        """Sends a copy of a transaction beside its earlier ones.
 
         Returns:
-            ``Committed`` or ``Conflict`` as one copy was answered; a conflict
-            may be with another copy. ``Unavailable`` only if no copy can have
-            had an effect.
+            ``Committed`` or ``Conflict`` if a copy was answered so; the
+            conflict may be with another copy. ``Unavailable`` only if no copy
+            can have had an effect. ``OutcomeUnknown`` otherwise.
         """
         now = self._clock.monotonic()
-        self._forget(now)
-        copies = self._open.setdefault(transaction.token, _Copies(now))
-        copies.tried_at = now
-        if len(copies.calls) < MAX_COPIES:
-            copies.calls.append(gevent.spawn(self._write, transaction))
-        outcome = self._first_answer(copies, now + self._writes.wait_s)
+        self._forget_abandoned(now)
+        pending = self._pending.setdefault(
+            transaction.token, _PendingCommit(now)
+        )
+        pending.last_tried_at = now
+        if len(pending.calls) < MAX_COPIES:
+            pending.calls.append(gevent.spawn(self._timed_commit, transaction))
+        outcome = self._first_answer(pending, now + self._write_delay.delay_s)
         if isinstance(outcome, platform.Committed | platform.Conflict):
-            self._open.pop(transaction.token, None)
+            self._pending.pop(transaction.token, None)
         elif isinstance(outcome, platform.OutcomeUnknown):
-            copies.in_doubt = True
-        elif copies.in_doubt:
+            pending.in_doubt = True
+        elif pending.in_doubt:
             return platform.OutcomeUnknown(outcome.reason)
         return outcome
 
     def _first_answer(
-        self, copies: _Copies, until: float
+        self, pending: _PendingCommit, deadline: float
     ) -> platform.CommitOutcome:
-        """Waits for a copy that was answered; for the last one at worst.
+        """Waits for an answered copy, the end of all, or the deadline.
 
-        A copy that ended without an answer says nothing of the others. Taken
-        one at a time, those of an outage hid for a second the copy that the
-        store had answered at once when it was back.
+        A copy that ended without an answer says nothing about the others. If
+        the copies were awaited one at a time, those sent during an outage
+        would delay for a second the answer to the copy that the store
+        answered as soon as it was back.
         """
         while True:
-            left_s = max(0.0, until - self._clock.monotonic())
-            ended = gevent.wait(copies.calls, left_s, count=1)
+            remaining_s = max(0.0, deadline - self._clock.monotonic())
+            ended = gevent.wait(pending.calls, remaining_s, count=1)
             if not ended:
                 return platform.OutcomeUnknown("no answer yet")
-            copies.calls.remove(ended[0])
+            pending.calls.remove(ended[0])
             outcome: platform.CommitOutcome = ended[0].get()
             if isinstance(outcome, platform.Committed | platform.Conflict):
                 return outcome
             if isinstance(outcome, platform.OutcomeUnknown):
-                copies.in_doubt = True
-            if not copies.calls:
+                pending.in_doubt = True
+            if not pending.calls:
                 return outcome
 
-    def _forget(self, now: float) -> None:
-        """Forgets transactions that nobody tries any more."""
-        for token, copies in list(self._open.items()):
-            if now - copies.tried_at > FORGET_S:
-                del self._open[token]
+    def _forget_abandoned(self, now: float) -> None:
+        """Removes transactions that their callers no longer retry."""
+        for token, pending in list(self._pending.items()):
+            if now - pending.last_tried_at > FORGET_AFTER_S:
+                del self._pending[token]
 
-    def _write(
+    def _timed_commit(
         self, transaction: platform.Transaction
     ) -> platform.CommitOutcome:
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         outcome = self._table.commit(transaction)
         if isinstance(outcome, platform.Committed | platform.Conflict):
-            self._writes.observe(self._clock.monotonic() - began)
+            self._write_delay.record_response_time(
+                self._clock.monotonic() - started_at
+            )
         return outcome
 
-    def _read(
+    def _hedged_read(
         self, call: Callable[[], platform.ReadOutcome]
     ) -> platform.ReadOutcome:
-        """Reads, with further copies as long as none was answered.
+        """Sends a read, and further copies while none was answered.
 
-        A store that comes back answers new calls at once, and those that it
-        met while it was away not at all.
+        A store that is back after an outage answers new calls at once, but
+        never those that it received during the outage.
         """
-        copies: list[gevent.Greenlet] = []
-        wait_s = self._reads.wait_s
+        pending: list[gevent.Greenlet] = []
+        delay_s = self._read_delay.delay_s
         for _ in range(MAX_COPIES):
-            copies.append(gevent.spawn(self._timed, call))
-            outcome = _first_rows(copies, wait_s)
+            pending.append(gevent.spawn(self._timed_read, call))
+            outcome = _first_rows(pending, delay_s)
             if outcome is not None:
                 return outcome
-            wait_s = max(wait_s, min(2 * wait_s, READ_AGAIN_S))
+            delay_s = max(delay_s, min(2 * delay_s, MAX_READ_DELAY_S))
         return platform.Unavailable("no answer yet")
 
-    def _timed(
+    def _timed_read(
         self, call: Callable[[], platform.ReadOutcome]
     ) -> platform.ReadOutcome:
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         outcome = call()
         if isinstance(outcome, platform.Rows):
-            self._reads.observe(self._clock.monotonic() - began)
+            self._read_delay.record_response_time(
+                self._clock.monotonic() - started_at
+            )
         return outcome
 
 
 def _first_rows(
-    copies: list[gevent.Greenlet], wait_s: float
+    pending: list[gevent.Greenlet], delay_s: float
 ) -> platform.ReadOutcome | None:
-    """Waits for rows; returns why there are none once all copies ended.
+    """Waits for the first copy that returns rows.
 
     Returns:
-        None while copies are left.
+        Rows, or the error of the last copy if all have ended without rows.
+        None if copies are still in flight after the delay.
     """
-    with gevent.Timeout(wait_s, False):
-        while copies:
-            ended = gevent.wait(copies, count=1)[0]
-            copies.remove(ended)
+    with gevent.Timeout(delay_s, False):
+        while pending:
+            ended = gevent.wait(pending, count=1)[0]
+            pending.remove(ended)
             outcome: platform.ReadOutcome = ended.get()
-            if isinstance(outcome, platform.Rows) or not copies:
+            if isinstance(outcome, platform.Rows) or not pending:
                 return outcome
     return None
--- a/tests/cover/test_commits.py
+++ b/tests/cover/test_commits.py
@@ -1,4 +1,4 @@
-"""Settling commits, and committing the puts of many in few transactions."""
+"""Commits with lost answers, and group commits of many puts."""
 
 import random
 
@@ -22,14 +22,14 @@
 )
 
 
-class _Scripted(claim_world.ForgetfulTable):
-    """Does one step of a script before each commit; counts effects."""
+class _ScriptedTable(claim_world.ForgetfulTable):
+    """Runs one step of a script before each commit; counts effects."""
 
     def __init__(self, steps=(), others=None):
         super().__init__()
         self.effects = 0
         self.steps = list(steps)
-        self._others = others
+        self._write_of_others = others
         self._blind = False
 
     def commit(self, transaction):
@@ -41,12 +41,12 @@
         if step in ("arrive", "overtake"):
             self.faults.release_delayed()
         if step in ("others", "overtake"):
-            self._others(self)
+            self._write_of_others(self)
         self._blind = step == "blind"
         return super().commit(transaction)
 
     def read(self, keys):
-        """Reads nothing after a commit whose writer is cut off by it."""
+        """Fails after a commit with the step "blind"."""
         self.faults.down |= self._blind
         return super().read(keys)
 
@@ -57,12 +57,12 @@
         return outcome
 
 
-def write_over(table, but=""):
-    """Another writer moves both rows on, unless they have this token."""
+def overwrite(table, except_token=""):
+    """Overwrites both rows as another writer, unless one has this token."""
     versions = dict.fromkeys(("x", "y"), platform.ABSENT)
     for row in table._rows.values():
         versions[row.key] = row.version
-        if row.token == but:
+        if row.token == except_token:
             return
     puts = [platform.Put(k, v, {"by": "other"}) for k, v in versions.items()]
     table._apply(platform.Transaction(f"other {versions}", tuple(puts)))
@@ -70,35 +70,36 @@
 
 @given(steps=STEPS, inserts=st.booleans(), exclusive=st.booleans())
 @settings(max_examples=500, derandomize=True, deadline=None)
-def test_a_settled_outcome_is_true_for_good(steps, inserts, exclusive):
-    """A holder is told that its lease was not written, though it was.
+def test_a_certain_outcome_stays_true(steps, inserts, exclusive):
+    """Guards against a conflict reported for a lease that was written.
 
     Answers are lost, calls are lost or arrive late, the table goes down, and
-    another writer overwrites the rows in between. What is told as certain
-    stays true when the last late copy has arrived, and no copy is doubled.
+    another writer overwrites the rows in between. An outcome that is reported
+    as certain still holds after the last late copy has arrived, and at most
+    one copy takes effect.
     """
-    spared = "ours" if exclusive else ""
-    table = _Scripted(steps, lambda table: write_over(table, spared))
+    kept_token = "ours" if exclusive else ""
+    table = _ScriptedTable(steps, lambda table: overwrite(table, kept_token))
     if not inserts:
-        write_over(table)
+        overwrite(table)
     found = {row.key: row.version for row in table.read(["x", "y"]).rows}
     puts = [platform.Put(k, found.get(k, platform.ABSENT), {}) for k in "xy"]
     transaction = platform.Transaction("ours", tuple(puts))
     clock = clocks.ManualClock()
     deadline = clock.monotonic() + 2.0
     outcome = commits.settle(table, transaction, clock, deadline, exclusive)
-    told_effects = table.effects
+    effects_at_return = table.effects
     table.faults.release_delayed()
     assert table.effects <= 1
     if isinstance(outcome, platform.Committed):
-        assert told_effects == 1
+        assert effects_at_return == 1
     elif not isinstance(outcome, platform.OutcomeUnknown):
         assert table.effects == 0
 
 
-def test_settling_gives_up_at_the_deadline():
+def test_a_commit_without_answers_gives_up_by_the_deadline():
     clock = clocks.ManualClock()
-    table = _Scripted(["drop"] * 99)
+    table = _ScriptedTable(["drop"] * 99)
     put = platform.Put("x", platform.ABSENT, {})
     started = clock.monotonic()
     outcome = commits.settle(
@@ -109,20 +110,20 @@
 
 
 @given(
-    taken=st.sets(st.integers(0, 9)),
+    conflicting=st.sets(st.integers(0, 9)),
     steps=st.lists(st.sampled_from(("lose", "blind", "down")), max_size=4)
     | st.permutations(("delay", "arrive", "drop", "answer")),
 )
 @settings(max_examples=200, derandomize=True, deadline=None)
-def test_each_put_of_a_group_is_told_its_own_outcome(taken, steps):
-    """A conflict on one caller's key must not refuse the other callers.
+def test_each_put_of_a_group_gets_its_own_outcome(conflicting, steps):
+    """A conflict on one caller's key must not fail the other callers' puts.
 
-    Four calls without an answer are settled within the committer's time.
+    Up to four calls without an answer are resolved within the time limit.
     """
     clock = clocks.ManualClock()
-    table = _Scripted()
+    table = _ScriptedTable()
     puts = [platform.Put(f"row/{n}", platform.ABSENT, {}) for n in range(10)]
-    others = tuple(puts[number] for number in taken)
+    others = tuple(puts[number] for number in conflicting)
     table.commit(platform.Transaction("other", others))
     table.steps = list(steps)
     committer = group_commit.GroupCommitter(table, clock, random.Random(1))
@@ -135,16 +136,18 @@
     for put, outcome in zip(puts, outcomes, strict=True):
         row = table._row_or_absent(put.key)
         if put in others:
-            told = platform.Conflict((row,))
+            expected = platform.Conflict((row,))
         else:
-            told = platform.Committed(row.version)
-        unsent = isinstance(outcome, platform.Unavailable) and "down" in steps
-        assert outcome == told or (unsent and row.token in ("", "other"))
+            expected = platform.Committed(row.version)
+        is_unsent = (
+            isinstance(outcome, platform.Unavailable) and "down" in steps
+        )
+        assert outcome == expected or (is_unsent and row.token in ("", "other"))
 
 
 def test_puts_of_one_row_keep_their_order():
     clock = clocks.ManualClock()
-    table = _Scripted()
+    table = _ScriptedTable()
     committer = group_commit.GroupCommitter(table, clock, random.Random(1))
     deadline = clock.monotonic() + 60.0
     first, second = (
@@ -157,9 +160,9 @@
     task.kill()
 
 
-def test_a_put_that_waited_past_its_deadline_is_not_sent():
+def test_a_put_that_is_queued_past_its_deadline_is_not_sent():
     clock = clocks.ManualClock()
-    table = _Scripted()
+    table = _ScriptedTable()
     committer = group_commit.GroupCommitter(table, clock, random.Random(1))
     late = committer.submit(platform.Put("x", 0, {}), clock.monotonic() + 1.0)
     clock.advance(2.0)
@@ -170,7 +173,7 @@
 
 
 def test_a_charge_costs_two_rows_and_few_transactions():
-    """Counts the writes of 40 charges that one entry takes at once."""
+    """Counts the writes for 40 concurrent charges at one entry."""
     world = claim_world.World(("a",))
     orders = [world.request(f"k{number}") for number in range(40)]
     tasks = [gevent.spawn(world.attempt, "a", order) for order in orders]
