--- a/src/vanillaswitch/coordination/entry/fleet_task.py
+++ b/src/vanillaswitch/coordination/entry/fleet_task.py
@@ -1,4 +1,4 @@
-"""Keeps the view of the fleet fresh from the platform."""
+"""Refreshes the fleet view from the platform."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
 
 
 class FleetTask:
-    """Reads list and budgets again and again, and after a pause at once."""
+    """Reads instance list and budgets regularly, and at once after a pause."""
 
     def __init__(
         self,
@@ -26,30 +26,31 @@
         instances: platform.Instances,
         table: platform.Table,
         clock: clock_lib.Clock,
-        poll_s: Callable[[], float],
+        poll_interval_s: Callable[[], float],
     ):
-        """Makes a task that does not run yet.
+        """Initializes a task that is not running yet.
 
         Args:
-            view: what it keeps fresh.
-            instances: the platform's lagging list.
-            table: where the budget rows are.
-            clock: time.
-            poll_s: seconds between two reads, by the configuration in force.
+            view: the view to refresh.
+            instances: the platform's instance list, which lags.
+            table: holds the budget rows.
+            clock: paces polls and ticks.
+            poll_interval_s: returns the seconds between two polls, by the
+                configuration in force.
         """
         self._view = view
         self._instances = instances
         self._table = table
         self._clock = clock
-        self._poll_s = poll_s
+        self._poll_interval_s = poll_interval_s
         self._refreshes = gevent.pool.Group()
-        self._catching_up: gevent.Greenlet | None = None
-        self._catching_up_for = -1
-        self._reachable = True
+        self._pause_refresh: gevent.Greenlet | None = None
+        self._pause_refresh_count = -1
+        self._is_available = True
 
     @contextlib.contextmanager
     def running(self) -> Iterator[None]:
-        """Polls and ticks until the block is left."""
+        """Polls and ticks until the context exits."""
         with supervision.running(self._tick_forever, self._poll_forever):
             try:
                 yield
@@ -57,38 +58,39 @@
                 self._refreshes.kill()
 
     def poll(self) -> bool:
-        """Reads all once; returns whether the platform answered in whole."""
+        """Refreshes the view once; returns whether all reads succeeded."""
         pauses = self._view.pauses
-        asked = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         listed = self._instances.list()
         if isinstance(listed, platform.Listings):
-            self._view.take_list(listed.instances, asked)
+            self._view.take_list(listed.instances, requested_at)
         budgets = self._table.scan(keys.BUDGETS)
         if isinstance(budgets, platform.Rows):
             for row in budgets.rows:
-                self._view.take_drain(fleet_view.drain_of(row))
-        whole = isinstance(listed, platform.Listings) and isinstance(
+                self._view.take_drain(fleet_view.drain_from_budget(row))
+        is_complete = isinstance(listed, platform.Listings) and isinstance(
             budgets, platform.Rows
         )
-        self._view.refreshed(pauses, asked, whole)
-        self._log(whole)
-        return whole
+        self._view.refreshed(pauses, requested_at, is_complete)
+        self._log_availability(is_complete)
+        return is_complete
 
     def catch_up(self, timeout_s: float) -> bool:
-        """Tries one refresh after a pause; returns whether the view is current.
+        """Refreshes once after a pause; returns whether the view is current.
 
-        All senders of one moment share one try. It does not wait for a poll
-        that was under way during the pause: its connection may be dead.
+        All senders after the same pause share one refresh. It does not wait
+        for a poll that was under way during the pause, because the connection
+        of that poll may be dead.
 
-        When the platform doesn't answer, the view counts as current after the
-        one try: the last view and the peers' notices are all there is, and
-        requests go on through an outage.
+        If the platform doesn't answer, the view counts as current after this
+        one refresh: only the last view and the peers' notices are available,
+        and requests must be served during an outage.
         """
         pauses = self._view.pauses
-        if self._catching_up is None or self._catching_up_for != pauses:
-            self._catching_up = self._refreshes.spawn(self.poll)
-            self._catching_up_for = pauses
-        self._catching_up.join(timeout_s)
+        if self._pause_refresh is None or self._pause_refresh_count != pauses:
+            self._pause_refresh = self._refreshes.spawn(self.poll)
+            self._pause_refresh_count = pauses
+        self._pause_refresh.join(timeout_s)
         return self._view.current
 
     def _tick_forever(self) -> None:
@@ -101,13 +103,13 @@
     def _poll_forever(self) -> None:
         while True:
             self.poll()
-            self._clock.sleep(self._poll_s())
+            self._clock.sleep(self._poll_interval_s())
 
-    def _log(self, reachable: bool) -> None:
-        if reachable == self._reachable:
+    def _log_availability(self, is_available: bool) -> None:
+        if is_available == self._is_available:
             return
-        self._reachable = reachable
-        if reachable:
-            logs.info("the platform answers again; the view is fresh")
+        self._is_available = is_available
+        if is_available:
+            logs.info("platform available again; fleet view refreshed")
         else:
-            logs.warning("no answer of the platform; keeping the view")
+            logs.warning("platform unavailable; keeping the last fleet view")
--- a/src/vanillaswitch/coordination/entry/fleet_view.py
+++ b/src/vanillaswitch/coordination/entry/fleet_view.py
@@ -1,8 +1,8 @@
-"""Which minions may get new work, as this process knows it.
+"""The minions that may get new work, as known to this process.
 
-Four sources count: the platform's lagging list, the budget rows in its table,
-drain notices of peers and what minions say themselves. The last view is kept
-through any outage.
+The view combines four sources: the platform's instance list, which lags, the
+budget rows in its table, drain notices from peers, and minions that decline
+work. During an outage the last view stays in use.
 """
 
 import math
@@ -15,41 +15,41 @@
 from vanillaswitch.state import rows
 
 PAUSE_S = 2.0
-"""Time without any tick after which the process counts as paused."""
+"""Time without a tick after which the process counts as paused."""
 
-HOLD_S = 1.0
-"""How long a minion that declined work itself is passed over."""
+DECLINE_BACKOFF_S = 1.0
+"""How long a minion gets no new work after it declined some."""
 
 
 class FleetView:
-    """The view in memory; its methods never let another task run."""
+    """The fleet view in memory; its methods never switch to another task."""
 
     def __init__(self) -> None:
-        self._listed: tuple[platform.Listing, ...] | None = None
-        self._asked = -math.inf
+        self._instances: tuple[platform.Listing, ...] | None = None
+        self._listed_at = -math.inf
         self._drains: dict[str, peers.DrainNotice] = {}
-        self._held: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
         self._cache: dict[str, tuple[minions_lib.Minion, ...]] = {}
-        self._cached_for: config_lib.Config | None = None
-        self._ticked: float | None = None
-        self._refreshed: float | None = None
-        self._pauses = 0
-        self._current_for = 0
+        self._cache_config: config_lib.Config | None = None
+        self._last_tick_at: float | None = None
+        self._refreshed_at: float | None = None
+        self._pause_count = 0
+        self._refreshed_pause_count = 0
 
     @property
     def loaded(self) -> bool:
-        """Whether the list was ever read."""
-        return self._listed is not None
+        """Whether the instance list was read at least once."""
+        return self._instances is not None
 
     @property
     def current(self) -> bool:
-        """Whether a refresh was tried since the last pause."""
-        return self._current_for == self._pauses
+        """Whether a refresh was attempted since the last pause."""
+        return self._refreshed_pause_count == self._pause_count
 
     @property
     def pauses(self) -> int:
-        """How many pauses of the process were seen."""
-        return self._pauses
+        """Number of detected pauses of the process."""
+        return self._pause_count
 
     @property
     def version(self) -> int:
@@ -62,89 +62,98 @@
     def drains(self) -> tuple[peers.DrainNotice, ...]:
         """The drains in the view, one for each service.
 
-        A row is known as long as the process lives: budget rows are emptied
-        and never deleted.
+        They are never removed while the process runs, because budget rows are
+        emptied but never deleted.
         """
         return tuple(self._drains.values())
 
     def age_s(self, now: float) -> float | None:
-        """Returns the age of the view; None when nothing was read yet."""
-        return None if self._refreshed is None else now - self._refreshed
+        """Returns the age of the view; None before the first refresh."""
+        return None if self._refreshed_at is None else now - self._refreshed_at
 
     def tick(self, now: float) -> bool:
-        """Notes that the process runs; returns whether the view is current.
+        """Detects pauses of the process; returns whether the view is current.
 
-        A process that was paused (a stopped virtual machine, say) goes on as
-        if no time had passed and would send work to minions that were drained
-        meanwhile. The pause shows as a gap between ticks, which come several
-        times a second. Whoever looks first after the pause sees the gap,
-        since a sender ticks as well before it sends.
+        After a pause, for example of its virtual machine, a process continues
+        as if no time had passed, and would send work to minions that were
+        drained meanwhile. A pause shows as a gap between ticks, which come
+        several times a second. Senders tick before each send too, so the first
+        task to run after a pause detects it.
         """
-        if self._ticked is not None and now - self._ticked > PAUSE_S:
-            self._pauses += 1
-        self._ticked = now
+        if (
+            self._last_tick_at is not None
+            and now - self._last_tick_at > PAUSE_S
+        ):
+            self._pause_count += 1
+        self._last_tick_at = now
         return self.current
 
     def refreshed(self, pauses: int, now: float, whole: bool) -> None:
-        """Ends one try to refresh, which may have failed.
+        """Records the end of a refresh, which may have failed.
 
         Args:
-            pauses: ``pauses`` when the try began. A try that was under way
-                during a pause may bring what was true before it.
-            now: monotonic seconds at which the try began.
-            whole: all sources answered.
+            pauses: ``pauses`` when the refresh began. A refresh that was under
+                way during a pause may return data from before the pause.
+            now: monotonic seconds at which the refresh began.
+            whole: whether all sources answered.
         """
         if whole:
-            self._refreshed = now
-        self._current_for = max(self._current_for, pauses)
+            self._refreshed_at = now
+        self._refreshed_pause_count = max(self._refreshed_pause_count, pauses)
 
     def take_list(
-        self, listed: tuple[platform.Listing, ...], asked: float
+        self, listed: tuple[platform.Listing, ...], requested_at: float
     ) -> None:
-        """Takes a list that was asked for at ``asked`` (monotonic seconds).
+        """Updates the list of instances unless a later one was read already.
 
-        A read that hung through a pause ends after the one that replaced it,
-        and would bring leaving minions back.
+        A read that hung during a pause ends after the read that replaced it,
+        and would add minions again that are leaving.
+
+        Args:
+            listed: the instances.
+            requested_at: monotonic seconds at which the read began.
         """
-        if asked < self._asked:
+        if requested_at < self._listed_at:
             return
-        self._asked = asked
-        self._listed = listed
+        self._listed_at = requested_at
+        self._instances = listed
         self._cache.clear()
 
     def take_drain(self, notice: peers.DrainNotice) -> bool:
-        """Takes a drain of a peer or the table; returns whether it is news.
+        """Applies a drain from a peer or the table; returns whether it is new.
 
-        Notices come late and out of order, and a read of the table may be
-        older than a notice; the higher commit number is the later one.
+        Notices arrive late and out of order, and a read of the table may be
+        older than a notice. The one with the higher commit number is newer.
         """
-        known = self._drains.get(notice.service)
-        if known is not None and notice.version <= known.version:
+        latest = self._drains.get(notice.service)
+        if latest is not None and notice.version <= latest.version:
             return False
         self._drains[notice.service] = notice
         self._cache.clear()
         return True
 
-    def hold(self, instance: str, now: float) -> None:
-        """Passes over a minion that said itself that it takes no new work."""
-        self._held = {
-            name: until for name, until in self._held.items() if now < until
+    def back_off_from(self, instance: str, now: float) -> None:
+        """Excludes a minion that declined work, for a short time."""
+        self._backoff_until = {
+            name: until
+            for name, until in self._backoff_until.items()
+            if now < until
         }
-        self._held[instance] = now + HOLD_S
+        self._backoff_until[instance] = now + DECLINE_BACKOFF_S
 
     def minions(
         self, service: str, config: config_lib.Config, now: float
     ) -> tuple[minions_lib.Minion, ...]:
         """Returns the minions of a service that may get new work.
 
-        When all of them declined work themselves, all are returned: what they
-        decline they do not run, and one of them may be ready again.
+        If all of them declined work lately, all are returned: one of them may
+        accept work again, and a declined request is not run.
         """
-        allowed = self._allowed(service, config)
+        allowed = self._accepting(service, config)
         ready = tuple(
             minion
             for minion in allowed
-            if self._held.get(minion.instance, now) <= now
+            if self._backoff_until.get(minion.instance, now) <= now
         )
         return ready or allowed
 
@@ -152,35 +161,35 @@
         self, minion: minions_lib.Minion, config: config_lib.Config
     ) -> bool:
         """Whether a minion chosen earlier may still get new work."""
-        return minion in self._allowed(minion.service, config)
+        return minion in self._accepting(minion.service, config)
 
-    def _allowed(
+    def _accepting(
         self, service: str, config: config_lib.Config
     ) -> tuple[minions_lib.Minion, ...]:
-        if config is not self._cached_for:
+        if config is not self._cache_config:
             self._cache.clear()
-            self._cached_for = config
+            self._cache_config = config
         if service not in self._cache:
-            self._cache[service] = self._select(service, config)
+            self._cache[service] = self._select_accepting(service, config)
         return self._cache[service]
 
-    def _select(
+    def _select_accepting(
         self, service: str, config: config_lib.Config
     ) -> tuple[minions_lib.Minion, ...]:
         limits = config.services.get(service)
         if limits is None:
             return ()
-        drained = self._drained()
+        drained = self._drained_instances()
         return tuple(
             _minion(listing, limits)
-            for listing in self._listed or ()
+            for listing in self._instances or ()
             if listing.kind is platform.InstanceKind.MINION
             and listing.service == service
             and listing.state is platform.ListedState.LIVE
             and listing.instance not in drained
         )
 
-    def _drained(self) -> frozenset[str]:
+    def _drained_instances(self) -> frozenset[str]:
         return frozenset(
             instance
             for notice in self._drains.values()
@@ -202,8 +211,8 @@
     )
 
 
-def drain_of(row: platform.Row) -> peers.DrainNotice:
-    """Returns the drain that a budget row says."""
+def drain_from_budget(row: platform.Row) -> peers.DrainNotice:
+    """Returns the drain that a budget row describes."""
     service = keys.name_of(keys.BUDGETS, row.key)
     budget = rows.load(rows.Budget, row.value)
     return peers.DrainNotice(service, row.version, tuple(sorted(budget.down)))
--- a/src/vanillaswitch/coordination/entry/lending.py
+++ b/src/vanillaswitch/coordination/entry/lending.py
@@ -1,7 +1,7 @@
-"""Asks peers for slots when requests wait, and lends them what is idle.
+"""Borrows slots from peers for queued requests, and lends idle ones.
 
-Called by the task that owns the slot book and the queues; what it returns is
-to be sent, in no particular order, and may be lost.
+The task that owns the slot book and the queues calls this. It sends the
+returned messages, which may arrive in any order or get lost.
 """
 
 from collections.abc import Callable
@@ -18,14 +18,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Envelope:
-    """A message and the process that gets it."""
+    """A message and the process to send it to."""
 
     process: str
     message: Message
 
 
 class Lending:
-    """One process's part in the lending of slots."""
+    """Lends and borrows slots for one process."""
 
     def __init__(
         self,
@@ -33,10 +33,10 @@
         slots: slot_book.SlotBook,
         queue: Callable[[str], admission.ServiceQueue],
     ):
-        """Puts the parts together.
+        """Initializes lending.
 
         Args:
-            rng: random source; chooses whom to ask.
+            rng: random source; chooses the peer to ask.
             slots: the slot book, which holds the loans.
             queue: returns a service's queue.
         """
@@ -45,66 +45,75 @@
         self._queue = queue
 
     def settle(self, service: str, now: float) -> tuple[Envelope, ...]:
-        """Gives back what is idle, asks for more when requests wait.
+        """Returns idle loans, and requests loans if requests are queued.
 
-        To be called after each change of a service's queue or slots.
+        Call this after each change of a service's queue or slots.
+
+        Returns:
+            The messages to send.
         """
-        if self._slots.policy_name != routing.LENT_SHARE:
+        if self._slots.policy_name != routing.LENT_SHARE_POLICY:
             return ()
         loans = self._slots.loans
         queue = self._queue(service)
         waiting = queue.first_priority if queue.waiting else None
         envelopes = []
-        if loans.borrowed(service):
-            rooms = self._slots.rooms(service, now)
-            back = loans.give_back(service, rooms, waiting, now)
-            envelopes = [Envelope(peer, sent) for peer, sent in back.items()]
-        others = self._slots.entries[1:]
-        if waiting is None or not others:
+        if loans.has_borrowed(service):
+            free_slots = self._slots.free_slots_by_instance(service, now)
+            returns = loans.return_idle(service, free_slots, waiting, now)
+            envelopes = [
+                Envelope(peer, message) for peer, message in returns.items()
+            ]
+        peer_entries = self._slots.live_entries[1:]
+        if waiting is None or not peer_entries:
             return tuple(envelopes)
-        if loans.may_ask(service, waiting, now):
-            peer = self._rng.choice(others)
-            ask = loans.ask(service, queue.waiting, waiting, now)
+        if loans.may_request(service, waiting, now):
+            peer = self._rng.choice(peer_entries)
+            ask = loans.new_request(service, queue.waiting, waiting, now)
             envelopes.append(Envelope(peer, ask))
         return tuple(envelopes)
 
     def take(
         self, message: Message, now: float
     ) -> tuple[frozenset[str], tuple[Envelope, ...]]:
-        """Takes a peer's message in.
+        """Handles a message from a peer.
 
         Returns:
-            Services whose queues have to be looked at, and what to send.
+            Services whose queues have to be checked, and messages to send.
         """
         loans = self._slots.loans
         match message:
             case peers.SlotAsk():
-                grant = loans.lend(message, self._idle(message, now), now)
+                grant = loans.lend(
+                    message, self._idle_instances(message, now), now
+                )
                 return frozenset(), (Envelope(message.process, grant),)
             case peers.SlotGrant():
-                loans.granted(message, now)
+                loans.handle_grant(message, now)
                 return frozenset((message.service,)), ()
             case peers.SlotReturn():
-                return loans.returned(message), ()
+                return loans.handle_return(message), ()
 
-    def _idle(self, ask: peers.SlotAsk, now: float) -> tuple[str, ...]:
+    def _idle_instances(
+        self, ask: peers.SlotAsk, now: float
+    ) -> tuple[str, ...]:
         """Returns an instance for each idle slot, the most idle first.
 
-        What waits here goes before what is less urgent elsewhere, and the
-        slots reserved for urgent requests are lent to such only.
+        Requests queued here have precedence over equally or less urgent ones
+        of the peer. Slots reserved for urgent requests are lent to such only.
         """
-        if self._slots.policy_name != routing.LENT_SHARE:
+        if self._slots.policy_name != routing.LENT_SHARE_POLICY:
             return ()
         queue = self._queue(ask.service)
         if queue.waiting and queue.first_priority <= ask.priority:
             return ()
         slots = self._slots.count(ask.service, now)
-        urgent = queue.may_use_reserve(ask.priority)
-        kept = 0 if urgent else queue.reserve(slots)
-        rooms = dict(self._slots.rooms(ask.service, now))
+        may_use_reserve = queue.may_use_reserve(ask.priority)
+        reserved = 0 if may_use_reserve else queue.reserve(slots)
+        free_slots = dict(self._slots.free_slots_by_instance(ask.service, now))
         idle: list[str] = []
-        while len(idle) < min(ask.slots, slots.free - kept):
-            most = max(rooms, key=lambda one: rooms[one])
-            rooms[most] -= 1
-            idle.append(most)
+        while len(idle) < min(ask.slots, slots.free - reserved):
+            most_idle = max(free_slots, key=lambda one: free_slots[one])
+            free_slots[most_idle] -= 1
+            idle.append(most_idle)
         return tuple(idle)
--- a/src/vanillaswitch/coordination/entry/routing.py
+++ b/src/vanillaswitch/coordination/entry/routing.py
@@ -1,8 +1,8 @@
-"""Chooses the minion that gets a request.
+"""Chooses the minion for a request.
 
-A policy says how many requests this process may have in flight at a minion
-(``limit``), how many more it would send now (``room``) and which of the
-minions with room it prefers (``choose``).
+A policy defines how many requests this process may have in flight at a minion
+(``limit``), how many more it may send now (``room``) and which of the minions
+with free slots it prefers (``choose``).
 """
 
 from collections.abc import Collection
@@ -22,13 +22,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Loads:
-    """What is known of the minions' slots; absent instances mean zero.
+    """Use of the minions' slots by instance; absent instances mean zero.
 
     Attributes:
         own: requests in flight, sent by this process.
-        peers: requests in flight of all other entries, as last heard.
-        entries: the living entries, this process first.
-        loans: slots borrowed from peers, less those lent to them.
+        peers: requests in flight of all other entries, as last reported.
+        entries: the live entries, this process first.
+        loans: slots borrowed from peers minus slots lent to them.
     """
 
     own: Mapping[str, int]
@@ -37,19 +37,19 @@
     loans: Mapping[str, int] = dataclasses.field(default_factory=dict)
 
     def of(self, minion: minions_lib.Minion) -> int:
-        """Returns all requests known to be in flight at a minion."""
+        """Returns the number of known requests in flight at a minion."""
         name = minion.instance
         return self.own.get(name, 0) + self.peers.get(name, 0)
 
 
 class Policy(Protocol):
-    """One way to share the minions."""
+    """A way to share the minions' slots among entries."""
 
     def limit(self, minion: minions_lib.Minion, loads: Loads, /) -> int:
         """Returns how many of a minion's slots this process may use."""
 
     def room(self, minion: minions_lib.Minion, loads: Loads) -> int:
-        """Returns how many more requests may be sent; none if negative."""
+        """Returns the number of free slots; negative if overcommitted."""
 
     def choose(
         self,
@@ -58,7 +58,7 @@
         data_centre: str,
         rng: random.Random,
     ) -> minions_lib.Minion:
-        """Returns one of the candidates, each of which has room."""
+        """Returns one of the candidates, each of which has a free slot."""
 
 
 policies: registry.Registry[Policy] = registry.Registry("routing policy")
@@ -69,7 +69,7 @@
     return max(0, policy.room(minion, loads))
 
 
-def pick(
+def pick_minion(
     policy: Policy,
     minions: Sequence[minions_lib.Minion],
     loads: Loads,
@@ -77,14 +77,14 @@
     data_centre: str,
     rng: random.Random,
 ) -> minions_lib.Minion | None:
-    """Returns the minion to send to, or None when no slot is known free.
+    """Returns the minion to send to; None if no slot is known to be free.
 
     Args:
         policy: how to choose.
         minions: those that may get new work.
-        loads: requests in flight.
+        loads: use of their slots.
         excluded: instances that must not be chosen.
-        data_centre: where this process runs; near minions win ties.
+        data_centre: where this process runs; its minions win ties.
         rng: random source.
     """
     candidates = [
@@ -98,30 +98,31 @@
 
 
 @functools.lru_cache(maxsize=4096)
-def share(instance: str, slots: int, entries: tuple[str, ...]) -> int:
-    """Returns the slots of a minion that belong to the first entry.
+def slot_share(instance: str, slots: int, entries: tuple[str, ...]) -> int:
+    """Returns the number of a minion's slots that belong to the first entry.
 
-    The slots are dealt out evenly; those left over go to the entries with the
-    highest rendezvous hashes, so that each slot has one owner wherever the
-    same entries are seen, and few slots change owners with the entries.
+    Slots are divided evenly, and the remainder goes by rendezvous hashing. So
+    all processes that see the same entries assign each slot to the same one,
+    and few slots change owners when the set of entries changes.
     """
-    even, left = divmod(slots, len(entries))
-    if not left:
-        return even
-    ranked = sorted(entries, key=lambda name: _rank(name, instance))
-    return even + (ranked.index(entries[0]) < left)
+    even_share, remainder = divmod(slots, len(entries))
+    if not remainder:
+        return even_share
+    ranked = sorted(entries, key=lambda name: _rendezvous_hash(name, instance))
+    return even_share + (ranked.index(entries[0]) < remainder)
 
 
-def _rank(entry: str, instance: str) -> bytes:
+def _rendezvous_hash(entry: str, instance: str) -> bytes:
     text = f"{entry}/{instance}".encode()
     return hashlib.blake2b(text, digest_size=8).digest()
 
 
 class _TwoChoices:
-    """Of two random minions, the one with the least load.
+    """Chooses the less loaded of two random minions.
 
-    Loads of peers are up to a heartbeat old, as long as dozens of requests
-    take: entries that see the same free slots fill them together.
+    Loads of peers are up to one heartbeat interval old, in which dozens of
+    requests finish. So entries that see the same free slots may fill them at
+    the same time.
     """
 
     def limit(self, minion: minions_lib.Minion, _loads: Loads) -> int:
@@ -137,9 +138,9 @@
         data_centre: str,
         rng: random.Random,
     ) -> minions_lib.Minion:
-        drawn = rng.sample(candidates, min(2, len(candidates)))
+        sampled = rng.sample(candidates, min(2, len(candidates)))
         return min(
-            drawn,
+            sampled,
             key=lambda minion: (
                 loads.of(minion),
                 minion.data_centre != data_centre,
@@ -148,14 +149,14 @@
 
 
 class _FixedShare:
-    """Each entry uses its share of each minion's slots, and no more.
+    """Limits each entry to its share of each minion's slots.
 
-    What peers report is left out on purpose: it is old, and a slot of our own
-    share is free whatever they had in flight a second ago.
+    The loads of peers are ignored on purpose: they are up to a second old, and
+    do not affect the slots in this process's share.
     """
 
     def limit(self, minion: minions_lib.Minion, loads: Loads) -> int:
-        return share(minion.instance, minion.slots, loads.entries)
+        return slot_share(minion.instance, minion.slots, loads.entries)
 
     def room(self, minion: minions_lib.Minion, loads: Loads) -> int:
         used = loads.own.get(minion.instance, 0)
@@ -179,14 +180,14 @@
 
 
 class _LentShare(_FixedShare):
-    """A fixed share, and whole slots lent between entries on demand."""
+    """A fixed share, plus whole slots lent between entries on demand."""
 
     def limit(self, minion: minions_lib.Minion, loads: Loads) -> int:
-        lent = loads.loans.get(minion.instance, 0)
-        return super().limit(minion, loads) + lent
+        net_lent = loads.loans.get(minion.instance, 0)
+        return super().limit(minion, loads) + net_lent
 
 
-LENT_SHARE = DEFAULT_POLICY
+LENT_SHARE_POLICY = DEFAULT_POLICY
 policies.register("two-choices")(_TwoChoices())
 policies.register("fixed-share")(_FixedShare())
-policies.register(LENT_SHARE)(_LentShare())
+policies.register(LENT_SHARE_POLICY)(_LentShare())
--- a/src/vanillaswitch/coordination/entry/slot_book.py
+++ b/src/vanillaswitch/coordination/entry/slot_book.py
@@ -1,4 +1,4 @@
-"""Counts this process's requests at each minion and picks minions."""
+"""Allocates minion slots to this process's requests."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -17,7 +17,7 @@
 
 
 class Verdict(enum.Enum):
-    """What a request learnt of the minion that it was given."""
+    """How an attempt ended at the minion that was allocated to it."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -27,23 +27,26 @@
 
 
 MAX_LINGER_S = 1.0
-"""Longest time that the slot of a request given up on stays counted."""
+"""Longest time that the slot of an abandoned attempt stays counted."""
 
-PROBES = 1
-"""Requests at once to a minion that failed and has not answered since."""
+MAX_PROBES = 1
+"""Most requests at once to a minion that failed and has not answered since."""
 
 
 @dataclasses.dataclass(frozen=True)
-class _Lingering:
-    """The slot of a request that was given up on; it may still run."""
+class _AbandonedSlot:
+    """The slot of an abandoned attempt, which may still run at the minion."""
 
-    ticket: int
+    request_number: int
     minion: minions_lib.Minion
-    until: float
+    expires_at: float
 
 
 class SlotBook:
-    """Owned by one task; its methods never let another task run."""
+    """Slots in use by this process; used by a single task.
+
+    Its methods never switch to another task.
+    """
 
     def __init__(
         self,
@@ -51,99 +54,105 @@
         data_centre: str,
         config: config_view.ConfigView,
         fleet: fleet_view.FleetView,
-        peer_loads: Callable[[], Mapping[str, int]],
-        entries: Callable[[], tuple[str, ...]],
-        boot: str = "",
+        peer_in_flight: Callable[[], Mapping[str, int]],
+        live_entries: Callable[[], tuple[str, ...]],
+        boot_id: str = "",
     ):
-        """Makes a book without any request.
+        """Initializes a slot book without requests in flight.
 
         Args:
             rng: random source.
             data_centre: where this process runs.
             config: the configuration in force.
             fleet: the minions that may get new work.
-            peer_loads: returns the requests that all other entries have in
+            peer_in_flight: returns the requests that all other entries have in
                 flight, by minion instance.
-            entries: returns the living entries, this one first.
-            boot: random id of this start.
+            live_entries: returns the live entries, this one first.
+            boot_id: random id of this process start.
         """
         self._rng = rng
         self._data_centre = data_centre
         self._config = config
         self._fleet = fleet
-        self._peer_loads = peer_loads
-        self._entries = entries
-        self._own: dict[str, int] = {}
-        self._suspicion = retry.Suspicion()
-        self._lingering: list[_Lingering] = []
-        self._loans = slot_loans.LoanBook(entries()[0], boot)
+        self._peer_in_flight = peer_in_flight
+        self._live_entries = live_entries
+        self._own_in_flight: dict[str, int] = {}
+        self._failures = retry.Suspicion()
+        self._abandoned: list[_AbandonedSlot] = []
+        self._loans = slot_loans.LoanTracker(live_entries()[0], boot_id)
 
     def loads(self, now: float) -> Mapping[str, int]:
         """Returns own requests in flight by minion instance."""
-        self._expire(now)
-        return dict(self._own)
+        self._release_expired(now)
+        return dict(self._own_in_flight)
 
     @property
-    def loans(self) -> slot_loans.LoanBook:
+    def loans(self) -> slot_loans.LoanTracker:
         """Slots borrowed from and lent to peers."""
         return self._loans
 
     @property
-    def entries(self) -> tuple[str, ...]:
-        """The living entries, this one first."""
-        return self._entries()
+    def live_entries(self) -> tuple[str, ...]:
+        """The live entries, this one first."""
+        return self._live_entries()
 
     @property
     def policy_name(self) -> str:
         """Name of the routing policy in force."""
         config = self._config.config
         if config is None:
-            raise errors.InvariantError("a request has no configuration")
+            raise errors.InvariantError(
+                "request handled before any configuration was loaded"
+            )
         name = config.policies.routing
-        # During a rolling upgrade, an older program may be given the name of
-        # a policy that only newer ones have.
+        # During a rolling upgrade, the configuration may name a policy that
+        # only newer versions of the program have.
         if name not in routing.policies.names:
             return routing.DEFAULT_POLICY
         return name
 
-    def rooms(self, service: str, now: float) -> Mapping[str, int]:
-        """Returns how many more requests each minion may be sent."""
+    def free_slots_by_instance(
+        self, service: str, now: float
+    ) -> Mapping[str, int]:
+        """Returns the number of free slots of each minion instance."""
         return {
-            minion.instance: room
-            for minion, room in self._rooms(service, now).items()
+            minion.instance: free
+            for minion, free in self._free_slots(service, now).items()
         }
 
     def count(self, service: str, now: float) -> admission.Slots:
-        """Returns the slots of a service as they are known now."""
-        rooms = self._rooms(service, now)
-        if not rooms:
+        """Returns the known numbers of slots of a service."""
+        free_slots = self._free_slots(service, now)
+        if not free_slots:
             return admission.Slots(0, 0)
         policy, loads = self._policy(), self._loads()
-        limits = (policy.limit(minion, loads) for minion in rooms)
-        total = sum(minion.slots for minion in rooms)
-        return admission.Slots(total, sum(rooms.values()), usable=sum(limits))
+        limits = (policy.limit(minion, loads) for minion in free_slots)
+        total = sum(minion.slots for minion in free_slots)
+        return admission.Slots(
+            total, sum(free_slots.values()), usable=sum(limits)
+        )
 
     def take(
         self,
         service: str,
         excluded: frozenset[str],
         now: float,
-        ticket: int = 0,
+        request_number: int = 0,
     ) -> minions_lib.Minion | None:
-        """Takes a slot at a minion that is not excluded, if any is free.
+        """Allocates a slot at a minion that is not excluded, if any is free.
 
         Args:
             service: whose minions.
-            excluded: instances that must not be taken.
+            excluded: instances that must not be chosen.
             now: monotonic seconds.
-            ticket: the request; it may take the slot again of an attempt
-                that it has given up on.
+            request_number: the request; it may reuse the slot of an attempt
+                that it has abandoned.
         """
-        rooms = self._rooms(service, now)
-        candidates = [one for one, room in rooms.items() if room > 0]
-        picked: minions_lib.Minion | None = None
+        free_slots = self._free_slots(service, now)
+        candidates = [one for one, free in free_slots.items() if free > 0]
+        chosen: minions_lib.Minion | None = None
         if candidates:
-            picked = routing.pick(
+            chosen = routing.pick_minion(
                 self._policy(),
                 candidates,
                 self._loads(),
@@ -151,106 +160,114 @@
                 self._data_centre,
                 self._rng,
             )
-        if picked is None:
-            picked = self._taken_again(ticket, rooms, excluded)
-        if picked is not None:
-            self._add(picked.instance, 1)
-        return picked
+        if chosen is None:
+            chosen = self._reuse_abandoned(request_number, free_slots, excluded)
+        if chosen is not None:
+            self._add_in_flight(chosen.instance, 1)
+        return chosen
 
     def release(
         self,
         minion: minions_lib.Minion,
-        verdict: Verdict,
-        since: float,
+        attempt_result: Verdict,
+        taken_at: float,
         now: float,
-        ticket: int = 0,
+        request_number: int = 0,
     ) -> None:
-        """Frees a slot and notes what was learnt of the minion.
+        """Releases a slot and records the result of the attempt.
 
-        A minion may still work on a request that was given up on, and would
-        get more requests than it has slots. Its slot is counted for as long
-        again as the attempt took: nothing better is known. It is bounded,
-        since a connection that went silent holds no slot.
+        A minion may still run an abandoned attempt, and would get more
+        requests than it has slots. So its slot stays counted for as long again
+        as the attempt took, for want of a better estimate. This time is
+        bounded, because an unresponsive connection uses no slot.
 
         Args:
             minion: where the request was sent.
-            verdict: what was learnt.
-            since: when the slot was taken.
+            attempt_result: how the attempt ended.
+            taken_at: when the slot was allocated.
             now: monotonic seconds.
-            ticket: the request.
+            request_number: the request.
         """
         name = minion.instance
-        match verdict:
+        match attempt_result:
             case Verdict.ANSWERED:
-                self._suspicion.answered(name)
+                self._failures.answered(name)
             case Verdict.FAILED:
-                self._suspicion.failed(name, now)
+                self._failures.failed(name, now)
             case Verdict.DECLINED:
-                self._fleet.hold(name, now)
+                self._fleet.back_off_from(name, now)
             case Verdict.UNCLEAR:
-                until = now + min(now - since, MAX_LINGER_S)
-                self._lingering.append(_Lingering(ticket, minion, until))
+                expires_at = now + min(now - taken_at, MAX_LINGER_S)
+                self._abandoned.append(
+                    _AbandonedSlot(request_number, minion, expires_at)
+                )
                 return
             case Verdict.UNUSED:
                 pass
-        self._add(name, -1)
+        self._add_in_flight(name, -1)
 
-    def _rooms(self, service: str, now: float) -> dict[minions_lib.Minion, int]:
-        """Returns each minion's room, after loans and given-up requests.
+    def _free_slots(
+        self, service: str, now: float
+    ) -> dict[minions_lib.Minion, int]:
+        """Returns each minion's free slots, net of loans and abandoned slots.
 
         A suspected minion has none: it fails requests faster than others
-        answer them, and would look the most idle of all. When all of them
-        are suspected, all are tried, so that callers hear at once that
-        nothing can be reached.
+        answer them, and would look the least loaded. If all minions are
+        suspected, all are tried, so that callers get an error at once when no
+        minion can be reached.
         """
         minions = self._minions(service, now)
         if not minions:
             return {}
-        self._expire(now)
+        self._release_expired(now)
         policy, loads = self._policy(), self._loads()
-        rooms = {one: routing.room(policy, one, loads) for one in minions}
-        suspects = self._suspicion.suspects(now)
+        free_slots = {one: routing.room(policy, one, loads) for one in minions}
+        suspects = self._failures.suspects(now)
         if all(minion.instance in suspects for minion in minions):
-            return rooms
+            return free_slots
         for minion in minions:
             name = minion.instance
             if name in suspects:
-                rooms[minion] = 0
-            elif self._suspicion.is_doubtful(name):
-                free_for_probe = PROBES - self._own.get(name, 0)
-                rooms[minion] = max(0, min(rooms[minion], free_for_probe))
-        return rooms
-
-    def _taken_again(
+                free_slots[minion] = 0
+            elif self._failures.is_doubtful(name):
+                free_probes = MAX_PROBES - self._own_in_flight.get(name, 0)
+                free_slots[minion] = max(
+                    0, min(free_slots[minion], free_probes)
+                )
+        return free_slots
+
+    def _reuse_abandoned(
         self,
-        ticket: int,
-        rooms: Mapping[minions_lib.Minion, int],
+        request_number: int,
+        free_slots: Mapping[minions_lib.Minion, int],
         excluded: frozenset[str],
     ) -> minions_lib.Minion | None:
-        for index, one in enumerate(self._lingering):
-            allowed = one.minion in rooms
+        for index, one in enumerate(self._abandoned):
+            is_allowed = one.minion in free_slots
             if (
-                one.ticket == ticket
-                and allowed
+                one.request_number == request_number
+                and is_allowed
                 and one.minion.instance not in excluded
             ):
-                del self._lingering[index]
-                self._add(one.minion.instance, -1)
+                del self._abandoned[index]
+                self._add_in_flight(one.minion.instance, -1)
                 return one.minion
         return None
 
-    def _expire(self, now: float) -> None:
+    def _release_expired(self, now: float) -> None:
         self._loans.expire(now)
-        over = [one for one in self._lingering if now >= one.until]
-        if over:
-            self._lingering = [o for o in self._lingering if now < o.until]
-        for one in over:
-            self._add(one.minion.instance, -1)
-
-    def _add(self, instance: str, count: int) -> None:
-        self._own[instance] = self._own.get(instance, 0) + count
-        if not self._own[instance]:
-            del self._own[instance]
+        expired = [one for one in self._abandoned if now >= one.expires_at]
+        if expired:
+            self._abandoned = [o for o in self._abandoned if now < o.expires_at]
+        for one in expired:
+            self._add_in_flight(one.minion.instance, -1)
+
+    def _add_in_flight(self, instance: str, count: int) -> None:
+        self._own_in_flight[instance] = (
+            self._own_in_flight.get(instance, 0) + count
+        )
+        if not self._own_in_flight[instance]:
+            del self._own_in_flight[instance]
 
     def _minions(
         self, service: str, now: float
@@ -265,5 +282,8 @@
 
     def _loads(self) -> routing.Loads:
         return routing.Loads(
-            self._own, self._peer_loads(), self._entries(), self._loans.net
+            self._own_in_flight,
+            self._peer_in_flight(),
+            self._live_entries(),
+            self._loans.net_loans,
         )
--- a/src/vanillaswitch/coordination/entry/slot_loans.py
+++ b/src/vanillaswitch/coordination/entry/slot_loans.py
@@ -1,12 +1,13 @@
-"""Slots that entries lend to each other.
-
-Each slot of a minion belongs to one entry (``routing.share``). An entry whose
-requests wait asks a peer for idle slots. A loan runs out by itself at the
-lender, so a borrower that dies or a message that is lost costs the slot for a
-bounded time only. The borrower starts nothing on a loan for the last part of
-its term, counted from before it asked: however slow the messages were, the
-lender still counts the slot while the borrower's requests usually run. No
-clocks are compared.
+"""Loans of slots between entries.
+
+Each slot of a minion belongs to one entry (``routing.slot_share``). An entry
+with queued requests asks a peer for idle slots. A loan expires at the lender,
+so a dead borrower or a lost message costs the slot for a bounded time only.
+The borrower counts the term of a loan from when it sent its loan request, and
+starts no requests on the loan in the last part of the term. So, however slow
+the messages were, the lender still counts the slot as lent for as long as the
+borrower's requests usually run. Clocks of different processes are never
+compared.
 """
 
 from collections.abc import Iterable
@@ -16,32 +17,34 @@
 
 from vanillaswitch.protocol import peers
 
-USE_S = 0.5
-"""Time from the ask in which a borrower may start requests on a loan."""
+BORROWER_USE_S = 0.5
+"""Time since the loan request in which a borrower may use a loan."""
 
-TERM_S = 3.0
-"""Time after which a lender takes a slot back without a word."""
+LOAN_TERM_S = 3.0
+"""Time after which a loan expires at the lender."""
 
-ASK_TIMEOUT_S = 0.1
-MAX_SLOTS = 4
-"""How many slots one ask may name."""
+REQUEST_TIMEOUT_S = 0.1
+MAX_SLOTS_PER_REQUEST = 4
+"""Most slots in one loan request."""
 
-FREE_ASKS = 1
-"""Refused asks in a row after which the next one has to wait."""
+REFUSALS_BEFORE_BACKOFF = 1
+"""Refusals in a row after which the next loan request is delayed."""
 
-SHORTEST_PAUSE_S = 0.02
-LONGEST_PAUSE_S = 0.1
+MIN_BACKOFF_S = 0.02
+MAX_BACKOFF_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True)
 class _Loan:
-    """One slot.
+    """A loan of one slot.
 
     Attributes:
+        service: of the minion.
+        instance: the minion.
         peer: the lender or the borrower.
-        priority: of the request that it was asked for.
-        use_until: when the borrower stops to start requests on it.
-        until: when it is over at the lender.
+        priority: of the client request that needed the slot.
+        use_until: when the borrower stops starting requests on it.
+        ends_at: when it expires.
     """
 
     service: str
@@ -49,209 +52,218 @@
     peer: str
     priority: int
     use_until: float
-    until: float
+    ends_at: float
 
 
 @dataclasses.dataclass(frozen=True)
-class _Asking:
-    """What a service knows of its asks.
+class _RequestState:
+    """State of the loan requests for one service.
 
     Attributes:
-        ask: id of the ask that is under way; empty for none.
-        priority: of the request that it was for.
-        sent: when the last one was sent.
-        refused: how many were refused in a row.
-        earliest: when the next one may be sent.
+        ask: id of the loan request in flight; empty for none.
+        priority: of the client request that it was sent for.
+        sent: when the last loan request was sent.
+        refused: number of refusals in a row.
+        not_before: when the next one may be sent.
     """
 
     ask: str = ""
     priority: int = 0
     sent: float = 0.0
     refused: int = 0
-    earliest: float = 0.0
+    not_before: float = 0.0
 
 
-class LoanBook:
-    """The loans of one process, in both directions; owned by one task."""
+class LoanTracker:
+    """The loans of one process, in both directions; used by a single task."""
 
     def __init__(self, process: str, boot: str):
-        """Makes an empty book.
+        """Initializes a tracker without loans.
 
         Args:
-            process: our own name, for the peers.
-            boot: random id of this start; makes the ids of asks unique.
+            process: name of this process, for the peers.
+            boot: random id of this process start; makes the ids of loan
+                requests unique.
         """
         self._process = process
         self._boot = boot
-        self._asks = 0
-        self._asking: dict[str, _Asking] = {}
+        self._request_count = 0
+        self._requests: dict[str, _RequestState] = {}
         self._borrowed: dict[str, _Loan] = {}
         self._lent: dict[str, _Loan] = {}
-        self._net: dict[str, int] = {}
+        self._net_loans: dict[str, int] = {}
 
     @property
-    def net(self) -> Mapping[str, int]:
-        """Slots borrowed less slots lent, by minion instance."""
-        return self._net
+    def net_loans(self) -> Mapping[str, int]:
+        """Slots borrowed minus slots lent, by minion instance."""
+        return self._net_loans
 
-    def borrowed(self, service: str) -> bool:
+    def has_borrowed(self, service: str) -> bool:
         """Whether any slot of a service is borrowed."""
         return any(loan.service == service for loan in self._borrowed.values())
 
-    def may_ask(self, service: str, priority: int, now: float) -> bool:
-        """Whether an ask for a service may be sent now.
+    def may_request(self, service: str, priority: int, now: float) -> bool:
+        """Whether a loan request for a service may be sent now.
 
-        Refusals of a less urgent ask say nothing of a more urgent one, for
-        which peers lend what they reserve.
+        Refusals of a less urgent one do not delay a more urgent one, because
+        peers lend their reserved slots to urgent requests.
         """
-        known = self._asking.get(service, _Asking())
-        if known.ask and now < known.sent + ASK_TIMEOUT_S:
+        state = self._requests.get(service, _RequestState())
+        if state.ask and now < state.sent + REQUEST_TIMEOUT_S:
             return False
-        return now >= known.earliest or priority < known.priority
+        return now >= state.not_before or priority < state.priority
 
-    def ask(
+    def new_request(
         self, service: str, slots: int, priority: int, now: float
     ) -> peers.SlotAsk:
-        """Returns the next ask, which has to be sent."""
-        self._asks += 1
-        ask = f"{self._boot}-{self._asks}"
-        known = self._asking.get(service, _Asking())
-        refused = known.refused if priority >= known.priority else 0
-        self._asking[service] = _Asking(ask, priority, now, refused)
-        count = min(slots, MAX_SLOTS)
+        """Creates the next loan request; the caller has to send it."""
+        self._request_count += 1
+        ask = f"{self._boot}-{self._request_count}"
+        state = self._requests.get(service, _RequestState())
+        refused = state.refused if priority >= state.priority else 0
+        self._requests[service] = _RequestState(ask, priority, now, refused)
+        count = min(slots, MAX_SLOTS_PER_REQUEST)
         return peers.SlotAsk(self._process, ask, service, count, priority)
 
     def lend(
         self, ask: peers.SlotAsk, idle: Sequence[str], now: float
     ) -> peers.SlotGrant:
-        """Lends idle slots; an ask that is repeated gets nothing again.
+        """Lends idle slots; a duplicate loan request gets none.
 
         Args:
-            ask: who wants how many.
-            idle: instances with an idle slot each, the most idle first.
+            ask: the loan request.
+            idle: an instance for each idle slot, the most idle first.
             now: monotonic seconds.
         """
-        given = tuple(idle[: max(0, min(ask.slots, MAX_SLOTS))])
+        granted_instances = tuple(
+            idle[: max(0, min(ask.slots, MAX_SLOTS_PER_REQUEST))]
+        )
         if _loan_id(ask.ask, 0) in self._lent:
-            given = ()
-        for number, instance in enumerate(given):
-            self._lent[_loan_id(ask.ask, number)] = _Loan(
+            granted_instances = ()
+        for index, instance in enumerate(granted_instances):
+            self._lent[_loan_id(ask.ask, index)] = _Loan(
                 ask.service,
                 instance,
                 ask.process,
                 ask.priority,
                 now,
-                now + TERM_S,
+                now + LOAN_TERM_S,
             )
-        self._count()
-        return peers.SlotGrant(self._process, ask.ask, ask.service, given)
+        self._update_net_loans()
+        return peers.SlotGrant(
+            self._process, ask.ask, ask.service, granted_instances
+        )
 
-    def granted(self, grant: peers.SlotGrant, now: float) -> bool:
-        """Takes a grant in; returns whether it brought slots.
+    def handle_grant(self, grant: peers.SlotGrant, now: float) -> bool:
+        """Records a grant; returns whether it contains usable slots.
 
-        A grant that comes after its ask was given up on is not used: the
-        lender's term takes care of it.
+        A late or duplicate grant, for a loan request that is no longer in
+        flight, is not used; its loans expire at the lender.
         """
-        known = self._asking.get(grant.service, _Asking())
-        if known.ask != grant.ask:
+        state = self._requests.get(grant.service, _RequestState())
+        if state.ask != grant.ask:
             return False
         if not grant.instances:
-            self._asking[grant.service] = _refused(known, now)
+            self._requests[grant.service] = _with_refusal(state, now)
             return False
-        self._asking[grant.service] = _Asking()
-        for number, instance in enumerate(grant.instances):
-            self._borrowed[_loan_id(grant.ask, number)] = _Loan(
+        self._requests[grant.service] = _RequestState()
+        for index, instance in enumerate(grant.instances):
+            self._borrowed[_loan_id(grant.ask, index)] = _Loan(
                 grant.service,
                 instance,
                 grant.process,
-                known.priority,
-                known.sent + USE_S,
-                known.sent + TERM_S,
+                state.priority,
+                state.sent + BORROWER_USE_S,
+                state.sent + LOAN_TERM_S,
             )
-        self._count()
+        self._update_net_loans()
         return True
 
-    def give_back(
+    def return_idle(
         self,
         service: str,
-        room: Mapping[str, int],
+        free_slots: Mapping[str, int],
         waiting: int | None,
         now: float,
     ) -> dict[str, peers.SlotReturn]:
-        """Gives idle loans of a service back.
+        """Returns idle loans of a service to their lenders.
 
-        A loan is kept while requests wait that are as urgent as the one it
-        was asked for. If less urgent ones kept it, it would sit idle in the
-        borrower's reserve while the lender lacks it.
+        A loan is kept while requests are queued that are at least as urgent
+        as the one it was borrowed for. If less urgent ones kept it, it would
+        be idle in the borrower's reserve while the lender lacks it.
 
         Args:
             service: whose loans.
-            room: idle slots by instance, own and borrowed together.
-            waiting: priority of the most urgent request that waits, if any.
+            free_slots: by instance, own and borrowed ones together.
+            waiting: priority of the most urgent queued request, if any.
             now: monotonic seconds.
 
         Returns:
-            The message for each lender.
+            The message to each lender.
         """
-        left = dict(room)
-        ended: dict[str, list[str]] = {}
+        idle_slots = dict(free_slots)
+        returned: dict[str, list[str]] = {}
         for loan_id, loan in list(self._borrowed.items()):
-            if loan.service != service or left.get(loan.instance, 0) <= 0:
+            if loan.service != service or idle_slots.get(loan.instance, 0) <= 0:
                 continue
-            wanted = waiting is not None and waiting <= loan.priority
-            if wanted and now < loan.use_until:
+            is_needed = waiting is not None and waiting <= loan.priority
+            if is_needed and now < loan.use_until:
                 continue
-            left[loan.instance] -= 1
-            ended.setdefault(loan.peer, []).append(loan_id)
+            idle_slots[loan.instance] -= 1
+            returned.setdefault(loan.peer, []).append(loan_id)
             del self._borrowed[loan_id]
-        self._count()
+        self._update_net_loans()
         return {
             lender: peers.SlotReturn(self._process, tuple(ids))
-            for lender, ids in ended.items()
+            for lender, ids in returned.items()
         }
 
-    def returned(self, message: peers.SlotReturn) -> frozenset[str]:
-        """Takes slots back and returns their services."""
-        taken = _remove(self._lent, message.loans)
-        self._count()
+    def handle_return(self, message: peers.SlotReturn) -> frozenset[str]:
+        """Ends the returned loans; returns their services."""
+        taken = _pop_loans(self._lent, message.loans)
+        self._update_net_loans()
         return frozenset(loan.service for loan in taken)
 
     def expire(self, now: float) -> None:
-        """Ends the loans whose term is over, in both directions."""
+        """Ends expired loans in both directions."""
         for loans in (self._borrowed, self._lent):
-            over = [one for one, loan in loans.items() if now >= loan.until]
-            if over:
-                _remove(loans, over)
-                self._count()
-
-    def _count(self) -> None:
-        net: dict[str, int] = {}
+            expired = [
+                one for one, loan in loans.items() if now >= loan.ends_at
+            ]
+            if expired:
+                _pop_loans(loans, expired)
+                self._update_net_loans()
+
+    def _update_net_loans(self) -> None:
+        net_loans: dict[str, int] = {}
         for loan in self._borrowed.values():
-            net[loan.instance] = net.get(loan.instance, 0) + 1
+            net_loans[loan.instance] = net_loans.get(loan.instance, 0) + 1
         for loan in self._lent.values():
-            net[loan.instance] = net.get(loan.instance, 0) - 1
-        self._net = net
+            net_loans[loan.instance] = net_loans.get(loan.instance, 0) - 1
+        self._net_loans = net_loans
 
 
-def _loan_id(ask: str, number: int) -> str:
-    return f"{ask}/{number}"
+def _loan_id(ask: str, index: int) -> str:
+    return f"{ask}/{index}"
 
 
-def _remove(loans: dict[str, _Loan], ids: Iterable[str]) -> list[_Loan]:
+def _pop_loans(loans: dict[str, _Loan], ids: Iterable[str]) -> list[_Loan]:
     return [loans.pop(one) for one in ids if one in loans]
 
 
-def _refused(known: _Asking, now: float) -> _Asking:
-    """Returns the state after a refusal; many in a row slow the asks down.
+def _with_refusal(state: _RequestState, now: float) -> _RequestState:
+    """Returns the state after a refusal, with exponential backoff.
 
-    Under overload no peer has an idle slot, and asks without a pause would
-    take processor time from requests.
+    Under overload no peer has an idle slot, and loan requests without backoff
+    would take processor time from client requests.
     """
-    refused = known.refused + 1
-    pause = 0.0
-    if refused >= FREE_ASKS:
-        doubled = SHORTEST_PAUSE_S * 2.0 ** (refused - FREE_ASKS)
-        pause = min(LONGEST_PAUSE_S, doubled)
-    # The count stays bounded with the pause.
-    refused = min(refused, FREE_ASKS + 8)
-    return _Asking("", known.priority, known.sent, refused, now + pause)
+    refused = state.refused + 1
+    backoff_s = 0.0
+    if refused >= REFUSALS_BEFORE_BACKOFF:
+        uncapped_s = MIN_BACKOFF_S * 2.0 ** (refused - REFUSALS_BEFORE_BACKOFF)
+        backoff_s = min(MAX_BACKOFF_S, uncapped_s)
+    # Bounds the count; the backoff is at its maximum by then.
+    refused = min(refused, REFUSALS_BEFORE_BACKOFF + 8)
+    return _RequestState(
+        "", state.priority, state.sent, refused, now + backoff_s
+    )
--- a/tests/cover/test_fleet_view.py
+++ b/tests/cover/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""The view of the minions that may get new work."""
+"""The fleet view: the minions that may get new work."""
 
 import gevent
 import hypothesis
@@ -38,16 +38,16 @@
 
 
 @hypothesis.given(_NOTICES, st.randoms(use_true_random=False))
-def test_drains_in_any_order_and_twice_give_the_same_view(notices, rng):
-    ordered, shuffled = _view(), _view()
+def test_drains_in_any_order_and_duplicated_give_the_same_view(notices, rng):
+    in_order, shuffled = _view(), _view()
     for notice in sorted(notices, key=lambda notice: notice.version):
-        ordered.take_drain(notice)
+        in_order.take_drain(notice)
     twice = notices * 2
     rng.shuffle(twice)
     for notice in twice:
         shuffled.take_drain(notice)
-    assert _names(shuffled) == _names(ordered)
-    assert set(shuffled.drains) == set(ordered.drains)
+    assert _names(shuffled) == _names(in_order)
+    assert set(shuffled.drains) == set(in_order.drains)
     assert shuffled.version == max((n.version for n in notices), default=0)
 
 
@@ -63,17 +63,17 @@
     assert view.minions("berthing", changed, 0)[0].slots == 3
 
 
-def test_a_minion_that_declines_is_passed_over_unless_all_do():
+def test_a_minion_that_declined_work_is_excluded_unless_all_did():
     view = _view()
-    view.hold("m0", 0)
+    view.back_off_from("m0", 0)
     assert _names(view) == ["m1", "m2"]
-    assert _names(view, fleet_view.HOLD_S) == ["m0", "m1", "m2"]
-    view.hold("m1", 0)
-    view.hold("m2", 0)
+    assert _names(view, fleet_view.DECLINE_BACKOFF_S) == ["m0", "m1", "m2"]
+    view.back_off_from("m1", 0)
+    view.back_off_from("m2", 0)
     assert _names(view) == ["m0", "m1", "m2"]
 
 
-def test_a_list_that_was_asked_for_earlier_does_not_come_back():
+def test_an_instance_list_that_was_requested_earlier_is_ignored():
     view = _view()
     view.take_list(paths.listings("m0"), 2)
     view.take_list(paths.listings("m0", "m1"), 1)
@@ -109,7 +109,7 @@
     return view, task
 
 
-def test_the_last_view_is_kept_through_an_outage_and_tells_its_age():
+def test_the_last_view_and_its_age_are_kept_during_an_outage():
     clock, fake = clocks.ManualClock(), FakePlatform()
     view, task = _task(clock, fake)
     fake.drain(3, "m1")
@@ -125,7 +125,7 @@
     assert _names(view) == ["m0", "m1"]
 
 
-def test_after_a_pause_one_try_to_refresh_is_made_even_in_an_outage():
+def test_after_a_pause_one_refresh_makes_the_view_current_even_in_an_outage():
     clock, fake = clocks.ManualClock(), FakePlatform()
     view, task = _task(clock, fake)
     assert task.poll()
@@ -147,7 +147,7 @@
     assert _names(view) == ["m0", "m1"]
 
 
-def test_a_read_that_was_under_way_in_a_pause_does_not_count():
+def test_a_refresh_that_was_under_way_during_a_pause_does_not_count():
     view = _view()
     view.tick(0)
     before = view.pauses
--- a/tests/cover/test_routing.py
+++ b/tests/cover/test_routing.py
@@ -1,4 +1,4 @@
-"""The choice of a minion."""
+"""Routing policies and the choice of a minion."""
 
 import dataclasses
 import random
@@ -16,7 +16,7 @@
 def _pick(policy, loads, minions, seed=1, excluded=()):
     rng = random.Random(seed)
     chosen = routing.policies.get(policy)
-    return routing.pick(chosen, minions, loads, excluded, "recife", rng)
+    return routing.pick_minion(chosen, minions, loads, excluded, "recife", rng)
 
 
 _ENTRIES = st.lists(
@@ -34,28 +34,28 @@
     excluded=st.sets(st.sampled_from(_NAMES)),
     seed=st.integers(0, 99),
 )
-def test_a_policy_sends_where_it_has_room_and_only_there(
+def test_a_policy_picks_only_minions_with_free_slots(
     policy, slots, own, peers, entries, loans, excluded, seed
 ):
-    """Own counts are exact, those of peers are old: see the decision 0006."""
+    """Own counts are exact; those of peers are old (see decision 0006)."""
     minions = [paths.make_minion(name, slots) for name in _NAMES]
     loads = routing.Loads(own, peers, entries, loans)
 
-    def rest(minion):
+    def free_slots(minion):
         used = own.get(minion.instance, 0)
         if policy == "two-choices":
             return minion.slots - used - peers.get(minion.instance, 0)
-        share = routing.share(minion.instance, minion.slots, entries)
+        share = routing.slot_share(minion.instance, minion.slots, entries)
         lent = loans.get(minion.instance, 0) if policy == "lent-share" else 0
         return share + lent - used
 
     allowed = [each for each in minions if each.instance not in excluded]
     picked = _pick(policy, loads, minions, seed, excluded)
     if picked is None:
-        assert all(rest(each) <= 0 for each in allowed)
+        assert all(free_slots(each) <= 0 for each in allowed)
     else:
         assert picked in allowed
-        assert rest(picked) > 0
+        assert free_slots(picked) > 0
 
 
 @hypothesis.given(_ENTRIES, st.integers(0, 20), st.sampled_from(_NAMES))
@@ -65,22 +65,22 @@
     shares = []
     for first in entries:
         others = tuple(each for each in entries if each != first)
-        shares.append(routing.share(name, slots, (first, *others)))
+        shares.append(routing.slot_share(name, slots, (first, *others)))
     assert sum(shares) == slots
     assert max(shares) - min(shares) <= 1
 
 
-def test_two_choices_count_the_load_of_peers_and_prefer_the_near_on_ties():
+def test_two_choices_counts_peer_loads_and_breaks_ties_by_data_centre():
     near = paths.make_minion("m0")
     far = dataclasses.replace(paths.make_minion("m1"), data_centre="suape")
     for seed in range(20):
-        even = routing.Loads({"m0": 2}, {"m1": 2})
-        assert _pick("two-choices", even, [far, near], seed) is near
-        busy = routing.Loads({"m0": 2}, {"m0": 1, "m1": 2})
-        assert _pick("two-choices", busy, [far, near], seed) is far
+        balanced = routing.Loads({"m0": 2}, {"m1": 2})
+        assert _pick("two-choices", balanced, [far, near], seed) is near
+        unbalanced = routing.Loads({"m0": 2}, {"m0": 1, "m1": 2})
+        assert _pick("two-choices", unbalanced, [far, near], seed) is far
 
 
-def test_a_fixed_share_is_kept_to_while_other_slots_are_free():
+def test_a_fixed_share_is_not_exceeded_while_other_slots_are_free():
     minion = paths.make_minion(slots=8)
     four = ("a", "b", "c", "d")
     assert _pick("fixed-share", routing.Loads({"m0": 1}, {}, four), [minion])
--- a/tests/failures/test_slot_loans.py
+++ b/tests/failures/test_slot_loans.py
@@ -12,77 +12,83 @@
 from vanillaswitch.state import config
 from vanillaswitch.state import config_view
 
-TERM_S = slot_loans.TERM_S
+LOAN_TERM_S = slot_loans.LOAN_TERM_S
 
 
 def _pair():
-    return slot_loans.LoanBook("a", "a"), slot_loans.LoanBook("b", "b")
+    return slot_loans.LoanTracker("a", "a"), slot_loans.LoanTracker("b", "b")
 
 
-def test_the_slot_of_a_borrower_that_died_comes_back():
-    """Quotes at one entry get slower and slower, one entry's death a time.
+def test_the_slot_lent_to_a_dead_borrower_is_recovered():
+    """Guards against an entry that loses slots whenever another entry dies.
 
-    An entry borrows a slot and is killed; nothing ever gives it back. Without
-    a term the lender would do without it for good.
+    An entry borrows a slot and is killed, so it never returns it. Without a
+    term the lender would lack the slot for good.
     """
     borrower, lender = _pair()
-    lender.lend(borrower.ask("berthing", 1, 0, 0.0), ("m0",), 0.0)
-    lender.expire(TERM_S - 0.1)
-    assert lender.net == {"m0": -1}
-    lender.expire(TERM_S)
-    assert not lender.net
+    lender.lend(borrower.new_request("berthing", 1, 0, 0.0), ("m0",), 0.0)
+    lender.expire(LOAN_TERM_S - 0.1)
+    assert lender.net_loans == {"m0": -1}
+    lender.expire(LOAN_TERM_S)
+    assert not lender.net_loans
 
 
-def test_a_grant_that_comes_late_is_over_when_the_lender_takes_it_back():
-    """A minion gets more requests than it has slots.
+def test_a_late_grant_expires_at_borrower_and_lender_at_the_same_time():
+    """Guards against a minion that gets more requests than it has slots.
 
-    A grant is stuck on a slow stream for most of its term. A borrower that
-    counted the term from its arrival would still use the slot after the
-    lender has taken it back.
+    A grant is delayed on a slow stream for most of its term. A borrower that
+    counted the term from the arrival would still use the slot after the loan
+    has expired at the lender.
     """
     borrower, lender = _pair()
-    grant = lender.lend(borrower.ask("berthing", 1, 0, 0.0), ("m0",), 0.0)
-    borrower.granted(grant, TERM_S - 0.5)
-    lender.expire(TERM_S)
-    borrower.expire(TERM_S)
-    assert not borrower.net
-    assert not lender.net
+    grant = lender.lend(
+        borrower.new_request("berthing", 1, 0, 0.0), ("m0",), 0.0
+    )
+    borrower.handle_grant(grant, LOAN_TERM_S - 0.5)
+    lender.expire(LOAN_TERM_S)
+    borrower.expire(LOAN_TERM_S)
+    assert not borrower.net_loans
+    assert not lender.net_loans
 
 
-def test_a_grant_that_comes_twice_counts_once():
-    """A minion gets more requests than it has slots.
+def test_a_duplicate_grant_counts_once():
+    """Guards against a minion that gets more requests than it has slots.
 
-    The slot was used and given back when a copy of its grant arrives.
+    The slot was used and returned before a copy of its grant arrives.
     """
     borrower, lender = _pair()
-    grant = lender.lend(borrower.ask("berthing", 1, 0, 0.0), ("m0",), 0.0)
-    borrower.granted(grant, 0.1)
-    (back,) = borrower.give_back("berthing", {"m0": 1}, None, 0.2).values()
-    lender.returned(back)
-    lender.returned(back)
-    borrower.granted(grant, 0.3)
-    assert not borrower.net
-    assert not lender.net
-
-
-def test_an_ask_that_comes_twice_is_granted_once():
-    """An entry with few requests runs out of slots.
-
-    Streams are slow and asks arrive twice; each copy would take a slot for a
-    whole term, since the second grant is not used.
+    grant = lender.lend(
+        borrower.new_request("berthing", 1, 0, 0.0), ("m0",), 0.0
+    )
+    borrower.handle_grant(grant, 0.1)
+    (slot_return,) = borrower.return_idle(
+        "berthing", {"m0": 1}, None, 0.2
+    ).values()
+    lender.handle_return(slot_return)
+    lender.handle_return(slot_return)
+    borrower.handle_grant(grant, 0.3)
+    assert not borrower.net_loans
+    assert not lender.net_loans
+
+
+def test_a_duplicate_loan_request_is_granted_once():
+    """Guards against an entry that runs out of slots with few requests.
+
+    Streams are slow and loan requests arrive twice. Each copy would take a
+    slot for a whole term, since the borrower ignores the second grant.
     """
     borrower, lender = _pair()
-    ask = borrower.ask("berthing", 1, 0, 0.0)
+    ask = borrower.new_request("berthing", 1, 0, 0.0)
     assert lender.lend(ask, ("m0", "m0"), 0.0).instances == ("m0",)
     assert lender.lend(ask, ("m0", "m0"), 0.1).instances == ()
-    assert lender.net == {"m0": -1}
+    assert lender.net_loans == {"m0": -1}
 
 
-def test_a_lender_under_overload_serves_its_own_requests_first():
-    """Quotes at one entry wait although its slots are free.
+def test_an_overloaded_lender_serves_its_own_requests_first():
+    """Guards against requests that wait although their entry has free slots.
 
-    Two entries are overloaded by reports. Each slot that gets free at one is
-    lent to the other, whose requests are no more urgent.
+    Two entries are overloaded by reports. Each slot that becomes free at one
+    would be lent to the other, whose requests are not more urgent.
     """
     rig = paths.Rig()
     view = config_view.ConfigView()
@@ -105,11 +111,11 @@
     arrival = lanes.Arrival(1, "report", report, 0.0, 1e6)
     queue.arrive(arrival, admission.Slots(8, 0), 0.0)
 
-    def granted(number: int, priority: int) -> tuple[str, ...]:
+    def granted_instances(number: int, priority: int) -> tuple[str, ...]:
         ask = peers.SlotAsk("b", f"b-{number}", "berthing", 1, priority)
         _, (envelope,) = lender.take(ask, 0.0)
         assert isinstance(envelope.message, peers.SlotGrant)
         return envelope.message.instances
 
-    assert not granted(1, report.priority)
-    assert granted(2, report.priority - 1)
+    assert not granted_instances(1, report.priority)
+    assert granted_instances(2, report.priority - 1)
