--- a/src/vanillaswitch/coordination/peering/peer_membership.py
+++ b/src/vanillaswitch/coordination/peering/peer_membership.py
@@ -20,7 +20,7 @@
 GONE_INTERVALS = 6.0
 LOAD_VALID_INTERVALS = 3.0
 FORGET_AFTER_S = 60.0
-PAUSE_S = 1.5
+PAUSE_THRESHOLD_S = 1.5
 MAX_MEMBERS = 256
 MAX_LEARNED_ADDRESSES = 256
 MAX_PREVIOUS_BOOTS = 4
@@ -189,7 +189,9 @@
     between two ticks moves ``silent_since`` of every member forward.
     """
     since_last_tick_s = now - state.last_tick_at
-    pause_s = since_last_tick_s if since_last_tick_s > PAUSE_S else 0.0
+    pause_s = (
+        since_last_tick_s if since_last_tick_s > PAUSE_THRESHOLD_S else 0.0
+    )
     members = {}
     for process, member in state.members.items():
         silent_since = min(now, member.silent_since + pause_s)
