--- a/src/vanillaswitch/coordination/entry/fleet_view.py
+++ b/src/vanillaswitch/coordination/entry/fleet_view.py
@@ -25,7 +25,7 @@
     """The fleet view in memory; its methods never switch to another task."""
 
     def __init__(self) -> None:
-        self._instances: tuple[platform.Listing, ...] | None = None
+        self._listed: tuple[platform.Listing, ...] | None = None
         self._listed_at = -math.inf
         self._drains: dict[str, peers.DrainNotice] = {}
         self._backoff_until: dict[str, float] = {}
@@ -39,7 +39,7 @@
     @property
     def loaded(self) -> bool:
         """Whether the instance list was read at least once."""
-        return self._instances is not None
+        return self._listed is not None
 
     @property
     def current(self) -> bool:
@@ -116,7 +116,7 @@
         if requested_at < self._listed_at:
             return
         self._listed_at = requested_at
-        self._instances = listed
+        self._listed = listed
         self._cache.clear()
 
     def take_drain(self, notice: peers.DrainNotice) -> bool:
@@ -182,7 +182,7 @@
         drained = self._drained_instances()
         return tuple(
             _minion(listing, limits)
-            for listing in self._instances or ()
+            for listing in self._listed or ()
             if listing.kind is platform.InstanceKind.MINION
             and listing.service == service
             and listing.state is platform.ListedState.LIVE
