--- a/src/vanillaswitch/coordination/configuration/config_task.py
+++ b/src/vanillaswitch/coordination/configuration/config_task.py
@@ -176,4 +176,4 @@
         if is_available != self._is_table_available:
             self._is_table_available = is_available
             state = "available again" if is_available else "unavailable"
-            logs.warning("table {}, polled for configurations", state)
+            logs.warning("configuration table {}", state)
