--- a/soak/clients.py
+++ b/soak/clients.py
@@ -138,7 +138,7 @@
 def parse(body: object, job_id: str) -> jobs.Job:
     """Returns the job that a body hands in."""
     data = json.dumps(body).encode()
-    return job_body.parse(data, job_id, "quotes", "pool", 0)
+    return job_body.parse_job(data, job_id, "quotes", "pool", 0)
 
 
 def cancel(
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -91,7 +91,7 @@
         """Takes note of a broken promise."""
         self._broken.append(f"{self._clock.now:.2f} s {promise}: {text}")
 
-    def need(self, order: fleet.Start) -> fleet.Resources:
+    def need(self, order: fleet.StartRequest) -> fleet.Resources:
         """Returns the room that a task takes."""
         record = self.records.get(order.task.job_id)
         if record is None:
@@ -99,7 +99,7 @@
         step = record.job.steps[order.task.step]
         return fleet.Resources(step.cpu, step.mem_mb)
 
-    def crashes(self, order: fleet.Start) -> bool:
+    def crashes(self, order: fleet.StartRequest) -> bool:
         """Whether a task crashes its instance; counts those that do."""
         record = self.records.get(order.task.job_id)
         if record is None or not record.crashes:
@@ -144,7 +144,7 @@
                 else:
                     self._idle_since.setdefault(task, self.now)
 
-    def lasts(self, order: fleet.Start) -> bool:
+    def lasts(self, order: fleet.StartRequest) -> bool:
         """Whether a task runs until it is stopped."""
         record = self.records.get(order.task.job_id)
         return record is not None and _lasts(record.job)
@@ -162,7 +162,7 @@
             for index in range(step.count)
             if index != task.index
         ]
-        away = [name.label for name in others if self._is_away(name)]
+        away = [name.path_in_job for name in others if self._is_away(name)]
         if len(away) >= step.may_miss:
             self.breach("spared", f"{task} on {instance} ends beside {away}")
         self._by_order.add(task)
@@ -171,7 +171,7 @@
         since = self._idle_since.get(task, self.now)
         return task in self._by_order or self.now - since >= NOTICE_S
 
-    def started(self, instance: str, order: fleet.Start) -> None:
+    def started(self, instance: str, order: fleet.StartRequest) -> None:
         """Judges a start by all that was seen before it."""
         record = self.records.get(order.task.job_id)
         task = order.task
@@ -226,14 +226,14 @@
     def _is_done(self, task: jobs.TaskName) -> bool:
         """Whether an end as done was taken note of."""
         return any(
-            end.task == task and end.how is fleet.How.DONE
+            end.task == task and end.outcome is fleet.RunOutcome.DONE
             for model in self._instances.values()
             for end in model.noted
         )
 
     def _has_ended_done(self, task: jobs.TaskName) -> bool:
         return any(
-            end.task == task and end.how is fleet.How.DONE
+            end.task == task and end.outcome is fleet.RunOutcome.DONE
             for model in self._instances.values()
             for end in model.listed
         )
--- a/soak/run.py
+++ b/soak/run.py
@@ -154,4 +154,4 @@
 
 
 def _ended(record: promise_lib.JobRecord) -> bool:
-    return bool(record.shown) and jobs.JobState(record.shown).ended
+    return bool(record.shown) and jobs.JobState(record.shown).is_final
--- a/src/vanillaswitch/cli/deployment.py
+++ b/src/vanillaswitch/cli/deployment.py
@@ -14,7 +14,7 @@
 from vanillaswitch import errors
 from vanillaswitch.cli import console
 from vanillaswitch.cli import exits
-from vanillaswitch.coordination.fleet import standing
+from vanillaswitch.coordination.fleet import status_summaries
 from vanillaswitch.internal import registry
 from vanillaswitch.platform import settings as platform_settings
 from vanillaswitch.protocol import fleet
@@ -120,11 +120,11 @@
 
 
 def _lines(found: Found) -> Iterable[str]:
-    if isinstance(found, standing.JobStanding):
+    if isinstance(found, status_summaries.JobSummary):
         return _job_lines(found)
-    if isinstance(found, standing.InstanceStanding):
+    if isinstance(found, status_summaries.InstanceSummary):
         return _instance_lines(found)
-    if isinstance(found, standing.WaveStanding):
+    if isinstance(found, status_summaries.WaveSummary):
         return [_wave_line(found)]
     if isinstance(found, fleet.Machine):
         return [_machine_line(found)]
@@ -132,7 +132,7 @@
     return [f"its row can't be used: {found.reason}"]
 
 
-def _job_lines(job: standing.JobStanding) -> Iterator[str]:
+def _job_lines(job: status_summaries.JobSummary) -> Iterator[str]:
     cancelled = ", cancelled by its client" if job.cancelled else ""
     yield f"job {job.job} of {job.queue}: {job.state}{cancelled}"
     for crash in job.given_up:
@@ -143,7 +143,7 @@
         yield f"  {_task_text(task)}"
 
 
-def _task_text(task: standing.TaskStanding) -> str:
+def _task_text(task: status_summaries.TaskSummary) -> str:
     where = f" on {task.instance}" if task.instance else ""
     parts = [f"task {task.task}: {task.state}, run {task.run}{where}"]
     if task.failed:
@@ -154,7 +154,9 @@
     return "; ".join(parts)
 
 
-def _instance_lines(instance: standing.InstanceStanding) -> Iterator[str]:
+def _instance_lines(
+    instance: status_summaries.InstanceSummary,
+) -> Iterator[str]:
     room = instance.capacity
     yield f"instance {instance.instance}: {instance.state}"
     if instance.service:
@@ -166,7 +168,7 @@
         yield f"  job {run}"
 
 
-def _wave_line(wave: standing.WaveStanding) -> str:
+def _wave_line(wave: status_summaries.WaveSummary) -> str:
     left = f": {', '.join(wave.left)}" if wave.left else ""
     return (
         f"{wave.wave}: {wave.state or 'not begun'}, "
@@ -181,7 +183,7 @@
     )
 
 
-def _fleet_lines(found: standing.FleetStanding) -> Iterator[str]:
+def _fleet_lines(found: status_summaries.FleetSummary) -> Iterator[str]:
     owner = f"{found.owner} at {found.owner_address}" if found.owner else "none"
     yield f"owner: {owner}"
     counted = {
--- a/src/vanillaswitch/coordination/fleet/instances/crashes.py
+++ b/src/vanillaswitch/coordination/fleet/instances/crashes.py
@@ -12,12 +12,12 @@
 import dataclasses
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet.instances import endings
+from vanillaswitch.coordination.fleet.instances import completions
 from vanillaswitch.coordination.fleet.instances import term_state
-from vanillaswitch.coordination.fleet.queue import book as books
 from vanillaswitch.coordination.fleet.queue import crash_evidence
+from vanillaswitch.coordination.fleet.queue import instance_state
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.coordination.fleet.queue import queue_order
-from vanillaswitch.coordination.fleet.queue import rooms
 from vanillaswitch.protocol import jobs
 from vanillaswitch.state import deployment as deployments
 
@@ -57,13 +57,13 @@
 
     at: float
     rack: str
-    task: books.Task
+    task: job_tracker.Task
     crash: crash_evidence.Crash
     alone: bool
     long_running: bool
 
 
-class CrashTracking(endings.RunCompletion):
+class CrashTracking(completions.RunCompletion):
     """Handles the loss of instances and of their runs."""
 
     def __init__(
@@ -76,9 +76,9 @@
         super().__init__(order, emit, bounds)
         self._recent_losses: list[_InstanceLoss] = []
         self._pending_crashes: list[_PendingCrash] = []
-        self._doubted_images: dict[str, float] = {}
+        self._suspect_images_until: dict[str, float] = {}
 
-    def gone(self, name: str, now: float, why: str) -> None:
+    def remove_instance(self, name: str, now: float, why: str) -> None:
         """Removes an instance that is certainly gone, with all its runs."""
         instance = self.instances.pop(name, None)
         if instance is None:
@@ -87,13 +87,13 @@
         runs = list(instance.runs.values())
         self._count_loss(instance, runs, why, now)
         for run in runs:
-            self._release(instance, run)
-        self._changed = True
+            self._release_run(instance, run)
+        self._needs_plan = True
 
     def _count_loss(
         self,
-        instance: rooms.Instance,
-        runs: Sequence[rooms.Run],
+        instance: instance_state.Instance,
+        runs: Sequence[instance_state.Run],
         why: str,
         now: float,
         *,
@@ -109,11 +109,11 @@
             crash_confirmed: whether the instance crashed; otherwise it may only
                 be cut off.
         """
-        if instance.leaving or instance.registration.draining:
+        if instance.is_terminating or instance.registration.is_draining:
             return
         begun = [run for run in runs if _may_have_begun(run)]
-        unproven = [run for run in begun if not run.proven]
-        has_suspect = any(run.apart for run in unproven)
+        unproven = [run for run in begun if not run.is_proven]
+        has_suspect = any(run.is_isolated for run in unproven)
         if crash_confirmed:
             rack = instance.registration.rack
             self._record_loss(
@@ -126,11 +126,11 @@
                 run.run,
                 instance.name,
                 _evidence_kind(run, crash_confirmed),
-                run.worked_s,
+                run.run_time_s,
             )
             alone = unproven == [run]
             self._record_crash(instance, run, crash, alone, now)
-            if not run.proven:
+            if not run.is_proven:
                 self._emit_crash(instance, run, crash, why, unproven, now)
 
     def _record_loss(self, loss: _InstanceLoss) -> None:
@@ -144,30 +144,34 @@
 
     def _record_crash(
         self,
-        instance: rooms.Instance,
-        run: rooms.Run,
+        instance: instance_state.Instance,
+        run: instance_state.Run,
         crash: crash_evidence.Crash,
         alone: bool,
         now: float,
     ) -> None:
         """Records a crash; its kind is final only ``SHARED_CAUSE_S`` later."""
-        entry = self.book.get(run.task.job_id)
+        entry = self.tracker.get(run.task.job_id)
         task = entry.task(run.task) if entry else None
-        if entry is None or task is None or not task.add_crash(crash):
+        if entry is None or task is None or not task.record_crash(crash):
             return
-        entry.open[run.task.occurrence, run.task.step].crashed = True
-        self.book.touch(entry)
+        entry.open_by_key[run.task.occurrence, run.task.step].has_crashed = True
+        self.tracker.mark_dirty(entry)
         long_running = run.step.long_running
         rack = instance.registration.rack
         self._pending_crashes.append(
             _PendingCrash(now, rack, task, crash, alone, long_running)
         )
-        strongest = dataclasses.replace(crash, kind=crash_evidence.Kind.ALONE)
+        strongest = dataclasses.replace(
+            crash, kind=crash_evidence.CrashKind.SOLE_NEW_RUN
+        )
         crashes = [*task.crashes[:-1], strongest]
-        if crash_evidence.convicts(crashes, lasting=long_running):
-            task.judged_at = now + SHARED_CAUSE_S
+        if crash_evidence.exceeds_crash_limit(
+            crashes, long_running=long_running
+        ):
+            task.not_before = now + SHARED_CAUSE_S
 
-    def settle_crashes(self, now: float) -> None:
+    def evaluate_pending_crashes(self, now: float) -> None:
         """Evaluates crashes for which all losses at the same time are known.
 
         The delay is needed because the loss of a rack looks like a crashing
@@ -186,35 +190,39 @@
             item for item in self._pending_crashes if item not in due
         ]
         for item in due:
-            entry = self.book.get(item.task.name.job_id)
+            entry = self.tracker.get(item.task.name.job_id)
             if entry is None or entry.ended is not None:
                 continue
             self._adjust_evidence(item)
-            self.book.touch(entry)
+            self.tracker.mark_dirty(entry)
             if all(
                 item.task is not other.task for other in self._pending_crashes
             ):
                 self._fail_if_crashing(entry, item.task, now)
 
     def _evaluate_recovered_crashes(
-        self, entry: books.Entry, now: float
+        self, entry: job_tracker.JobEntry, now: float
     ) -> None:
         """Evaluates the crashes that a previous owner recorded for a job.
 
         That owner's term may have ended before it evaluated the last of them.
         """
-        crashed = [step for step in entry.open.values() if step.crashed]
+        crashed = [
+            step for step in entry.open_by_key.values() if step.has_crashed
+        ]
         for step in crashed:
             for task in step.tasks:
                 if entry.ended is None:
                     self._fail_if_crashing(entry, task, now)
 
     def _fail_if_crashing(
-        self, entry: books.Entry, task: books.Task, now: float
+        self, entry: job_tracker.JobEntry, task: job_tracker.Task, now: float
     ) -> None:
         """Fails a job if the evidence shows that a task crashes instances."""
         long_running = entry.job.steps[task.name.step].long_running
-        if crash_evidence.convicts(task.crashes, lasting=long_running):
+        if crash_evidence.exceeds_crash_limit(
+            task.crashes, long_running=long_running
+        ):
             self._fail_crashing_job(entry, task, now)
 
     def _adjust_evidence(self, item: _PendingCrash) -> None:
@@ -223,14 +231,16 @@
         if crash not in task.crashes:
             return
         shared = self._has_shared_cause(item)
-        worked = crash.kind is crash_evidence.Kind.WORKED
+        worked = crash.kind is crash_evidence.CrashKind.PROVEN_RUN
         if shared and worked and item.long_running:
-            task.withdraw_crash(crash.run)
+            task.remove_crash(crash.run)
         elif (
-            item.alone and not shared and crash.kind is crash_evidence.Kind.NEW
+            item.alone
+            and not shared
+            and crash.kind is crash_evidence.CrashKind.NEW_RUN
         ):
             strongest = dataclasses.replace(
-                crash, kind=crash_evidence.Kind.ALONE
+                crash, kind=crash_evidence.CrashKind.SOLE_NEW_RUN
             )
             task.crashes[task.crashes.index(crash)] = strongest
 
@@ -249,76 +259,78 @@
         )
 
     def _fail_crashing_job(
-        self, entry: books.Entry, task: books.Task, now: float
+        self, entry: job_tracker.JobEntry, task: job_tracker.Task, now: float
     ) -> None:
         """Fails a job whose task crashes instances; suspects its image."""
         self._emit(
             events.JobGivenUp(
                 entry.job.job_id,
                 entry.job.queue,
-                task.name.label,
+                task.name.path_in_job,
                 tuple(crash.text for crash in task.crashes),
             )
         )
         image = entry.job.steps[task.name.step].image
         if image:
-            self._doubted_images[image] = now + IMAGE_SUSPICION_S
-        entry.given_up = tuple(task.crashes)
-        cause = f"task {task.name.label} crashed {len(task.crashes)} instances"
-        self._end_job(entry, jobs.JobState.FAILED, cause, now)
+            self._suspect_images_until[image] = now + IMAGE_SUSPICION_S
+        entry.fatal_crashes = tuple(task.crashes)
+        cause = f"task {task.name.path_in_job} crashed {len(task.crashes)} instances"
+        self._finish_job(entry, jobs.JobState.FAILED, cause, now)
 
     def _clear_if_proven(
-        self, instance: rooms.Instance, run: rooms.Run
+        self, instance: instance_state.Instance, run: instance_state.Run
     ) -> None:
         """Clears the task of a run that has worked for long enough.
 
         The other tasks of its step may then start as well.
         """
-        if not run.proven:
+        if not run.is_proven:
             return
-        if run.apart:
-            instance.clear_apart(run)
-            self._changed = True
-        entry = self.book.get(run.task.job_id)
+        if run.is_isolated:
+            instance.end_isolation(run)
+            self._needs_plan = True
+        entry = self.tracker.get(run.task.job_id)
         task = entry.task(run.task) if entry else None
         if entry is None or task is None or task.run != run.run:
             return
-        entry.open[run.task.occurrence, run.task.step].works = True
-        task.suspect = False
-        remaining = crash_evidence.left_after(
-            task.crashes, run.worked_s, lasting=run.step.long_running
+        entry.open_by_key[
+            run.task.occurrence, run.task.step
+        ].has_proven_task = True
+        task.is_suspect = False
+        remaining = crash_evidence.remaining_crashes(
+            task.crashes, run.run_time_s, long_running=run.step.long_running
         )
         if len(remaining) < len(task.crashes):
             task.crashes = remaining
-            self.book.touch(entry)
-        run.cleared = not remaining
+            self.tracker.mark_dirty(entry)
+        run.is_cleared = not remaining
 
     def _emit_crash(
         self,
-        instance: rooms.Instance,
-        run: rooms.Run,
+        instance: instance_state.Instance,
+        run: instance_state.Run,
         crash: crash_evidence.Crash,
         why: str,
-        unproven: Sequence[rooms.Run],
+        unproven: Sequence[instance_state.Run],
         now: float,
     ) -> None:
-        entry = self.book.get(run.task.job_id)
+        entry = self.tracker.get(run.task.job_id)
         if entry is None:
             return
         task = entry.task(run.task)
         begun_ms = -1
-        if run.begun_at is not None:
-            begun_ms = round((now - run.begun_at) * 1000)
+        if run.started_at is not None:
+            begun_ms = round((now - run.started_at) * 1000)
         self._emit(
             events.RunCrashed(
                 run.task.job_id,
                 entry.job.queue,
-                run.task.label,
+                run.task.path_in_job,
                 run.run,
                 instance.name,
                 crash.kind.value,
-                run.apart,
-                len(task.crashes) if task else len(entry.given_up),
+                run.is_isolated,
+                len(task.crashes) if task else len(entry.fatal_crashes),
                 why,
                 round((now - run.decided_at) * 1000),
                 begun_ms,
@@ -328,31 +340,31 @@
         )
 
 
-def _may_have_begun(run: rooms.Run) -> bool:
-    if run.begun_at is not None or run.unanswered:
+def _may_have_begun(run: instance_state.Run) -> bool:
+    if run.started_at is not None or run.has_unanswered_start:
         return True
-    return run.sent and not run.unsent
+    return run.sent and not run.is_start_unsent
 
 
-def _is_unlikely_cause(run: rooms.Run, has_suspect: bool) -> bool:
+def _is_unlikely_cause(run: instance_state.Run, has_suspect: bool) -> bool:
     """Whether a run had worked for too long to have caused the crash.
 
     Applies to long-running tasks, because they run for minutes and sooner or
     later their instance crashes for another reason. Applies to other tasks only
     if a suspected task ran on the same instance.
     """
-    worked_long = run.worked_s >= crash_evidence.MOST_PROOF_S
+    worked_long = run.run_time_s >= crash_evidence.MAX_PROOF_S
     return worked_long and (has_suspect or run.step.long_running)
 
 
 def _evidence_kind(
-    run: rooms.Run, crash_confirmed: bool
-) -> crash_evidence.Kind:
+    run: instance_state.Run, crash_confirmed: bool
+) -> crash_evidence.CrashKind:
     """Returns the kind of evidence that a loss gives against a run."""
-    if not crash_confirmed or run.begun_at is None:
-        return crash_evidence.Kind.UNSURE
-    if run.worked_s >= crash_evidence.PROVEN_S:
-        return crash_evidence.Kind.WORKED
-    if run.begun_before:
-        return crash_evidence.Kind.UNSURE
-    return crash_evidence.Kind.NEW
+    if not crash_confirmed or run.started_at is None:
+        return crash_evidence.CrashKind.UNCERTAIN
+    if run.run_time_s >= crash_evidence.MIN_PROOF_S:
+        return crash_evidence.CrashKind.PROVEN_RUN
+    if run.started_before_term:
+        return crash_evidence.CrashKind.UNCERTAIN
+    return crash_evidence.CrashKind.NEW_RUN
--- a/src/vanillaswitch/coordination/fleet/instances/sparing.py
+++ b/src/vanillaswitch/coordination/fleet/instances/disruption_budget.py
@@ -10,11 +10,11 @@
 import dataclasses
 
 from vanillaswitch.coordination.fleet.instances import term_state
-from vanillaswitch.coordination.fleet.queue import book as books
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.queue import instance_state
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.protocol import jobs
 
-AT_WORK = 100.0
+SERVING_PERCENT = 100.0
 """Progress that a long-running task reports while it serves."""
 
 MAX_REPORT_AGE_S = 2.0
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Beside:
+class SiblingStatus:
     """Assumed availability of the other tasks of a step.
 
     Attributes:
@@ -39,31 +39,35 @@
             as serving.
     """
 
-    away: int = 0
-    spared: int = 0
-    unheard_s: float = 0.0
+    unavailable: int = 0
+    max_unavailable: int = 0
+    oldest_report_s: float = 0.0
 
 
-def beside(state: term_state.State, name: jobs.TaskName, now: float) -> Beside:
+def sibling_status(
+    state: term_state.TermState, name: jobs.TaskName, now: float
+) -> SiblingStatus:
     """Returns the assumed availability of the tasks beside a given one."""
-    entry = state.book.get(name.job_id)
-    step = entry.open.get((name.occurrence, name.step)) if entry else None
+    entry = state.tracker.get(name.job_id)
+    step = (
+        entry.open_by_key.get((name.occurrence, name.step)) if entry else None
+    )
     if step is None or not step.step.may_miss:
-        return Beside()
+        return SiblingStatus()
     unavailable = unavailable_indices(state, step, now) - {name.index}
     listed_times = [
-        run.listed_at
+        run.reported_at
         for task in step.tasks
         if task.name != name
         and task.name.index not in unavailable
         and (run := _current_run(state, task)) is not None
     ]
     oldest_s = now - min(listed_times, default=now)
-    return Beside(len(unavailable), step.step.may_miss, oldest_s)
+    return SiblingStatus(len(unavailable), step.step.may_miss, oldest_s)
 
 
 def unavailable_indices(
-    state: term_state.State, step: books.OpenStep, now: float
+    state: term_state.TermState, step: job_tracker.OpenStep, now: float
 ) -> set[int]:
     """Returns the indices of a step's tasks that may not be serving."""
     unavailable = set()
@@ -74,7 +78,9 @@
     return unavailable
 
 
-def _is_stale(state: term_state.State, run: rooms.Run, now: float) -> bool:
+def _is_stale(
+    state: term_state.TermState, run: instance_state.Run, now: float
+) -> bool:
     """Whether the last report of a run is too old to count it as serving.
 
     A run blocks its task from starting elsewhere until its lease has expired,
@@ -82,12 +88,12 @@
     serving all that time, the whole budget could be spent on other tasks of
     the step, and more tasks would be unavailable than the budget allows.
     """
-    return now - run.listed_at > min(
+    return now - run.reported_at > min(
         MAX_REPORT_AGE_S, state.notice_s - ORDER_TIMEOUT_S
     )
 
 
-def _is_serving(run: rooms.Run) -> bool:
+def _is_serving(run: instance_state.Run) -> bool:
     """Whether a run serves and is not about to be stopped.
 
     Guards against a change of owner during a drain. Runs that the previous
@@ -97,28 +103,34 @@
     earlier owner counts as unavailable until a report shows it after any such
     stop must have taken effect.
     """
-    return run.percent >= AT_WORK and run.stopping is None and not run.in_doubt
+    return (
+        run.percent >= SERVING_PERCENT
+        and run.stop_requested_at is None
+        and not run.may_be_stopping
+    )
 
 
-def _current_run(state: term_state.State, task: books.Task) -> rooms.Run | None:
+def _current_run(
+    state: term_state.TermState, task: job_tracker.Task
+) -> instance_state.Run | None:
     """Returns a task's run, or None if it has none that goes on."""
     instance = state.instances.get(task.instance)
-    if instance is None or task.state is not books.TaskState.ASSIGNED:
+    if instance is None or task.state is not job_tracker.TaskState.ASSIGNED:
         return None
     # The run will end with its machine, although the instance has not reported
     # that yet: orders for several machines follow within milliseconds.
-    if instance.leaving:
+    if instance.is_terminating:
         return None
     return instance.runs.get((task.name, task.run))
 
 
-def may_end(
-    state: term_state.State, runs: Iterable[rooms.Run], now: float
+def allows_disruption(
+    state: term_state.TermState, runs: Iterable[instance_state.Run], now: float
 ) -> bool:
     """Whether ending these runs together stays within all budgets."""
     ending: dict[tuple[str, int, int], set[int]] = {}
     for run in runs:
-        if run.unread:
+        if run.has_unknown_demand:
             # The job can't be read yet, so its budget is unknown.
             return False
         if run.step.may_miss:
@@ -126,8 +138,8 @@
             key = (name.job_id, name.occurrence, name.step)
             ending.setdefault(key, set()).add(name.index)
     for (job_id, occurrence, number), indices in ending.items():
-        entry = state.book.get(job_id)
-        step = entry.open.get((occurrence, number)) if entry else None
+        entry = state.tracker.get(job_id)
+        step = entry.open_by_key.get((occurrence, number)) if entry else None
         if step is None:
             continue
         # Each run to end uses up the budget even if it does not count as
--- a/src/vanillaswitch/coordination/fleet/instances/lives.py
+++ b/src/vanillaswitch/coordination/fleet/instances/incarnations.py
@@ -17,7 +17,7 @@
     FORMER = "former"
 
 
-class Lives:
+class IncarnationHistory:
     """The known incarnations of one instance, identified by start time."""
 
     def __init__(self, born_ms: int | None, now: float):
@@ -32,7 +32,7 @@
         self._former: set[int] = set()
 
     @property
-    def current(self) -> int | None:
+    def current_ms(self) -> int | None:
         """Start time of the current incarnation; None if not known."""
         return self._current
 
--- a/src/vanillaswitch/coordination/fleet/instances/instance_task.py
+++ b/src/vanillaswitch/coordination/fleet/instances/instance_client.py
@@ -9,14 +9,14 @@
 import gevent.event
 import gevent.lock
 
-from vanillaswitch.coordination.fleet.instances import core as cores
+from vanillaswitch.coordination.fleet.instances import disruption_budget
 from vanillaswitch.coordination.fleet.instances import lease_times
-from vanillaswitch.coordination.fleet.instances import sparing
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
 from vanillaswitch.coordination.fleet.instances import term_state
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.coordination.fleet.queue import crash_evidence
-from vanillaswitch.coordination.fleet.queue import rooms
-from vanillaswitch.coordination.fleet.queue import sharing
+from vanillaswitch.coordination.fleet.queue import instance_state
+from vanillaswitch.coordination.fleet.queue import pacing
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import logs
 from vanillaswitch.protocol import fleet
@@ -31,7 +31,7 @@
 """Time beyond its wait that a renewal may take. After that the connection
 counts as broken, and the next call uses a new one."""
 
-AGAIN_S = 0.5
+RETRY_TIMEOUT_S = 0.5
 """Timeout of the renewal after an unanswered one. It does not wait for a task
 to end, so a healthy instance answers in milliseconds. An instance that is gone
 is found silent 1.0 s earlier than with two full-length calls."""
@@ -44,10 +44,10 @@
 RECORD_WAIT_S = 0.3
 """Longest wait for reported ends to be written before the next renewal."""
 
-SEND_TIMEOUT_S = sparing.ORDER_TIMEOUT_S
+SEND_TIMEOUT_S = disruption_budget.ORDER_TIMEOUT_S
 """Limit for sending one start or stop order."""
 
-RETRY_S = 0.15
+RETRY_PAUSE_S = 0.15
 """Pause before a failed call is repeated."""
 
 SILENT_AFTER_CALLS = 2
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Means:
+class CallContext:
     """Objects that the calls to instances share during one term.
 
     Attributes:
@@ -75,19 +75,19 @@
         wake: set to make the owner plan again.
     """
 
-    core: cores.Core
+    scheduler: schedulers.Scheduler
     upstreams: fleet.Upstreams
-    recorder: recorders.Recorder
+    writer: fenced_writer.FencedWriter
     clock: clocks.Clock
-    wake: gevent.event.Event
+    wake_planner: gevent.event.Event
 
 
-class InstanceTask:
+class InstanceClient:
     """Makes all calls to one instance during one term of ownership."""
 
-    def __init__(self, means: Means, name: str):
+    def __init__(self, means: CallContext, name: str):
         self._means = means
-        self._core = means.core
+        self._scheduler = means.scheduler
         self._clock = means.clock
         self._name = name
         self._recorded_life = 0
@@ -95,7 +95,7 @@
         self._recorded_event = gevent.event.Event()
         self._start_slots = gevent.lock.BoundedSemaphore(MAX_CONCURRENT_STARTS)
 
-    def recorded(self, number: int, life: int) -> None:
+    def mark_recorded(self, number: int, life: int) -> None:
         """Records that task ends up to a number were written.
 
         Args:
@@ -108,49 +108,57 @@
             self._recorded_end = number
             self._recorded_event.set()
 
-    def acknowledged(self, instance: rooms.Instance) -> int:
+    def acknowledged_end(self, instance: instance_state.Instance) -> int:
         """Returns the number of the last end that the instance may forget.
 
         Each incarnation of an instance numbers its ends from 1. With a number
         of the previous incarnation, the instance would forget ends that were
         never written, and their tasks would run again.
         """
-        return self._recorded_end if instance.life == self._recorded_life else 0
+        return (
+            self._recorded_end
+            if instance.incarnation == self._recorded_life
+            else 0
+        )
 
-    def run(self) -> None:
+    def run_until_gone(self) -> None:
         """Renews the instance's lease until it is gone or the term ends."""
         failures = 0
-        while not self._means.recorder.deposed:
-            instance = self._core.instances.get(self._name)
+        while not self._means.writer.is_term_over:
+            instance = self._scheduler.instances.get(self._name)
             if instance is None:
                 return
-            if not self._core.holds(self._name):
+            if not self._scheduler.should_poll(self._name):
                 # Either only an earlier owner's rows name the instance, for
                 # example after an outage in which its registration expired; it
                 # may register again. Or its service is not configured (yet).
-                self._clock.sleep(RETRY_S)
+                self._clock.sleep(RETRY_PAUSE_S)
                 continue
             self._await_recorded_ends(instance)
-            answered = self._hold(instance, failures > 0)
+            answered = self._renew_lease(instance, failures > 0)
             failures = 0 if answered else failures + 1
             if answered:
                 self._clock.sleep(BATCH_PAUSE_S)
                 continue
             if failures >= SILENT_AFTER_CALLS:
-                self._core.silent(self._name, self._clock.monotonic())
-            self._clock.sleep(RETRY_S)
+                self._scheduler.mark_unresponsive(
+                    self._name, self._clock.monotonic()
+                )
+            self._clock.sleep(RETRY_PAUSE_S)
 
-    def _await_recorded_ends(self, instance: rooms.Instance) -> None:
+    def _await_recorded_ends(self, instance: instance_state.Instance) -> None:
         """Waits until reported ends are written, up to RECORD_WAIT_S.
 
         An instance with an unacknowledged end answers a renewal at once, so
         an earlier call would only report the same end again.
         """
         self._recorded_event.clear()
-        if instance.last_end > self.acknowledged(instance):
+        if instance.last_end_number > self.acknowledged_end(instance):
             self._recorded_event.wait(RECORD_WAIT_S)
 
-    def _hold(self, instance: rooms.Instance, again: bool) -> bool:
+    def _renew_lease(
+        self, instance: instance_state.Instance, again: bool
+    ) -> bool:
         """Renews the instance's lease and handles its status report.
 
         The call is a long poll: the instance delays its answer until a task
@@ -165,27 +173,27 @@
         """
         began = self._clock.monotonic()
         wait_s = 0.0
-        if instance.adopted and not instance.silent and not again:
+        if instance.is_adopted and not instance.is_unresponsive and not again:
             wait_s = BUSY_POLL_S if instance.runs else IDLE_POLL_S
-            if instance.apart:
+            if instance.has_isolated_run:
                 # Other starts on this instance wait until a report shows that
                 # the isolated task does not crash it.
-                wait_s = crash_evidence.PROVEN_S
-            if instance.last_end > self.acknowledged(instance):
+                wait_s = crash_evidence.MIN_PROOF_S
+            if instance.last_end_number > self.acknowledged_end(instance):
                 wait_s = 0.0
         deadline_ms = self._deadline_ms(instance, began)
         # After an unanswered call, the instance may have crashed. The next
         # answer may come from an incarnation that has not reported any end.
-        seen = 0 if again else self.acknowledged(instance)
+        seen = 0 if again else self.acknowledged_end(instance)
 
-        def renew() -> fleet.HoldOutcome:
-            return self._means.upstreams.hold(
+        def renew() -> fleet.RenewalOutcome:
+            return self._means.upstreams.renew_lease(
                 instance.registration,
-                self._means.recorder.token,
+                self._means.writer.token,
                 seen,
                 deadline_ms,
                 wait_s,
-                AGAIN_S if again else wait_s + ANSWER_MARGIN_S,
+                RETRY_TIMEOUT_S if again else wait_s + ANSWER_MARGIN_S,
                 again,
             )
 
@@ -194,15 +202,19 @@
         else:
             outcome = self._call_with_grant(instance, began, renew)
         now = self._clock.monotonic()
-        if isinstance(outcome, fleet.Held):
-            self._core.held(self._name, outcome, began, now)
-            self._means.wake.set()
+        if isinstance(outcome, fleet.StatusReport):
+            self._scheduler.handle_status_report(
+                self._name, outcome, began, now
+            )
+            self._means.wake_planner.set()
             return True
-        self._core.unanswered(self._name, began)
+        self._scheduler.handle_unanswered_call(self._name, began)
         self._handle_rejection(outcome, now)
         return False
 
-    def _deadline_ms(self, instance: rooms.Instance, now: float) -> int | None:
+    def _deadline_ms(
+        self, instance: instance_state.Instance, now: float
+    ) -> int | None:
         """Returns the new lease deadline by the instance's clock.
 
         Returns:
@@ -210,16 +222,19 @@
             instance's clock is unknown before its first answer, or this
             process last confirmed its ownership too long ago.
         """
-        unconfirmed_s = now - self._means.recorder.confirmed_at
-        if not instance.adopted or unconfirmed_s > lease_times.OVERRUN_S:
+        unconfirmed_s = now - self._means.writer.confirmed_at
+        if (
+            not instance.is_adopted
+            or unconfirmed_s > lease_times.RENEWAL_AFTER_LAST_WRITE_S
+        ):
             return None
         return math.floor(
-            instance.clock_now_ms(now) + lease_times.HOLD_S * 1000
+            instance.estimated_clock_ms(now) + lease_times.RUN_LEASE_S * 1000
         )
 
     def _call_with_grant(
         self,
-        instance: rooms.Instance,
+        instance: instance_state.Instance,
         now: float,
         call: Callable[[], _Outcome],
     ) -> _Outcome:
@@ -231,36 +246,39 @@
         tries to renew it twice a second, and its tasks would wait until the
         partition heals.
         """
-        until = lease_times.lapses_at(now)
+        until = lease_times.lease_expiry(now)
         may_have_left = True
-        instance.begin_grant(until)
+        instance.begin_lease_renewal(until)
         try:
             outcome = call()
-            unsent = isinstance(outcome, fleet.NoAnswer) and not outcome.sent
+            unsent = (
+                isinstance(outcome, fleet.NoAnswer)
+                and not outcome.may_take_effect
+            )
             may_have_left = not unsent
             return outcome
         finally:
-            instance.end_grant(until, may_have_left)
+            instance.end_lease_renewal(until, may_have_left)
 
     def _handle_rejection(
-        self, outcome: fleet.HoldOutcome | fleet.OrderOutcome, now: float
+        self, outcome: fleet.RenewalOutcome | fleet.OrderOutcome, now: float
     ) -> None:
         """Handles an answer by another instance or a fenced refusal.
 
         A fenced refusal means that a later owner exists; it ends the term.
         """
-        if isinstance(outcome, fleet.Replaced):
-            self._core.gone(
+        if isinstance(outcome, fleet.InstanceReplaced):
+            self._scheduler.remove_instance(
                 self._name, now, "another instance answers at its address"
             )
-            self._means.wake.set()
+            self._means.wake_planner.set()
         elif fleet.is_fenced(outcome):
             logs.warning(
                 "instance {} has seen a higher fencing token; ending the term",
                 self._name,
             )
-            self._means.recorder.depose()
-            self._means.wake.set()
+            self._means.writer.end_term()
+            self._means.wake_planner.set()
 
     def send_start(self, order: term_state.StartOrder) -> None:
         """Sends a recorded start in its own greenlet."""
@@ -268,10 +286,10 @@
 
     def _send_start(self, order: term_state.StartOrder) -> None:
         with self._start_slots:
-            self._start_until_known(order)
-        self._means.wake.set()
+            self._send_start_until_settled(order)
+        self._means.wake_planner.set()
 
-    def _start_until_known(self, order: term_state.StartOrder) -> None:
+    def _send_start_until_settled(self, order: term_state.StartOrder) -> None:
         """Sends copies of a start until its outcome is known.
 
         Stops early if the start is no longer wanted, the instance restarted,
@@ -283,17 +301,20 @@
         attempts = 0
         first_at = self._clock.monotonic()
         life = self._current_life()
-        while not self._means.recorder.deposed and self._core.may_send(order):
+        while (
+            not self._means.writer.is_term_over
+            and self._scheduler.may_send_start(order)
+        ):
             if self._current_life() != life:
                 # The start was meant for the previous incarnation.
                 return
             began = self._clock.monotonic()
-            if attempts and self._core.holds_back(order):
-                if not self._core.start_unanswered(
+            if attempts and self._scheduler.must_defer_resend(order):
+                if not self._scheduler.handle_start_unanswered(
                     self._name, key, sent, began, first_at
                 ):
                     return
-                self._clock.sleep(RETRY_S)
+                self._clock.sleep(RETRY_PAUSE_S)
                 continue
             outcome = self._start_once(order, attempts > 0)
             now = self._clock.monotonic()
@@ -301,33 +322,38 @@
             if outcome is None:
                 return
             if isinstance(outcome, fleet.Accepted):
-                self._core.started(self._name, key, outcome.clock_ms, now)
+                self._scheduler.handle_start_accepted(
+                    self._name, key, outcome.clock_ms, now
+                )
                 return
             if isinstance(outcome, fleet.NoAnswer):
-                sent = sent or outcome.sent
-                self._core.unanswered(self._name, began)
-                if not self._core.start_unanswered(
+                sent = sent or outcome.may_take_effect
+                self._scheduler.handle_unanswered_call(self._name, began)
+                if not self._scheduler.handle_start_unanswered(
                     self._name, key, sent, now, first_at
                 ):
                     return
-                self._clock.sleep(RETRY_S)
+                self._clock.sleep(RETRY_PAUSE_S)
                 continue
             self._handle_rejection(outcome, now)
             if not isinstance(outcome, fleet.Refused):
                 return
-            late += outcome.reason is fleet.Reason.LATE
-            if outcome.reason is fleet.Reason.LATE and late <= MAX_LATE_RETRIES:
+            late += outcome.reason is fleet.RefusalReason.DEADLINE_PASSED
+            if (
+                outcome.reason is fleet.RefusalReason.DEADLINE_PASSED
+                and late <= MAX_LATE_RETRIES
+            ):
                 continue
-            if not self._core.start_refused(
+            if not self._scheduler.handle_start_refused(
                 self._name, key, outcome.reason, not sent, now
             ):
                 return
-            self._clock.sleep(RETRY_S)
+            self._clock.sleep(RETRY_PAUSE_S)
 
     def _current_life(self) -> int:
         """Returns the number of the instance's incarnation; 0 if it is gone."""
-        instance = self._core.instances.get(self._name)
-        return instance.life if instance is not None else 0
+        instance = self._scheduler.instances.get(self._name)
+        return instance.incarnation if instance is not None else 0
 
     def _start_once(
         self, order: term_state.StartOrder, fresh: bool
@@ -341,19 +367,19 @@
         Returns:
             The outcome; None if the instance is gone.
         """
-        instance = self._core.instances.get(self._name)
+        instance = self._scheduler.instances.get(self._name)
         if instance is None:
             return None
         now = self._clock.monotonic()
         deadline = math.floor(
-            instance.clock_now_ms(now) + lease_times.HOLD_S * 1000
+            instance.estimated_clock_ms(now) + lease_times.RUN_LEASE_S * 1000
         )
-        start = fleet.Start(
+        start = fleet.StartRequest(
             order.task,
             order.run,
             order.spec,
-            order.saved,
-            self._means.recorder.token,
+            order.checkpoint,
+            self._means.writer.token,
             deadline,
             order.ticket,
         )
@@ -365,23 +391,23 @@
             ),
         )
 
-    def send_pace(self, pace: sharing.Pace) -> None:
+    def send_pace(self, pace: pacing.PaceOrder) -> None:
         """Sends a throttle order once, in its own greenlet.
 
         If it is lost, the next status reports lead to the same decision again.
         """
         gevent.spawn(self._send_pace, pace)
 
-    def _send_pace(self, pace: sharing.Pace) -> None:
-        instance = self._core.instances.get(self._name)
+    def _send_pace(self, pace: pacing.PaceOrder) -> None:
+        instance = self._scheduler.instances.get(self._name)
         if instance is None:
             return
-        outcome = self._means.upstreams.pace(
+        outcome = self._means.upstreams.set_pace(
             instance.registration,
             pace.run.task,
             pace.run.run,
             pace.percent,
-            self._means.recorder.token,
+            self._means.writer.token,
         )
         if isinstance(outcome, fleet.Accepted):
             pace.run.pace = pace.percent
@@ -393,25 +419,27 @@
         gevent.spawn(self._send_stop, order)
 
     def _send_stop(self, order: term_state.StopOrder) -> None:
-        instance = self._core.instances.get(self._name)
+        instance = self._scheduler.instances.get(self._name)
         if instance is None or not instance.registration.address:
             return
-        if not self._core.may_send_stop(order, self._clock.monotonic()):
+        if not self._scheduler.may_send_stop(order, self._clock.monotonic()):
             return
         outcome = self._means.upstreams.stop(
             instance.registration,
             order.task,
             order.run,
-            self._means.recorder.token,
+            self._means.writer.token,
             SEND_TIMEOUT_S,
         )
         now = self._clock.monotonic()
         is_accepted = isinstance(outcome, fleet.Accepted)
         is_outdated = (
             isinstance(outcome, fleet.Refused)
-            and outcome.reason is fleet.Reason.OLD
+            and outcome.reason is fleet.RefusalReason.STALE_RUN
         )
         if is_accepted or is_outdated:
-            self._core.stopped(self._name, (order.task, order.run), now)
+            self._scheduler.handle_stop_accepted(
+                self._name, (order.task, order.run), now
+            )
         else:
             self._handle_rejection(outcome, now)
--- a/src/vanillaswitch/coordination/fleet/instances/instance_tasks.py
+++ b/src/vanillaswitch/coordination/fleet/instances/instance_clients.py
@@ -2,11 +2,11 @@
 
 import gevent
 
-from vanillaswitch.coordination.fleet.instances import instance_task
+from vanillaswitch.coordination.fleet.instances import instance_client
 from vanillaswitch.internal import logs
 
 
-class InstanceTasks:
+class InstanceClients:
     """Keeps a renewal loop running for each instance during one term.
 
     An instance that was considered gone may register again under its id, for
@@ -14,26 +14,26 @@
     otherwise nothing would renew its lease any more.
     """
 
-    def __init__(self, means: instance_task.Means):
+    def __init__(self, means: instance_client.CallContext):
         self._means = means
-        self._tasks: dict[str, instance_task.InstanceTask] = {}
+        self._tasks: dict[str, instance_client.InstanceClient] = {}
 
-    def get(self, name: str) -> instance_task.InstanceTask | None:
+    def get(self, name: str) -> instance_client.InstanceClient | None:
         """Returns the object that makes an instance's calls."""
         return self._tasks.get(name)
 
-    def ensure(self) -> None:
+    def start_missing(self) -> None:
         """Starts the loops of instances that have none."""
-        for name in list(self._means.core.instances):
+        for name in list(self._means.scheduler.instances):
             if name not in self._tasks:
-                task = instance_task.InstanceTask(self._means, name)
+                task = instance_client.InstanceClient(self._means, name)
                 self._tasks[name] = task
                 gevent.spawn(self._run, name, task)
 
-    def _run(self, name: str, task: instance_task.InstanceTask) -> None:
+    def _run(self, name: str, task: instance_client.InstanceClient) -> None:
         """Runs a loop; logs its failure, so that ``ensure`` starts it again."""
         try:
-            task.run()
+            task.run_until_gone()
         except Exception as error:
             logs.error(
                 "lease renewal loop of instance {} failed: {!r}", name, error
--- a/src/vanillaswitch/coordination/fleet/instances/lease_times.py
+++ b/src/vanillaswitch/coordination/fleet/instances/lease_times.py
@@ -1,6 +1,6 @@
 """Lengths of the leases on runs, measured by the owner's clock."""
 
-HOLD_S = 6.0
+RUN_LEASE_S = 6.0
 """Lease on the runs of an instance. It has to outlast a change of owner (about
 4 s) and a short outage. A longer lease delays restarting the tasks of an
 instance that is cut off."""
@@ -12,18 +12,18 @@
 LAPSE_MARGIN_S = 0.2
 """Added to a lease before it counts as expired, because timers fire late."""
 
-OVERRUN_S = 8.0
+RENEWAL_AFTER_LAST_WRITE_S = 8.0
 """How long after its last successful write an owner keeps renewing leases.
 During an outage of the store nobody can take over, and an expired lease loses
 the work done under it. A later owner waits this long plus a lease for an
 instance that it can't reach."""
 
 
-def lapses_at(now: float, lease_s: float = HOLD_S) -> float:
+def lease_expiry(now: float, lease_s: float = RUN_LEASE_S) -> float:
     """Returns when a lease that is granted now has expired for certain."""
     return now + lease_s * CLOCK_ERROR + LAPSE_MARGIN_S
 
 
-def inherited_lapse_at(now: float) -> float:
+def inherited_lease_expiry(now: float) -> float:
     """Returns when the last lease of a previous owner has certainly expired."""
-    return lapses_at(now) + OVERRUN_S
+    return lease_expiry(now) + RENEWAL_AFTER_LAST_WRITE_S
--- a/src/vanillaswitch/coordination/fleet/instances/orders.py
+++ b/src/vanillaswitch/coordination/fleet/instances/order_outcomes.py
@@ -3,29 +3,29 @@
 from collections.abc import Iterable
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet.instances import endings
-from vanillaswitch.coordination.fleet.instances import sends
-from vanillaswitch.coordination.fleet.instances import sparing
-from vanillaswitch.coordination.fleet.queue import progress
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.instances import completions
+from vanillaswitch.coordination.fleet.instances import disruption_budget
+from vanillaswitch.coordination.fleet.instances import start_checks
+from vanillaswitch.coordination.fleet.queue import instance_state
+from vanillaswitch.coordination.fleet.queue import stragglers
 from vanillaswitch.protocol import fleet
 
 REFUSAL_BACKOFF_S = 0.5
 """An instance gets no starts for this long after it refused one because it is
 unhealthy or lacks capacity."""
 
-DOUBT_S = 1.5
+START_ANSWER_TIMEOUT_S = 1.5
 """Time after which the owner gives up on an unanswered start. It stops the
 run; the task may start elsewhere once the run certainly can't start."""
 
 
-class Orders(sends.Sends):
+class OrderOutcomes(start_checks.StartChecks):
     """Handles answered and unanswered orders, and stops stalled runs."""
 
-    def started(
+    def handle_start_accepted(
         self,
         name: str,
-        key: rooms.RunKey,
+        key: instance_state.RunKey,
         clock_ms: float | None = None,
         now: float = 0.0,
     ) -> None:
@@ -39,17 +39,17 @@
         """
         instance = self.instances.get(name)
         if instance is not None and clock_ms is not None:
-            self._heed_clock(instance, clock_ms, now)
-        run = self._run(name, key)
+            self._check_for_clock_reset(instance, clock_ms, now)
+        run = self._find_run(name, key)
         if run is not None:
-            run.begin(now)
-            self._begun(key[0].job_id)
+            run.mark_started(now)
+            self._mark_job_begun(key[0].job_id)
 
-    def start_refused(
+    def handle_start_refused(
         self,
         name: str,
-        key: rooms.RunKey,
-        reason: fleet.Reason,
+        key: instance_state.RunKey,
+        reason: fleet.RefusalReason,
         certain: bool,
         now: float,
     ) -> bool:
@@ -66,37 +66,44 @@
             Whether to send the start again.
         """
         instance = self.instances.get(name)
-        run = self._run(name, key)
+        run = self._find_run(name, key)
         if instance is None or run is None:
             return False
         self._emit(
             events.StartRefused(
                 key[0].job_id,
-                key[0].label,
+                key[0].path_in_job,
                 key[1],
                 name,
                 reason.value,
                 certain,
             )
         )
-        if reason in (fleet.Reason.UNHEALTHY, fleet.Reason.NO_ROOM):
+        if reason in (
+            fleet.RefusalReason.UNHEALTHY,
+            fleet.RefusalReason.NO_CAPACITY,
+        ):
             instance.suspended_until = max(
                 instance.suspended_until, now + REFUSAL_BACKOFF_S
             )
-        if reason is fleet.Reason.TICKET:
+        if reason is fleet.RefusalReason.INVALID_TICKET:
             step = key[0].job_id, key[0].occurrence, key[0].step
-            self._ticket_until.pop(step, None)
-        if reason is fleet.Reason.OLD:
-            run.void_since = now
+            self._tickets_valid_until.pop(step, None)
+        if reason is fleet.RefusalReason.STALE_RUN:
+            run.cannot_start_since = now
         elif certain:
-            self._release(instance, run)
+            self._release_run(instance, run)
         elif not run.confirmed:
             why = "start refused while an earlier copy is unanswered"
             return not self._stop_unconfirmed(instance, run, now, why)
         return False
 
     def _stop_unconfirmed(
-        self, instance: rooms.Instance, run: rooms.Run, now: float, why: str
+        self,
+        instance: instance_state.Instance,
+        run: instance_state.Run,
+        now: float,
+        why: str,
     ) -> bool:
         """Stops a run whose start may have taken effect, if the budget allows.
 
@@ -107,15 +114,15 @@
         Returns:
             Whether the run is stopped; False if the budget does not allow it.
         """
-        if not sparing.may_end(self, [run], now):
+        if not disruption_budget.allows_disruption(self, [run], now):
             return False
         self.stop_run(instance, run, now, why)
         return True
 
-    def start_unanswered(
+    def handle_start_unanswered(
         self,
         name: str,
-        key: rooms.RunKey,
+        key: instance_state.RunKey,
         sent: bool,
         now: float,
         first_at: float | None = None,
@@ -134,63 +141,65 @@
             Whether to send the start again.
         """
         instance = self.instances.get(name)
-        run = self._run(name, key)
-        if instance is None or run is None or run.stopping is not None:
+        run = self._find_run(name, key)
+        if instance is None or run is None or run.stop_requested_at is not None:
             return False
-        run.unanswered = run.unanswered or sent
-        run.unsent = not sent
+        run.has_unanswered_start = run.has_unanswered_start or sent
+        run.is_start_unsent = not sent
         if run.confirmed:
             return False
         since = run.decided_at if first_at is None else first_at
-        if now - since < DOUBT_S:
+        if now - since < START_ANSWER_TIMEOUT_S:
             return True
         if not sent:
-            self._release(instance, run)
+            self._release_run(instance, run)
             return False
         why = "start unanswered"
         return not self._stop_unconfirmed(instance, run, now, why)
 
-    def stopped(self, name: str, key: rooms.RunKey, now: float) -> None:
+    def handle_stop_accepted(
+        self, name: str, key: instance_state.RunKey, now: float
+    ) -> None:
         """Records that a stop was accepted, so the run can't start any more.
 
         If the run is executing, the instance reports its end once it stopped.
         """
-        run = self._run(name, key)
-        if run is not None and run.void_since is None:
-            run.void_since = now
+        run = self._find_run(name, key)
+        if run is not None and run.cannot_start_since is None:
+            run.cannot_start_since = now
 
-    def stop_stalled(self, now: float) -> None:
+    def stop_stalled_runs(self, now: float) -> None:
         """Stops stalled runs that another instance has capacity for."""
-        for instances in self.by_pool().values():
-            progress.mark_slow(instances)
+        for instances in self.instances_by_pool().values():
+            stragglers.mark_stragglers(instances)
             for instance in instances:
-                if instance.silent:
+                if instance.is_unresponsive:
                     continue
                 for run in list(instance.runs.values()):
-                    if progress.stalled(run, now):
+                    if stragglers.is_stalled(run, now):
                         self._move_stalled(instance, run, instances, now)
 
     def _move_stalled(
         self,
-        instance: rooms.Instance,
-        run: rooms.Run,
-        others: Iterable[rooms.Instance],
+        instance: instance_state.Instance,
+        run: instance_state.Run,
+        others: Iterable[instance_state.Instance],
         now: float,
     ) -> None:
         """Stops a stalled run if another instance can run its task.
 
         The instance gets no starts for a while, and this task avoids it.
         """
-        entry = self.book.get(run.task.job_id)
+        entry = self.tracker.get(run.task.job_id)
         task = entry.task(run.task) if entry else None
         has_capacity = any(
-            other is not instance and other.takes_over(run, now)
+            other is not instance and other.can_take_over(run, now)
             for other in others
         )
         if task is None or not has_capacity:
             return
-        task.avoid.add(instance.name)
+        task.avoided_instances.add(instance.name)
         instance.suspended_until = max(
-            instance.suspended_until, now + endings.SUSPEND_S
+            instance.suspended_until, now + completions.FIRST_SUSPENSION_S
         )
         self.stop_run(instance, run, now, "no progress")
--- a/src/vanillaswitch/coordination/fleet/instances/listing.py
+++ b/src/vanillaswitch/coordination/fleet/instances/registration_watcher.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet import follow
-from vanillaswitch.coordination.fleet.instances import core as cores
+from vanillaswitch.coordination.fleet import table_follower
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
 from vanillaswitch.internal import clock as clocks
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import unusable
 
@@ -21,21 +21,21 @@
 """A missing registration counts as removed only this long after the store
 recovered. Live instances register again within about 2 s."""
 
-Decode = Callable[
+RegistrationDecoder = Callable[
     [str, Mapping[str, Any]], fleet.Registration | unusable.Unusable
 ]
 """Decodes a row of the table of instances."""
 
 
-class Listing:
+class RegistrationWatcher:
     """Watches the table of instances during one term of ownership."""
 
     def __init__(
         self,
-        core: cores.Core,
-        feed: feeds.Feed,
+        scheduler: schedulers.Scheduler,
+        feed: change_feeds.ChangeFeed,
         table: str,
-        decode: Decode,
+        decode: RegistrationDecoder,
         clock: clocks.Clock,
         emit: Callable[[object], None],
         on_change: Callable[[], None],
@@ -54,7 +54,7 @@
             stale_after_s: time without a successful read after which the
                 registered capacity may be out of date.
         """
-        self._core = core
+        self._scheduler = scheduler
         self._table = table
         self._decode = decode
         self._clock = clock
@@ -64,7 +64,7 @@
         self._last_read_at = clock.monotonic()
         self._unusable: dict[str, str] = {}
         self._missing: set[str] = set()
-        self._follower = follow.Follower(
+        self._follower = table_follower.Follower(
             feed,
             table,
             clock,
@@ -74,45 +74,45 @@
             READ_PAUSE_S,
         )
 
-    def start_from(self, snapshot: feeds.Snapshot) -> None:
+    def resume_from(self, snapshot: change_feeds.Snapshot) -> None:
         """Applies a snapshot that was read before and continues from it."""
         self._on_snapshot(snapshot)
-        self._follower.start_from(snapshot)
+        self._follower.resume_from(snapshot)
 
     def run(self) -> None:
         """Watches the table until its greenlet is killed."""
         self._follower.run()
 
-    def judge_missing(self, now: float) -> None:
+    def mark_missing_unlisted(self, now: float) -> None:
         """Marks instances as unlisted whose registrations stay missing."""
-        settled = now - self._follower.back_at >= UNLIST_DELAY_S
-        if self._follower.failing or not settled:
+        settled = now - self._follower.recovered_at >= UNLIST_DELAY_S
+        if self._follower.is_failing or not settled:
             return
         for name in self._missing:
-            self._core.unlisted(name)
+            self._scheduler.mark_unlisted(name)
         self._missing.clear()
 
-    def judge_rooms(self, now: float) -> None:
+    def check_registration_age(self, now: float) -> None:
         """Updates whether the registered capacity may be out of date."""
-        if not self._follower.failing:
+        if not self._follower.is_failing:
             self._last_read_at = now
-        self._core.entries_are_old(
+        self._scheduler.set_registrations_stale(
             now - self._last_read_at >= self._stale_after_s
         )
 
-    def _on_snapshot(self, snapshot: feeds.Snapshot) -> None:
+    def _on_snapshot(self, snapshot: change_feeds.Snapshot) -> None:
         present = {row.key for row in snapshot.rows}
-        self._missing |= self._core.instances.keys() - present
+        self._missing |= self._scheduler.instances.keys() - present
         self._on_rows(snapshot.rows)
 
-    def _on_rows(self, changes: Iterable[feeds.Change]) -> None:
+    def _on_rows(self, changes: Iterable[change_feeds.RowChange]) -> None:
         now = self._clock.monotonic()
         for change in changes:
             self._apply_row(change, now)
         self._on_change()
 
-    def _apply_row(self, change: feeds.Change, now: float) -> None:
-        if change.value is None and not change.damage:
+    def _apply_row(self, change: change_feeds.RowChange, now: float) -> None:
+        if change.value is None and not change.read_error:
             self._missing.add(change.key)
             self._unusable.pop(change.key, None)
             return
@@ -120,23 +120,30 @@
         found = self._decode_change(change)
         if isinstance(found, unusable.Unusable):
             self._emit_unusable(change, found.reason)
-            self._core.distrusted(change.key, found.reason, now)
+            self._scheduler.mark_registration_unreadable(
+                change.key, found.reason, now
+            )
             return
         self._unusable.pop(change.key, None)
-        known = self._core.instances.get(change.key)
+        known = self._scheduler.instances.get(change.key)
         same = known is not None and known.registration == found
-        if known and same and known.listed and not known.distrusted:
+        if (
+            known
+            and same
+            and known.is_listed
+            and not known.has_unreadable_registration
+        ):
             return
-        self._core.registered(found, now)
+        self._scheduler.handle_registration(found, now)
 
     def _decode_change(
-        self, change: feeds.Change
+        self, change: change_feeds.RowChange
     ) -> fleet.Registration | unusable.Unusable:
         if change.value is None:
-            return unusable.Unusable(change.damage)
+            return unusable.Unusable(change.read_error)
         return self._decode(change.key, change.value)
 
-    def _emit_unusable(self, change: feeds.Change, why: str) -> None:
+    def _emit_unusable(self, change: change_feeds.RowChange, why: str) -> None:
         """Emits an event for an unusable row, once for each reason."""
         if self._unusable.get(change.key) == why:
             return
--- a/src/vanillaswitch/coordination/fleet/instances/restarts.py
+++ b/src/vanillaswitch/coordination/fleet/instances/restarts.py
@@ -3,10 +3,10 @@
 from collections.abc import Collection
 
 from vanillaswitch.coordination.fleet.instances import crashes
+from vanillaswitch.coordination.fleet.instances import incarnations
 from vanillaswitch.coordination.fleet.instances import lease_times
-from vanillaswitch.coordination.fleet.instances import lives
 from vanillaswitch.coordination.fleet.instances import term_state
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.queue import instance_state
 from vanillaswitch.protocol import fleet
 
 CLOCK_RESET_MS = 2000.0
@@ -18,21 +18,25 @@
 class RestartDetection(crashes.CrashTracking):
     """Tells the incarnations of an instance apart."""
 
-    def registered(self, registration: fleet.Registration, now: float) -> bool:
+    def handle_registration(
+        self, registration: fleet.Registration, now: float
+    ) -> bool:
         """Adds or updates an instance; returns whether it is new."""
         known = self.instances.get(registration.instance)
         if known is not None:
-            origin = known.lives.classify_registration(registration.born_ms)
-            if origin is lives.Origin.FORMER:
+            origin = known.incarnations.classify_registration(
+                registration.born_ms
+            )
+            if origin is incarnations.Origin.FORMER:
                 return False
-            if origin is lives.Origin.NEW:
+            if origin is incarnations.Origin.NEW:
                 self._handle_restart(known, registration.born_ms, now)
-        return super().registered(registration, now)
+        return super().handle_registration(registration, now)
 
     def _is_current_report(
         self,
-        instance: rooms.Instance,
-        report: fleet.Held,
+        instance: instance_state.Instance,
+        report: fleet.StatusReport,
         began_at: float,
         now: float,
     ) -> bool:
@@ -41,26 +45,26 @@
         If it is the first report of a new incarnation, the runs of the former
         one end here.
         """
-        origin = instance.lives.classify_report(report.born_ms, began_at)
-        if origin is lives.Origin.FORMER:
+        origin = instance.incarnations.classify_report(report.born_ms, began_at)
+        if origin is incarnations.Origin.FORMER:
             why = (
                 "ignored a status report of the incarnation started at "
                 f"{report.born_ms}"
             )
             self._emit_instance_changed(instance, "former", why, now)
             return False
-        if origin is lives.Origin.NEW:
+        if origin is incarnations.Origin.NEW:
             reported = {(row.task, row.run) for row in report.running}
-            reported |= {(end.task, end.run) for end in report.ended}
+            reported |= {(end.task, end.run) for end in report.ended_runs}
             self._handle_restart(instance, report.born_ms, now, reported)
         return True
 
     def _handle_restart(
         self,
-        instance: rooms.Instance,
+        instance: instance_state.Instance,
         born_ms: int | None,
         now: float,
-        reported: Collection[rooms.RunKey] = (),
+        reported: Collection[instance_state.RunKey] = (),
     ) -> None:
         """Ends what ran before an instance restarted.
 
@@ -77,31 +81,35 @@
             reported: runs that its report names; the new incarnation accepted
                 them.
         """
-        why = f"started at {instance.lives.current}, restarted at {born_ms}"
+        why = f"started at {instance.incarnations.current_ms}, restarted at {born_ms}"
         self._emit_instance_changed(instance, "restarted", why, now)
         runs = list(instance.runs.values())
         crashed = [run for run in runs if run.key not in reported]
         self._count_loss(instance, crashed, why, now)
-        instance.lives.add(born_ms, now)
+        instance.incarnations.add(born_ms, now)
         # Calls sent before the restart that reach the new incarnation name
         # deadlines on the former clock. The instance cuts such a lease to the
         # longest one that it grants.
         longest_s = self._bounds.max_hold_s
-        instance.start_anew(now, lease_times.lapses_at(now, longest_s))
-        self._stops = [s for s in self._stops if s.instance != instance.name]
+        instance.reset_incarnation(
+            now, lease_times.lease_expiry(now, longest_s)
+        )
+        self._pending_stops = [
+            s for s in self._pending_stops if s.instance != instance.name
+        ]
         self._forget_tickets(instance.name)
         for run in runs:
             if run.key in reported or run.inherited:
                 continue
             if _may_start_late(run):
-                run.begin_doubt()
+                run.reset_reported_state()
                 self.stop_run(instance, run, now, "its instance restarted")
             else:
-                self._release(instance, run)
-        self._changed = True
+                self._release_run(instance, run)
+        self._needs_plan = True
 
-    def _heed_clock(
-        self, instance: rooms.Instance, clock_ms: float, now: float
+    def _check_for_clock_reset(
+        self, instance: instance_state.Instance, clock_ms: float, now: float
     ) -> None:
         """Detects a restart of an instance by its clock.
 
@@ -111,24 +119,26 @@
         run twice. The instance gets no more work until it sends a status
         report.
         """
-        behind_ms = instance.clock_now_ms(now) - clock_ms
-        if not instance.adopted or behind_ms <= CLOCK_RESET_MS:
+        behind_ms = instance.estimated_clock_ms(now) - clock_ms
+        if not instance.is_adopted or behind_ms <= CLOCK_RESET_MS:
             return
         longest_s = self._bounds.max_hold_s
-        lapses_at = lease_times.lapses_at(now, longest_s)
-        instance.lapses_at = max(instance.lapses_at, lapses_at)
-        instance.doubtful = True
+        lapses_at = lease_times.lease_expiry(now, longest_s)
+        instance.lease_expires_at = max(instance.lease_expires_at, lapses_at)
+        instance.has_unanswered_call = True
 
-    def _stop_late_starts(self, instance: rooms.Instance, now: float) -> None:
+    def _stop_late_starts(
+        self, instance: instance_state.Instance, now: float
+    ) -> None:
         """Stops ended runs whose starts may still arrive at an instance.
 
         Called at the first status report of an incarnation. A new incarnation
         does not refuse such a start as outdated and would run a finished task
         again.
         """
-        self._stops.extend(
+        self._pending_stops.extend(
             term_state.StopOrder(instance.name, task, run)
-            for task, run in instance.copies_under_way(now)
+            for task, run in instance.undelivered_starts(now)
         )
 
     def _forget_tickets(self, name: str) -> None:
@@ -142,7 +152,7 @@
                 }
 
 
-def _may_start_late(run: rooms.Run) -> bool:
+def _may_start_late(run: instance_state.Run) -> bool:
     """Whether a run may be on the new incarnation or may still start there.
 
     The new incarnation knows no fencing token and no run. It may have accepted
@@ -151,4 +161,4 @@
     a stop first. A run that the former incarnation listed began there and has
     ended with it.
     """
-    return run.unanswered or (run.sent and not run.was_listed)
+    return run.has_unanswered_start or (run.sent and not run.was_reported)
--- a/src/vanillaswitch/coordination/fleet/instances/inheritance.py
+++ b/src/vanillaswitch/coordination/fleet/instances/run_recovery.py
@@ -5,17 +5,17 @@
 than the rest, if their part of the store is unavailable.
 """
 
-from vanillaswitch.coordination.fleet.instances import accounts
-from vanillaswitch.coordination.fleet.queue import book as books
+from vanillaswitch.coordination.fleet.instances import status_reports
 from vanillaswitch.coordination.fleet.queue import crash_evidence
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.queue import instance_state
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.protocol import fleet
 
 
-class Inheritance(accounts.StatusReports):
+class RunRecovery(status_reports.StatusReports):
     """Recovers the runs of previous owners."""
 
-    def inherit_runs(self, now: float, lapses_at: float) -> list[str]:
+    def recover_runs(self, now: float, lease_expires_at: float) -> list[str]:
         """Recovers the runs that a previous owner recorded.
 
         Args:
@@ -27,23 +27,23 @@
             Ids of instances that have runs but are not registered.
         """
         unregistered = []
-        for entry in self.book.live.values():
-            for step in entry.open.values():
+        for entry in self.tracker.unfinished.values():
+            for step in entry.open_by_key.values():
                 for task in step.tasks:
-                    if task.state is books.TaskState.ASSIGNED:
+                    if task.state is job_tracker.TaskState.ASSIGNED:
                         name = task.instance
                         if name not in self.instances:
                             unregistered.append(name)
                             self._add_unregistered(name, now)
                         self._recover_run(step, task, now)
         for instance in self.instances.values():
-            instance.lapses_at = lapses_at
-        for entry in list(self.book.live.values()):
+            instance.lease_expires_at = lease_expires_at
+        for entry in list(self.tracker.unfinished.values()):
             self._evaluate_recovered_crashes(entry, now)
         return unregistered
 
-    def inherit_late(
-        self, entry: books.Entry, now: float, lapses_at: float
+    def recover_late_job(
+        self, entry: job_tracker.JobEntry, now: float, lapses_at: float
     ) -> None:
         """Recovers the runs of a job that could not be read before.
 
@@ -51,40 +51,43 @@
         run is known. Either the run or its end was listed, or the run never
         began and its order is void, since this owner's fencing token is higher.
         """
-        for step in entry.open.values():
+        for step in entry.open_by_key.values():
             for task in step.tasks:
-                if task.state is books.TaskState.ASSIGNED:
+                if task.state is job_tracker.TaskState.ASSIGNED:
                     self._recover_late_task(step, task, now, lapses_at)
         for instance in self.instances.values():
             self._apply_unread_ends(instance, entry.job.job_id, now)
             for run in list(instance.runs.values()):
-                if run.unread and run.task.job_id == entry.job.job_id:
+                if (
+                    run.has_unknown_demand
+                    and run.task.job_id == entry.job.job_id
+                ):
                     self._resolve_unread_run(instance, entry, run, now)
         self._evaluate_recovered_crashes(entry, now)
 
     def _resolve_unread_run(
         self,
-        instance: rooms.Instance,
-        entry: books.Entry,
-        run: rooms.Run,
+        instance: instance_state.Instance,
+        entry: job_tracker.JobEntry,
+        run: instance_state.Run,
         now: float,
     ) -> None:
         """Reinstates or stops a run that the rows of its job don't name."""
-        row = fleet.Running(
-            run.task, run.run, run.saved, run.percent, run.gauge
+        row = fleet.RunStatus(
+            run.task, run.run, run.checkpoint, run.percent, run.gauge
         )
-        if not accounts.can_reinstate(entry, row):
+        if not status_reports.can_reinstate(entry, row):
             self.stop_run(
                 instance, run, now, "not a current run of a known job"
             )
             return
-        instance.remove(run.key)
-        self._reinstate_run(instance, entry, row, now).take_listing(run)
+        instance.remove_run(run.key)
+        self._reinstate_run(instance, entry, row, now).copy_reported_state(run)
 
     def _recover_late_task(
         self,
-        step: books.OpenStep,
-        task: books.Task,
+        step: job_tracker.OpenStep,
+        task: job_tracker.Task,
         now: float,
         lapses_at: float,
     ) -> None:
@@ -97,25 +100,25 @@
         if instance is None:
             self._add_unregistered(task.instance, now)
             instance = self.instances[task.instance]
-            instance.lapses_at = lapses_at
-        found = instance.remove((task.name, task.run))
+            instance.lease_expires_at = lapses_at
+        found = instance.remove_run((task.name, task.run))
         self._recover_run(step, task, now)
         run = instance.runs[task.name, task.run]
         if found is not None:
             run.inherited = False
-            run.take_listing(found)
-        elif instance.adopted and not any(
-            (end.task, end.run) == run.key for end in instance.unread_ends
+            run.copy_reported_state(found)
+        elif instance.is_adopted and not any(
+            (end.task, end.run) == run.key for end in instance.unprocessed_ends
         ):
-            self._release(instance, run)
+            self._release_run(instance, run)
 
     def _apply_unread_ends(
-        self, instance: rooms.Instance, job_id: str, now: float
+        self, instance: instance_state.Instance, job_id: str, now: float
     ) -> None:
         """Applies the ends that were kept until their job could be read."""
-        ends = [e for e in instance.unread_ends if e.task.job_id == job_id]
+        ends = [e for e in instance.unprocessed_ends if e.task.job_id == job_id]
         for end in ends:
-            instance.unread_ends.remove(end)
+            instance.unprocessed_ends.remove(end)
             self._apply_end(instance, end, now)
 
     def _add_unregistered(self, name: str, now: float) -> None:
@@ -128,21 +131,25 @@
         unknown = fleet.Registration(
             name, "", "", "", False, fleet.Resources(0, 0), ()
         )
-        instance = rooms.Instance(unknown, now)
-        instance.listed = False
-        instance.silent = True
+        instance = instance_state.Instance(unknown, now)
+        instance.is_listed = False
+        instance.is_unresponsive = True
         self.instances[name] = instance
 
     def _recover_run(
-        self, step: books.OpenStep, task: books.Task, now: float
+        self, step: job_tracker.OpenStep, task: job_tracker.Task, now: float
     ) -> None:
         """Adds the recorded run of a task to its instance."""
-        run = rooms.Run(
-            task.name, task.run, step.step, books.need(step.step), now
+        run = instance_state.Run(
+            task.name,
+            task.run,
+            step.step,
+            job_tracker.task_demand(step.step),
+            now,
         )
         run.sent = True
-        run.inherited = run.in_doubt = True
+        run.inherited = run.may_be_stopping = True
         run.born_ms = task.born_ms
-        run.apart = task.suspect
-        run.proof_s = crash_evidence.proof_s(task.crashes)
-        self.instances[task.instance].add(run)
+        run.is_isolated = task.is_suspect
+        run.required_proof_s = crash_evidence.required_proof_s(task.crashes)
+        self.instances[task.instance].add_run(run)
--- a/src/vanillaswitch/coordination/fleet/instances/core.py
+++ b/src/vanillaswitch/coordination/fleet/instances/scheduler.py
@@ -20,17 +20,17 @@
 from collections.abc import Mapping
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet.queue import arrivals
-from vanillaswitch.coordination.fleet.queue import book as books
+from vanillaswitch.coordination.fleet.queue import arrival_rate
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.coordination.fleet.queue import planning
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import unusable
 
 
-class Core(planning.Planning):
+class Scheduler(planning.Planning):
     """The owner's state and decisions; accepts jobs and cancellations."""
 
-    def job_added(self, job: jobs.Job, now: float, age_s: float = 0.0) -> None:
+    def add_job(self, job: jobs.Job, now: float, age_s: float = 0.0) -> None:
         """Adds a job; does nothing if the job is already known.
 
         Args:
@@ -38,34 +38,34 @@
             now: monotonic seconds.
             age_s: seconds since the job was submitted.
         """
-        if self.book.get(job.job_id) is not None:
+        if self.tracker.get(job.job_id) is not None:
             return
-        entry = books.Entry(job, now, age_s)
-        self.book.add(entry)
-        self._changed = True
+        entry = job_tracker.JobEntry(job, now, age_s)
+        self.tracker.add(entry)
+        self._needs_plan = True
         self._record_arrival(entry, now)
         self._emit(
             events.JobTakenIn(
                 job.job_id,
                 job.queue,
                 int(age_s * 1000),
-                self.book.pending(job.queue),
+                self.tracker.count_pending(job.queue),
             )
         )
-        if job.job_id in self._early_cancels:
-            self._early_cancels.remove(job.job_id)
+        if job.job_id in self._cancels_before_job:
+            self._cancels_before_job.remove(job.job_id)
             self._cancel(entry, now)
 
-    def _record_arrival(self, entry: books.Entry, now: float) -> None:
+    def _record_arrival(self, entry: job_tracker.JobEntry, now: float) -> None:
         cpu = sum(
-            books.need(step).cpu * step.count
+            job_tracker.task_demand(step).cpu * step.count
             for step in entry.job.steps
             if not step.after and not step.long_running
         )
         if cpu and not entry.job.repeat_count:
-            pool = self.service_of(entry)
-            history = self.arrivals.setdefault(pool, arrivals.Arrivals())
-            history.observe(cpu, now)
+            pool = self.pool_name_of(entry)
+            history = self.arrivals.setdefault(pool, arrival_rate.ArrivalRate())
+            history.record_job(cpu, now)
 
     def restore(
         self,
@@ -81,15 +81,15 @@
             Why the progress row is unusable, or None. A job with an unusable
             row is not added.
         """
-        entry = books.Entry(job, now, age_s)
-        problem = entry.unpack(document)
+        entry = job_tracker.JobEntry(job, now, age_s)
+        problem = entry.load_document(document)
         if problem is not None:
             return problem
         entry.version = version
-        self.book.add(entry)
+        self.tracker.add(entry)
         return None
 
-    def restore_late(
+    def restore_deferred(
         self,
         job: jobs.Job,
         document: Mapping[str, object],
@@ -114,33 +114,33 @@
             row is not added.
         """
         problem = self.restore(job, document, version, now, age_s)
-        entry = self.book.get(job.job_id)
+        entry = self.tracker.get(job.job_id)
         if entry is None or entry.ended is not None:
             return problem
-        self.inherit_late(entry, now, lapses_at)
-        self._changed = True
-        if job.job_id in self._early_cancels:
-            self._early_cancels.remove(job.job_id)
+        self.recover_late_job(entry, now, lapses_at)
+        self._needs_plan = True
+        if job.job_id in self._cancels_before_job:
+            self._cancels_before_job.remove(job.job_id)
             self._cancel(entry, now)
         return None
 
-    def spec_read(self, job_id: str, spec: str) -> unusable.Unusable | None:
+    def set_spec(self, job_id: str, spec: str) -> unusable.Unusable | None:
         """Sets the spec of a job, so that its tasks may start.
 
         Returns:
             Why the spec is unusable, or None. Without a usable spec the job
             keeps waiting.
         """
-        entry = self.book.get(job_id)
+        entry = self.tracker.get(job_id)
         if entry is None or entry.spec is not None:
             return None
-        if jobs.digest(spec) != entry.job.spec_digest:
+        if jobs.hash_spec(spec) != entry.job.spec_digest:
             return unusable.Unusable("digest differs from the submitted spec")
         entry.spec = spec
-        self._changed = True
+        self._needs_plan = True
         return None
 
-    def cancelled(self, job_id: str, now: float) -> None:
+    def cancel_job(self, job_id: str, now: float) -> None:
         """Cancels a job, or remembers the cancellation until the job arrives.
 
         Jobs and cancellations are read from different tables, so a
@@ -148,12 +148,12 @@
         history of one table was lost. If it were dropped, the job would run
         although the client's cancellation was confirmed.
         """
-        entry = self.book.get(job_id)
+        entry = self.tracker.get(job_id)
         if entry is None:
-            self._early_cancels.add(job_id)
+            self._cancels_before_job.add(job_id)
         elif entry.ended is None:
             self._cancel(entry, now)
 
-    def _cancel(self, entry: books.Entry, now: float) -> None:
+    def _cancel(self, entry: job_tracker.JobEntry, now: float) -> None:
         cause = "cancelled by its client"
-        self._end_job(entry, jobs.JobState.CANCELLED, cause, now)
+        self._finish_job(entry, jobs.JobState.CANCELLED, cause, now)
--- a/src/vanillaswitch/coordination/fleet/instances/sends.py
+++ b/src/vanillaswitch/coordination/fleet/instances/start_checks.py
@@ -8,32 +8,32 @@
 """
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet.instances import inheritance
+from vanillaswitch.coordination.fleet.instances import run_recovery
 from vanillaswitch.coordination.fleet.instances import term_state
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.queue import instance_state
 from vanillaswitch.protocol import fleet
 
 
-class Sends(inheritance.Inheritance):
+class StartChecks(run_recovery.RunRecovery):
     """Checks starts again right before they are sent."""
 
-    def may_send(self, start: term_state.StartOrder) -> bool:
+    def may_send_start(self, start: term_state.StartOrder) -> bool:
         """Whether a recorded start may be sent; if so, marks it as sent.
 
         Returns False if the run is gone or being stopped. If the instance has
         no capacity for it any more, its task is queued again.
         """
         instance = self.instances.get(start.instance)
-        run = self._run(start.instance, (start.task, start.run))
-        if instance is None or run is None or run.stopping is not None:
+        run = self._find_run(start.instance, (start.task, start.run))
+        if instance is None or run is None or run.stop_requested_at is not None:
             return False
-        if not run.sent and not instance.has_room_for(run):
+        if not run.sent and not instance.can_send_start(run):
             self._withhold_start(instance, run)
             return False
         run.sent = True
         return True
 
-    def holds_back(self, start: term_state.StartOrder) -> bool:
+    def must_defer_resend(self, start: term_state.StartOrder) -> bool:
         """Whether no further copy of a start may be sent for now.
 
         The first copy may have crashed the instance, or may still take
@@ -41,46 +41,54 @@
         overcommit an instance whose capacity has shrunk.
         """
         instance = self.instances.get(start.instance)
-        run = self._run(start.instance, (start.task, start.run))
+        run = self._find_run(start.instance, (start.task, start.run))
         if instance is None or run is None:
             return False
-        is_unresponsive = instance.doubtful or instance.silent
-        return (run.apart and is_unresponsive) or not instance.has_room_for(run)
+        is_unresponsive = (
+            instance.has_unanswered_call or instance.is_unresponsive
+        )
+        return (
+            run.is_isolated and is_unresponsive
+        ) or not instance.can_send_start(run)
 
-    def _withhold_start(self, instance: rooms.Instance, run: rooms.Run) -> None:
+    def _withhold_start(
+        self, instance: instance_state.Instance, run: instance_state.Run
+    ) -> None:
         """Queues a task again whose start no longer fits, with its gang."""
         self._emit(
             events.StartWithheld(
                 run.task.job_id,
-                run.task.label,
+                run.task.path_in_job,
                 run.run,
                 instance.name,
                 instance.free_cpu,
             )
         )
-        self._release(instance, run, how="withheld")
+        self._release_run(instance, run, how="withheld")
         if not run.step.gang:
             return
         for other in self.instances.values():
             for member in list(other.runs.values()):
-                if rooms.step_key(member.task) != rooms.step_key(run.task):
+                if instance_state.step_key(
+                    member.task
+                ) != instance_state.step_key(run.task):
                     continue
                 if member.sent:
                     why = "start of another gang member no longer fits"
                     self.stop_run(other, member, run.decided_at, why)
                 else:
-                    self._release(other, member, how="withheld")
+                    self._release_run(other, member, how="withheld")
 
-    def room_listed(self, name: str, room: fleet.Resources) -> None:
+    def update_listed_capacity(self, name: str, room: fleet.Resources) -> None:
         """Updates an instance's capacity from the platform's machine list."""
         instance = self.instances.get(name)
-        if instance is not None and instance.list_room(room):
-            self._changed = True
+        if instance is not None and instance.update_listed_capacity(room):
+            self._needs_plan = True
 
-    def entries_are_old(self, old: bool) -> None:
+    def set_registrations_stale(self, old: bool) -> None:
         """Sets whether registrations may state an outdated capacity."""
-        if not old and not self._entries_old:
+        if not old and not self._registrations_stale:
             return
-        self._entries_old = old
+        self._registrations_stale = old
         for instance in self.instances.values():
-            instance.age_room(old)
+            instance.set_registration_stale(old)
--- a/src/vanillaswitch/coordination/fleet/instances/accounts.py
+++ b/src/vanillaswitch/coordination/fleet/instances/status_reports.py
@@ -5,9 +5,9 @@
 from vanillaswitch.coordination.fleet import events
 from vanillaswitch.coordination.fleet.instances import restarts
 from vanillaswitch.coordination.fleet.instances import term_state
-from vanillaswitch.coordination.fleet.queue import book as books
-from vanillaswitch.coordination.fleet.queue import progress
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.queue import instance_state
+from vanillaswitch.coordination.fleet.queue import job_tracker
+from vanillaswitch.coordination.fleet.queue import stragglers
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 
@@ -15,8 +15,8 @@
 class StatusReports(restarts.RestartDetection):
     """Updates runs and instances from status reports."""
 
-    def held(
-        self, name: str, report: fleet.Held, began_at: float, now: float
+    def handle_status_report(
+        self, name: str, report: fleet.StatusReport, began_at: float, now: float
     ) -> None:
         """Processes a status report of an instance.
 
@@ -31,30 +31,34 @@
             return
         if not self._is_current_report(instance, report, began_at, now):
             return
-        instance.heard_at = now
+        instance.last_contact_at = now
         instance.clock_ms, instance.clock_at = report.clock_ms, now
-        if not instance.adopted or instance.silent or instance.doubtful:
-            self._changed = True
-        instance.silent = instance.doubtful = False
-        for end in report.ended:
-            if end.number > instance.last_end:
-                instance.last_end = end.number
+        if (
+            not instance.is_adopted
+            or instance.is_unresponsive
+            or instance.has_unanswered_call
+        ):
+            self._needs_plan = True
+        instance.is_unresponsive = instance.has_unanswered_call = False
+        for end in report.ended_runs:
+            if end.number > instance.last_end_number:
+                instance.last_end_number = end.number
                 self._process_end(instance, end, now)
         listed = {(row.task, row.run) for row in report.running}
         for row in report.running:
-            if not instance.adopted:
+            if not instance.is_adopted:
                 self._drop_replacement(instance, row, listed)
             self._process_listed_run(instance, row, began_at, now)
         for run in list(instance.runs.values()):
             if run.key not in listed:
                 self._process_missing_run(instance, run, began_at, now)
-        if not instance.adopted:
-            instance.adopted = True
+        if not instance.is_adopted:
+            instance.is_adopted = True
             instance.adopted_at = now
             self._stop_late_starts(instance, now)
 
     def _process_end(
-        self, instance: rooms.Instance, end: fleet.End, now: float
+        self, instance: instance_state.Instance, end: fleet.RunEnd, now: float
     ) -> None:
         """Applies the end of a run, or keeps it until its job can be read.
 
@@ -62,17 +66,17 @@
         forget it. The unread job would not know of it, and its task would run a
         second time.
         """
-        if end.task.job_id in self.unread:
-            instance.unread_ends.append(end)
-            instance.remove((end.task, end.run))
+        if end.task.job_id in self.unreadable_jobs:
+            instance.unprocessed_ends.append(end)
+            instance.remove_run((end.task, end.run))
         else:
             self._apply_end(instance, end, now)
 
     def _drop_replacement(
         self,
-        instance: rooms.Instance,
-        row: fleet.Running,
-        listed: Collection[rooms.RunKey],
+        instance: instance_state.Instance,
+        row: fleet.RunStatus,
+        listed: Collection[instance_state.RunKey],
     ) -> None:
         """Drops a newer run of a listed task that never started.
 
@@ -82,7 +86,7 @@
         Stopped as outdated, its task would become unavailable in addition to
         those that the disruption budget already covers.
         """
-        entry = self.book.get(row.task.job_id)
+        entry = self.tracker.get(row.task.job_id)
         task = entry.task(row.task) if entry else None
         if entry is None or task is None or task.instance != instance.name:
             return
@@ -92,14 +96,14 @@
             return
         if gang or row.run >= newer.run:
             return
-        instance.remove(newer.key)
-        task.state = books.TaskState.WAITING
+        instance.remove_run(newer.key)
+        task.state = job_tracker.TaskState.WAITING
         task.run = row.run
 
     def _process_listed_run(
         self,
-        instance: rooms.Instance,
-        row: fleet.Running,
+        instance: instance_state.Instance,
+        row: fleet.RunStatus,
         began_at: float,
         now: float,
     ) -> None:
@@ -109,23 +113,26 @@
             run = self._process_unknown_run(instance, row, now)
             if run is None:
                 return
-        run.begin(now)
-        run.begun_before = run.begun_before or run.inherited
+        run.mark_started(now)
+        run.started_before_term = run.started_before_term or run.inherited
         run.inherited = False
         # Orders of the previous owner are void since the instance was adopted.
         # A stop that it accepted before ends its run within ``stop_s``.
         if began_at >= instance.adopted_at + self._bounds.stop_s:
-            run.in_doubt = False
-        self._begun(row.task.job_id)
-        progress.observe(instance, run, row.percent, now)
+            run.may_be_stopping = False
+        self._mark_job_begun(row.task.job_id)
+        stragglers.record_progress(instance, run, row.percent, now)
         run.gauge = row.gauge
-        if not run.cleared:
+        if not run.is_cleared:
             self._clear_if_proven(instance, run)
-        run.saved = row.saved or run.saved
+        run.checkpoint = row.checkpoint or run.checkpoint
 
     def _process_unknown_run(
-        self, instance: rooms.Instance, row: fleet.Running, now: float
-    ) -> rooms.Run | None:
+        self,
+        instance: instance_state.Instance,
+        row: fleet.RunStatus,
+        now: float,
+    ) -> instance_state.Run | None:
         """Handles a listed run that this owner does not know; stops most.
 
         Returns:
@@ -133,36 +140,38 @@
             the report may have been on its way while the end of the run was
             processed, so the run is over.
         """
-        if row.task.job_id in self.unread:
+        if row.task.job_id in self.unreadable_jobs:
             return self._add_unread_run(instance, row, now)
-        entry = self.book.get(row.task.job_id)
+        entry = self.tracker.get(row.task.job_id)
         if entry is not None and can_reinstate(entry, row):
             return self._reinstate_run(instance, entry, row, now)
         if entry is None or row.task.step >= len(entry.job.steps):
             step = jobs.Step(count=1)
         else:
             step = entry.job.steps[row.task.step]
-        if instance.adopted:
-            self.tell_stop(
+        if instance.is_adopted:
+            self.emit_stop(
                 instance, row.task, row.run, now, "listed, not in the book"
             )
-            self._stops.append(
+            self._pending_stops.append(
                 term_state.StopOrder(instance.name, row.task, row.run)
             )
             return None
-        run = rooms.Run(row.task, row.run, step, books.need(step), now)
+        run = instance_state.Run(
+            row.task, row.run, step, job_tracker.task_demand(step), now
+        )
         run.sent = run.confirmed = True
-        instance.add(run)
+        instance.add_run(run)
         self.stop_run(instance, run, now, "not a current run of a known job")
         return run
 
     def _reinstate_run(
         self,
-        instance: rooms.Instance,
-        entry: books.Entry,
-        row: fleet.Running,
+        instance: instance_state.Instance,
+        entry: job_tracker.JobEntry,
+        row: fleet.RunStatus,
         now: float,
-    ) -> rooms.Run:
+    ) -> instance_state.Run:
         """Restores a listed run that this owner had taken as over.
 
         An expired lease, or a machine listed without an instance, is indirect
@@ -170,23 +179,25 @@
         precedence. Otherwise all such runs, however many belong to one
         service, would be stopped as soon as their instances report again.
         """
-        open_step = entry.open[row.task.occurrence, row.task.step]
+        open_step = entry.open_by_key[row.task.occurrence, row.task.step]
         step, task = open_step.step, open_step.tasks[row.task.index]
-        task.state = books.TaskState.ASSIGNED
+        task.state = job_tracker.TaskState.ASSIGNED
         task.instance = instance.name
-        task.withdraw_crash(row.run)
-        task.counted_run = min(task.counted_run, row.run - 1)
-        run = rooms.Run(row.task, row.run, step, books.need(step), now)
-        run.sent = run.in_doubt = run.begun_before = True
+        task.remove_crash(row.run)
+        task.last_counted_run = min(task.last_counted_run, row.run - 1)
+        run = instance_state.Run(
+            row.task, row.run, step, job_tracker.task_demand(step), now
+        )
+        run.sent = run.may_be_stopping = run.started_before_term = True
         # It has begun and can't begin again, so a status report that does not
         # list it shows that it is over.
-        run.void_since = now
-        instance.add(run)
-        self.book.touch(entry)
+        run.cannot_start_since = now
+        instance.add_run(run)
+        self.tracker.mark_dirty(entry)
         self._emit(
             events.RunTakenBack(
                 row.task.job_id,
-                row.task.label,
+                row.task.path_in_job,
                 row.run,
                 instance.name,
                 row.percent,
@@ -195,8 +206,11 @@
         return run
 
     def _add_unread_run(
-        self, instance: rooms.Instance, row: fleet.Running, now: float
-    ) -> rooms.Run:
+        self,
+        instance: instance_state.Instance,
+        row: fleet.RunStatus,
+        now: float,
+    ) -> instance_state.Run:
         """Adds a run whose job can't be read yet; it continues.
 
         Its resource need is unknown, so it takes the whole instance. The
@@ -205,15 +219,15 @@
         """
         step = jobs.Step(count=1)
         whole = instance.registration.capacity
-        run = rooms.Run(row.task, row.run, step, whole, now)
-        run.sent = run.unread = True
-        instance.add(run)
+        run = instance_state.Run(row.task, row.run, step, whole, now)
+        run.sent = run.has_unknown_demand = True
+        instance.add_run(run)
         return run
 
     def _process_missing_run(
         self,
-        instance: rooms.Instance,
-        run: rooms.Run,
+        instance: instance_state.Instance,
+        run: instance_state.Run,
         began_at: float,
         now: float,
     ) -> None:
@@ -224,15 +238,18 @@
         longer start before the report was requested, or if a previous owner
         ordered it, whose order this owner's higher fencing token voids.
         """
-        inherited = run.inherited and not instance.adopted
+        inherited = run.inherited and not instance.is_adopted
         if inherited and _targets_former_incarnation(instance, run):
             why = "its instance restarted"
             self._count_loss(instance, [run], why, now, crash_confirmed=False)
-        void = run.void_since is not None and run.void_since < began_at
+        void = (
+            run.cannot_start_since is not None
+            and run.cannot_start_since < began_at
+        )
         if inherited or void or _can_no_longer_start(run, began_at):
-            self._release(instance, run)
+            self._release_run(instance, run)
 
-    def unanswered(self, name: str, began_at: float) -> None:
+    def handle_unanswered_call(self, name: str, began_at: float) -> None:
         """Marks an instance to which a call got no response.
 
         It gets no work until its next status report. Otherwise an unreachable
@@ -244,22 +261,24 @@
             began_at: monotonic seconds at which the call was made.
         """
         instance = self.instances.get(name)
-        if instance is not None and instance.heard_at < began_at:
-            instance.doubtful = True
+        if instance is not None and instance.last_contact_at < began_at:
+            instance.has_unanswered_call = True
 
-    def silent(self, name: str, now: float) -> None:
+    def mark_unresponsive(self, name: str, now: float) -> None:
         """Marks an instance that does not respond."""
         instance = self.instances.get(name)
-        if instance is not None and not instance.silent:
-            instance.silent = True
+        if instance is not None and not instance.is_unresponsive:
+            instance.is_unresponsive = True
             self._emit_instance_changed(
                 instance, "silent", "calls get no response", now
             )
 
-    def lapse(self, now: float) -> None:
+    def release_expired_leases(self, now: float) -> None:
         """Releases runs on unresponsive instances whose lease has expired."""
         for instance in list(self.instances.values()):
-            if not instance.silent or not instance.lapsed(now):
+            if not instance.is_unresponsive or not instance.is_lease_expired(
+                now
+            ):
                 continue
             if instance.runs:
                 self._emit_instance_changed(
@@ -273,36 +292,36 @@
                     crash_confirmed=False,
                 )
                 for run in list(instance.runs.values()):
-                    self._release(instance, run)
-            if not instance.listed:
-                self.gone(
+                    self._release_run(instance, run)
+            if not instance.is_listed:
+                self.remove_instance(
                     instance.name,
                     now,
                     "no longer registered and unresponsive",
                 )
 
 
-def _can_no_longer_start(run: rooms.Run, asked_at: float) -> bool:
+def _can_no_longer_start(run: instance_state.Run, asked_at: float) -> bool:
     """Whether a run is being stopped and no start of it can still arrive.
 
     No copy of the start is sent once the run is being stopped. The stop itself
     may be held back, because it could exceed the disruption budget of its job
     while the other tasks of the step wait in the same way.
     """
-    if run.stopping is None:
+    if run.stop_requested_at is None:
         return False
-    return asked_at - run.stopping >= rooms.LATE_S
+    return asked_at - run.stop_requested_at >= instance_state.MAX_ORDER_DELAY_S
 
 
 def _targets_former_incarnation(
-    instance: rooms.Instance, run: rooms.Run
+    instance: instance_state.Instance, run: instance_state.Run
 ) -> bool:
     """Whether an instance has restarted since a run was assigned to it."""
-    known = (run.born_ms, instance.lives.current)
-    return None not in known and run.born_ms != instance.lives.current
+    known = (run.born_ms, instance.incarnations.current_ms)
+    return None not in known and run.born_ms != instance.incarnations.current_ms
 
 
-def can_reinstate(entry: books.Entry, row: fleet.Running) -> bool:
+def can_reinstate(entry: job_tracker.JobEntry, row: fleet.RunStatus) -> bool:
     """Whether a listed run is its task's newest and nothing replaced it.
 
     Never true for a gang, which starts and ends as a whole: one member by
@@ -311,4 +330,4 @@
     task = entry.task(row.task)
     if task is None or entry.job.steps[row.task.step].gang:
         return False
-    return task.state is books.TaskState.WAITING and row.run == task.run
+    return task.state is job_tracker.TaskState.WAITING and row.run == task.run
--- a/src/vanillaswitch/coordination/fleet/instances/suspicion.py
+++ b/src/vanillaswitch/coordination/fleet/instances/suspect_placement.py
@@ -10,10 +10,10 @@
 
 from collections.abc import Sequence
 
-from vanillaswitch.coordination.fleet.instances import sparing
+from vanillaswitch.coordination.fleet.instances import disruption_budget
 from vanillaswitch.coordination.fleet.instances import term_state
-from vanillaswitch.coordination.fleet.queue import book as books
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.queue import instance_state
+from vanillaswitch.coordination.fleet.queue import job_tracker
 
 BUSY_SUSPECT_SHARE = 0.25
 """Largest share of a pool that may run suspected tasks at a time. The rest
@@ -25,20 +25,22 @@
 for each other while instances are idle."""
 
 
-def may_try(pool: Sequence[rooms.Instance], chosen: rooms.Instance) -> bool:
+def may_run_suspect(
+    pool: Sequence[instance_state.Instance], chosen: instance_state.Instance
+) -> bool:
     """Whether the chosen instance of a pool may run a suspected task."""
     share = BUSY_SUSPECT_SHARE if chosen.runs else IDLE_SUSPECT_SHARE
-    running = sum(instance.tries for instance in pool)
+    running = sum(instance.has_active_trial for instance in pool)
     return running < max(1, int(len(pool) * share))
 
 
-def least_harm(
-    state: term_state.State,
-    step: books.OpenStep,
-    task: books.Task,
-    candidates: Sequence[rooms.Instance],
+def choose_suspect_instance(
+    state: term_state.TermState,
+    step: job_tracker.OpenStep,
+    task: job_tracker.Task,
+    candidates: Sequence[instance_state.Instance],
     now: float,
-) -> rooms.Instance | None:
+) -> instance_state.Instance | None:
     """Returns the instance whose loss would cost least.
 
     If no instance can start the task now, it returns one to wait for.
@@ -50,9 +52,9 @@
         candidates: instances that may run it.
         now: monotonic seconds.
     """
-    need = books.need(step.step)
+    need = job_tracker.task_demand(step.step)
 
-    def rank(instance: rooms.Instance) -> tuple[object, ...]:
+    def rank(instance: instance_state.Instance) -> tuple[object, ...]:
         long_running = [
             run for run in instance.runs.values() if run.step.long_running
         ]
@@ -60,11 +62,11 @@
             _has_no_budget_left(state, run, now) for run in long_running
         )
         return (
-            not is_free_for(step, task, instance),
+            not can_start_suspect(step, task, instance),
             over_budget > 0,
-            instance.name != step.held,
+            instance.name != step.reserved_instance,
             len(long_running),
-            instance.name in task.avoid or instance.slow,
+            instance.name in task.avoided_instances or instance.is_straggler,
             instance.used_cpu,
             instance.name,
         )
@@ -72,26 +74,31 @@
     fitting = [
         instance
         for instance in candidates
-        if instance.makes_room(step.step, task.name, need, now)
+        if instance.fits_without_short_tasks(step.step, task.name, need, now)
     ]
     return min(fitting, key=rank, default=None)
 
 
-def is_free_for(
-    step: books.OpenStep, task: books.Task, instance: rooms.Instance
+def can_start_suspect(
+    step: job_tracker.OpenStep,
+    task: job_tracker.Task,
+    instance: instance_state.Instance,
 ) -> bool:
     """Whether a suspected task may start on an instance now."""
     limit = step.step.anti_affinity
     return (
-        not instance.unproven
-        and instance.fits(books.need(step.step))
-        and not (limit and instance.count_of(task.name) >= limit)
+        not instance.unproven_runs
+        and instance.has_capacity_for(job_tracker.task_demand(step.step))
+        and not (limit and instance.count_step_runs(task.name) >= limit)
     )
 
 
 def _has_no_budget_left(
-    state: term_state.State, run: rooms.Run, now: float
+    state: term_state.TermState, run: instance_state.Run, now: float
 ) -> bool:
     """Whether no other task of a run's step may become unavailable."""
-    siblings = sparing.beside(state, run.task, now)
-    return bool(siblings.spared) and siblings.away >= siblings.spared
+    siblings = disruption_budget.sibling_status(state, run.task, now)
+    return (
+        bool(siblings.max_unavailable)
+        and siblings.unavailable >= siblings.max_unavailable
+    )
--- a/src/vanillaswitch/coordination/fleet/instances/term_state.py
+++ b/src/vanillaswitch/coordination/fleet/instances/term_state.py
@@ -6,10 +6,10 @@
 import dataclasses
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet.queue import arrivals
-from vanillaswitch.coordination.fleet.queue import book as books
+from vanillaswitch.coordination.fleet.queue import arrival_rate
+from vanillaswitch.coordination.fleet.queue import instance_state
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.coordination.fleet.queue import queue_order
-from vanillaswitch.coordination.fleet.queue import rooms
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 from vanillaswitch.state import deployment as deployments
@@ -25,7 +25,7 @@
     task: jobs.TaskName
     run: int
     spec: str
-    saved: str
+    checkpoint: str
     ticket: str
 
 
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Batch:
+class WriteBatch:
     """Rows to write together, and what may follow once they are written.
 
     Attributes:
@@ -50,13 +50,13 @@
         lives: the incarnation that numbered this end, by instance.
     """
 
-    entries: tuple[books.Entry, ...]
+    entries: tuple[job_tracker.JobEntry, ...]
     starts: tuple[StartOrder, ...]
-    seen: Mapping[str, int]
-    lives: Mapping[str, int]
+    recorded_ends: Mapping[str, int]
+    incarnations: Mapping[str, int]
 
 
-class State:
+class TermState:
     """Jobs, instances and configuration as the owner knows them.
 
     Attributes:
@@ -88,62 +88,66 @@
             bounds: limits of the deployment.
         """
         self._bounds = bounds
-        self._order = order
+        self._queue_order = order
         self._emit = emit
-        self.book = books.Book()
-        self.instances: dict[str, rooms.Instance] = {}
+        self.tracker = job_tracker.JobTracker()
+        self.instances: dict[str, instance_state.Instance] = {}
         self.queues: Mapping[str, fleet.Queue] = {}
         self.pools: Mapping[str, fleet.Pool] = {}
-        self.unread: Collection[str] = frozenset()
+        self.unreadable_jobs: Collection[str] = frozenset()
         self.tickets: dict[tuple[str, int, int], Mapping[str, str]] = {}
-        self._ticket_until: dict[tuple[str, int, int], float] = {}
-        self.without_spec: tuple[str, ...] = ()
-        self.waiting_cpu: Mapping[str, int] = {}
-        self.arrivals: dict[str, arrivals.Arrivals] = {}
-        self.waiting_load: Mapping[str, fleet.Load] = {}
-        self._entries_old = False
-        self._early_cancels: set[str] = set()
-        self._starts: list[StartOrder] = []
-        self._stops: list[StopOrder] = []
-        self._changed = True
+        self._tickets_valid_until: dict[tuple[str, int, int], float] = {}
+        self.jobs_without_spec: tuple[str, ...] = ()
+        self.backlog_cpu: Mapping[str, int] = {}
+        self.arrivals: dict[str, arrival_rate.ArrivalRate] = {}
+        self.backlog_load: Mapping[str, fleet.Load] = {}
+        self._registrations_stale = False
+        self._cancels_before_job: set[str] = set()
+        self._pending_starts: list[StartOrder] = []
+        self._pending_stops: list[StopOrder] = []
+        self._needs_plan = True
 
     @property
     def notice_s(self) -> float:
         """Seconds after which an unavailable long-running task uses budget."""
         return self._bounds.notice_s
 
-    def configured(self, config: fleet.FleetConfig) -> None:
+    def apply_config(self, config: fleet.FleetConfig) -> None:
         """Applies a configuration."""
         self.queues = {queue.name: queue for queue in config.queues}
         self.pools = config.pools
-        self._changed = True
+        self._needs_plan = True
 
-    def registered(self, registration: fleet.Registration, now: float) -> bool:
+    def handle_registration(
+        self, registration: fleet.Registration, now: float
+    ) -> bool:
         """Adds or updates an instance; returns whether it is new."""
-        self._changed = True
+        self._needs_plan = True
         known = self.instances.get(registration.instance)
         if known is None:
-            instance = rooms.Instance(registration, now)
+            instance = instance_state.Instance(registration, now)
             self.instances[registration.instance] = instance
             self._emit_instance_changed(instance, "listed", "", now)
             return True
-        if registration.draining and not known.registration.draining:
+        if registration.is_draining and not known.registration.is_draining:
             self._emit_instance_changed(
                 known,
                 "draining",
                 "its registration says that it is draining",
                 now,
             )
-        if known.distrusted:
+        if known.has_unreadable_registration:
             self._emit_instance_changed(
                 known, "listed", "its registration can be read again", now
             )
-        known.register(registration)
-        known.listed = True
-        known.distrusted = False
+        known.update_registration(registration)
+        known.is_listed = True
+        known.has_unreadable_registration = False
         return False
 
-    def distrusted(self, name: str, why: str, now: float) -> None:
+    def mark_registration_unreadable(
+        self, name: str, why: str, now: float
+    ) -> None:
         """Marks an instance whose registration can't be read.
 
         Another writer may have overwritten it, so the instance may be running
@@ -153,13 +157,13 @@
         instance gets no new work.
         """
         known = self.instances.get(name)
-        if known is None or known.distrusted:
+        if known is None or known.has_unreadable_registration:
             return
-        known.distrusted = True
-        self._changed = True
+        known.has_unreadable_registration = True
+        self._needs_plan = True
         self._emit_instance_changed(known, "distrusted", why, now)
 
-    def holds(self, name: str) -> bool:
+    def should_poll(self, name: str) -> bool:
         """Whether an instance is polled and its leases are renewed.
 
         An instance of a service that is not configured as a pool is not
@@ -171,16 +175,20 @@
             return False
         return bool(known.runs) or known.registration.service in self.pools
 
-    def unlisted(self, name: str) -> None:
+    def mark_unlisted(self, name: str) -> None:
         """Marks an instance that left the platform's list.
 
         This does not prove that it stopped: it may be cut off and still run.
         """
         if name in self.instances:
-            self.instances[name].listed = False
+            self.instances[name].is_listed = False
 
     def _emit_instance_changed(
-        self, instance: rooms.Instance, change: str, why: str, now: float
+        self,
+        instance: instance_state.Instance,
+        change: str,
+        why: str,
+        now: float,
     ) -> None:
         self._emit(
             events.InstanceChanged(
@@ -188,65 +196,69 @@
                 instance.registration.service,
                 change,
                 why,
-                int((now - instance.heard_at) * 1000),
+                int((now - instance.last_contact_at) * 1000),
                 len(instance.runs),
             )
         )
 
-    def service_of(self, entry: books.Entry) -> str:
+    def pool_name_of(self, entry: job_tracker.JobEntry) -> str:
         """Returns the name of the pool that a job's tasks run in."""
         queue = self.queues.get(entry.job.queue)
         return queue.service if queue else entry.job.service
 
-    def pool_instances(self, service: str) -> list[rooms.Instance]:
+    def pool_instances(self, service: str) -> list[instance_state.Instance]:
         """Returns the instances of a pool."""
-        return self.by_pool().get(service, [])
+        return self.instances_by_pool().get(service, [])
 
-    def by_pool(self) -> dict[str, list[rooms.Instance]]:
+    def instances_by_pool(self) -> dict[str, list[instance_state.Instance]]:
         """Returns the instances of each pool that has any."""
-        found: dict[str, list[rooms.Instance]] = {}
+        found: dict[str, list[instance_state.Instance]] = {}
         for instance in self.instances.values():
             service = instance.registration.service
             found.setdefault(service, []).append(instance)
         return found
 
-    def _begun(self, job_id: str) -> None:
+    def _mark_job_begun(self, job_id: str) -> None:
         """Marks a job as begun; one of its tasks certainly runs or has run."""
-        entry = self.book.get(job_id)
+        entry = self.tracker.get(job_id)
         if entry is not None:
-            entry.begun = True
+            entry.has_started = True
 
-    def _run(self, instance: str, key: rooms.RunKey) -> rooms.Run | None:
+    def _find_run(
+        self, instance: str, key: instance_state.RunKey
+    ) -> instance_state.Run | None:
         known = self.instances.get(instance)
         return known.runs.get(key) if known else None
 
     @property
-    def changed(self) -> bool:
+    def needs_plan(self) -> bool:
         """Whether anything changed that planning may act on."""
-        return self._changed
+        return self._needs_plan
 
     @property
-    def has_work(self) -> bool:
+    def has_rows_to_write(self) -> bool:
         """Whether there are rows to write."""
-        return self.book.has_dirty
+        return self.tracker.has_dirty
 
-    def take_batch(self, limit: int) -> Batch:
+    def take_batch(self, limit: int) -> WriteBatch:
         """Removes and returns the next rows to write and their starts."""
-        entries = tuple(self.book.take_dirty(limit))
+        entries = tuple(self.tracker.take_dirty(limit))
         ids = {entry.job.job_id for entry in entries}
-        starts = [s for s in self._starts if s.task.job_id in ids]
-        self._starts = [s for s in self._starts if s.task.job_id not in ids]
+        starts = [s for s in self._pending_starts if s.task.job_id in ids]
+        self._pending_starts = [
+            s for s in self._pending_starts if s.task.job_id not in ids
+        ]
         seen = {
-            name: instance.noted_end
+            name: instance.acknowledged_end
             for name, instance in self.instances.items()
         }
-        if self.book.has_dirty:
+        if self.tracker.has_dirty:
             # Some of these ends belong to jobs that are not in this batch.
             seen = {}
-        incarnations = {name: self.instances[name].life for name in seen}
-        return Batch(entries, tuple(starts), seen, incarnations)
+        incarnations = {name: self.instances[name].incarnation for name in seen}
+        return WriteBatch(entries, tuple(starts), seen, incarnations)
 
     def take_stops(self) -> list[StopOrder]:
         """Removes and returns the stops to send."""
-        stops, self._stops = self._stops, []
+        stops, self._pending_stops = self._pending_stops, []
         return stops
--- a/src/vanillaswitch/coordination/fleet/intake/job_rows.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/job_rows.py
@@ -34,7 +34,7 @@
     """Returns the row of a job without a long spec, see ``pack_spec``."""
     document = pack_full(job)
     if _has_separate_spec(job):
-        document[_SPEC], document[_DIGEST] = "", jobs.digest(job.spec)
+        document[_SPEC], document[_DIGEST] = "", jobs.hash_spec(job.spec)
     return document
 
 
@@ -88,7 +88,7 @@
     """Returns the job from a document of ``pack`` or ``pack_full``."""
     try:
         job = cattrs.structure(dict(document), jobs.Job)
-    except (cattrs.BaseValidationError, *unusable.WRONG_FIELDS) as error:
+    except (cattrs.BaseValidationError, *unusable.FIELD_ERRORS) as error:
         return unusable.Unusable("; ".join(cattrs.transform_error(error)))
     if not job.steps:
         return unusable.Unusable("it has no steps")
--- a/src/vanillaswitch/coordination/fleet/intake/helped_intake.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/job_service.py
@@ -6,8 +6,10 @@
 accepted.
 """
 
-from vanillaswitch.coordination.fleet.intake import errands
-from vanillaswitch.coordination.fleet.intake import intake as intakes
+from vanillaswitch.coordination.fleet.job_requests import (
+    job_store as job_stores,
+)
+from vanillaswitch.coordination.fleet.job_requests import request_forwarder
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import jobs
 
@@ -17,20 +19,22 @@
 that clients wait."""
 
 
-class HelpedIntake:
+class JobService:
     """Submits, cancels and looks up jobs for clients."""
 
     def __init__(
         self,
-        local: intakes.Intake,
-        forwarder: errands.Errands,
+        local: job_stores.JobStore,
+        forwarder: request_forwarder.RequestForwarder,
         clock: clocks.Clock,
     ):
         self._local = local
         self._forwarder = forwarder
         self._clock = clock
 
-    def submit(self, job: jobs.Job, deadline: float) -> intakes.Verdict:
+    def submit(
+        self, job: jobs.Job, deadline: float
+    ) -> job_stores.RequestResult:
         """Submits a job; a repeated submission of the same job has no effect.
 
         Args:
@@ -44,7 +48,7 @@
 
     def cancel(
         self, job_id: str, known_accepted: bool, deadline: float
-    ) -> intakes.Verdict:
+    ) -> job_stores.RequestResult:
         """Cancels a job.
 
         Args:
@@ -63,10 +67,10 @@
 
     def state(
         self, job_id: str, deadline: float
-    ) -> jobs.JobState | None | intakes.Unknown:
+    ) -> jobs.JobState | None | job_stores.StateUnknown:
         """Reads a job's recorded state; None when there is no such job."""
         local = self._local.state(job_id)
-        if isinstance(local, intakes.Unknown):
+        if isinstance(local, job_stores.StateUnknown):
             return self._forwarder.state(job_id, deadline)
         return local
 
@@ -74,18 +78,21 @@
         return min(deadline, self._clock.monotonic() + LOCAL_TIMEOUT_S)
 
 
-def _is_final(verdict: intakes.Verdict) -> bool:
-    return verdict not in (intakes.Verdict.NOT_DONE, intakes.Verdict.UNKNOWN)
+def _is_final(verdict: job_stores.RequestResult) -> bool:
+    return verdict not in (
+        job_stores.RequestResult.NOT_APPLIED,
+        job_stores.RequestResult.UNKNOWN,
+    )
 
 
 def _combine(
-    local: intakes.Verdict, forwarded: intakes.Verdict
-) -> intakes.Verdict:
+    local: job_stores.RequestResult, forwarded: job_stores.RequestResult
+) -> job_stores.RequestResult:
     """Returns the result of a request that was tried here and forwarded.
 
     It is NOT_DONE only if both results are: the write of this process may
     still take effect.
     """
-    if forwarded is intakes.Verdict.NOT_DONE:
+    if forwarded is job_stores.RequestResult.NOT_APPLIED:
         return local
     return forwarded
--- a/src/vanillaswitch/coordination/fleet/intake/intake.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/job_store.py
@@ -16,8 +16,8 @@
 
 from vanillaswitch import errors
 from vanillaswitch.coordination import commits
-from vanillaswitch.coordination.fleet.intake import job_rows
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
+from vanillaswitch.coordination.fleet.job_requests import job_rows
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import logs
 from vanillaswitch.protocol import jobs
@@ -30,16 +30,16 @@
 Otherwise each submission in an outage would hang until its client times
 out."""
 
-ATTEMPT_S = 2.0
+COMMIT_TIMEOUT_S = 2.0
 """Longest wait for the outcome of a write. After it the client is told that the
 outcome is unknown, early enough to retry with the same id."""
 
 
-_END_STATES = [state.value for state in jobs.JobState if state.ended]
+_END_STATES = [state.value for state in jobs.JobState if state.is_final]
 """Valid values of the ``ended`` field of a job's progress row."""
 
 
-class Verdict(enum.StrEnum):
+class RequestResult(enum.StrEnum):
     """Result of a submission or a cancellation.
 
     Attributes:
@@ -51,18 +51,18 @@
     """
 
     ACCEPTED = "accepted"
-    DIFFERENT = "different"
-    MISSING = "missing"
-    NOT_DONE = "not-done"
+    ID_CONFLICT = "different"
+    NOT_FOUND = "missing"
+    NOT_APPLIED = "not-done"
     UNKNOWN = "unknown"
 
 
 @dataclasses.dataclass(frozen=True)
-class Unknown:
+class StateUnknown:
     """The state of a job is unknown: the store could not be read."""
 
 
-class Intake:
+class JobStore:
     """Writes and reads the rows of jobs for clients."""
 
     def __init__(
@@ -86,7 +86,7 @@
         self._boot = boot
         self._ids = itertools.count(1)
 
-    def submit(self, job: jobs.Job, deadline: float) -> Verdict:
+    def submit(self, job: jobs.Job, deadline: float) -> RequestResult:
         """Submits a job; a repeated submission of the same job has no effect.
 
         Args:
@@ -100,28 +100,28 @@
         if job.spec_digest:
             raise errors.InvariantError("a submitted job must contain its spec")
         if self._is_store_silent():
-            return Verdict.NOT_DONE
+            return RequestResult.NOT_APPLIED
         document = job_rows.pack(job)
-        key = f"{recorders.JOB_TABLE}/{job.job_id}"
+        key = f"{fenced_writer.JOB_TABLE}/{job.job_id}"
         rows = {key: document}
         spec = job_rows.pack_spec(job)
         if spec is not None:
-            rows[f"{recorders.SPEC_TABLE}/{job.job_id}"] = spec
+            rows[f"{fenced_writer.SPEC_TABLE}/{job.job_id}"] = spec
         outcome = self._insert(rows, deadline)
         if isinstance(outcome, platform.Committed):
-            return Verdict.ACCEPTED
+            return RequestResult.ACCEPTED
         if isinstance(outcome, platform.Conflict):
             same = any(
                 job_rows.is_same_job(row.value, document)
                 for row in outcome.found
                 if row.key == key
             )
-            return Verdict.ACCEPTED if same else Verdict.DIFFERENT
+            return RequestResult.ACCEPTED if same else RequestResult.ID_CONFLICT
         return _unsettled_verdict(outcome)
 
     def cancel(
         self, job_id: str, known_accepted: bool, deadline: float
-    ) -> Verdict:
+    ) -> RequestResult:
         """Cancels a job.
 
         Args:
@@ -131,39 +131,39 @@
             deadline: monotonic seconds after which the client stops waiting.
         """
         if self._is_store_silent():
-            return Verdict.NOT_DONE
+            return RequestResult.NOT_APPLIED
         if not known_accepted:
-            read = self._table.read([f"{recorders.JOB_TABLE}/{job_id}"])
+            read = self._table.read([f"{fenced_writer.JOB_TABLE}/{job_id}"])
             if isinstance(read, platform.Unavailable):
-                return Verdict.NOT_DONE
+                return RequestResult.NOT_APPLIED
             if not read.rows:
-                return Verdict.MISSING
-        key = f"{recorders.CANCEL_TABLE}/{job_id}"
+                return RequestResult.NOT_FOUND
+        key = f"{fenced_writer.CANCEL_TABLE}/{job_id}"
         outcome = self._insert({key: {"cancelled": True}}, deadline)
         if isinstance(outcome, platform.Committed | platform.Conflict):
-            return Verdict.ACCEPTED
+            return RequestResult.ACCEPTED
         return _unsettled_verdict(outcome)
 
-    def state(self, job_id: str) -> jobs.JobState | None | Unknown:
+    def state(self, job_id: str) -> jobs.JobState | None | StateUnknown:
         """Reads a job's recorded state; None when there is no such job."""
         if self._is_store_silent():
-            return Unknown()
+            return StateUnknown()
         read = self._table.read(
             [
-                f"{recorders.PROGRESS_TABLE}/{job_id}",
-                f"{recorders.JOB_TABLE}/{job_id}",
+                f"{fenced_writer.PROGRESS_TABLE}/{job_id}",
+                f"{fenced_writer.JOB_TABLE}/{job_id}",
             ]
         )
         if isinstance(read, platform.Unavailable):
-            return Unknown()
+            return StateUnknown()
         rows = {row.key.partition("/")[0]: row.value for row in read.rows}
-        if recorders.JOB_TABLE not in rows:
+        if fenced_writer.JOB_TABLE not in rows:
             return None
-        progress = rows.get(recorders.PROGRESS_TABLE, {})
+        progress = rows.get(fenced_writer.PROGRESS_TABLE, {})
         ended = progress.get("ended")
         if ended and ended not in _END_STATES:
             logs.error("job {}: unknown end state in its progress row", job_id)
-            return Unknown()
+            return StateUnknown()
         if ended:
             return jobs.JobState(ended)
         if progress.get("started"):
@@ -185,11 +185,11 @@
             self._table,
             platform.Transaction(token, puts),
             self._clock,
-            min(deadline, self._clock.monotonic() + ATTEMPT_S),
+            min(deadline, self._clock.monotonic() + COMMIT_TIMEOUT_S),
         )
 
 
-def _unsettled_verdict(outcome: platform.CommitOutcome) -> Verdict:
+def _unsettled_verdict(outcome: platform.CommitOutcome) -> RequestResult:
     if isinstance(outcome, platform.Unavailable):
-        return Verdict.NOT_DONE
-    return Verdict.UNKNOWN
+        return RequestResult.NOT_APPLIED
+    return RequestResult.UNKNOWN
--- a/src/vanillaswitch/coordination/fleet/intake/questions.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/peer_calls.py
@@ -17,7 +17,7 @@
 """Creates a question with the given id."""
 
 
-class Questions:
+class PeerCalls:
     """Sends questions to other processes and matches answers by id."""
 
     def __init__(self, clock: clocks.Clock, boot: str):
@@ -35,17 +35,17 @@
         self._last_used_at: dict[str, float] = {}
         self._kept_open = ""
 
-    def attach(self, transport: peer_transport.PeerTransport) -> None:
+    def set_transport(self, transport: peer_transport.PeerTransport) -> None:
         """Sets the transport. Before this, no question can be sent."""
         self._transport = transport
 
-    def answered(self, question: str, message: peers.Message) -> None:
+    def on_answer(self, question: str, message: peers.Message) -> None:
         """Delivers an answer; drops it if its question has timed out."""
         waiting = self._waiting.get(question)
         if waiting is not None:
             waiting.set(message)
 
-    def ask(self, address: str, make: MakeQuestion, timeout_s: float) -> Any:
+    def call(self, address: str, make: MakeQuestion, timeout_s: float) -> Any:
         """Sends a question to the process at an address.
 
         Returns:
@@ -66,12 +66,12 @@
             # The stream may be dead or waiting to reconnect. It is closed, so
             # that the next question opens another at once.
             self._last_used_at.pop(address, None)
-            self._transport.retain(self._last_used_at)
+            self._transport.close_all_except(self._last_used_at)
             return None
         finally:
             del self._waiting[question_id]
 
-    def watch(self, address: str) -> None:
+    def keep_stream_open(self, address: str) -> None:
         """Keeps a stream open to one process, replacing the previous one.
 
         The stream closes at once when that process is killed, so this is
@@ -92,4 +92,4 @@
             if now - used_at > IDLE_STREAM_S and other != self._kept_open:
                 del self._last_used_at[other]
         if self._transport is not None:
-            self._transport.retain(self._last_used_at)
+            self._transport.close_all_except(self._last_used_at)
--- a/src/vanillaswitch/coordination/fleet/intake/errands.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/request_forwarder.py
@@ -18,9 +18,11 @@
 import gevent.pool
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet.intake import intake as intakes
-from vanillaswitch.coordination.fleet.intake import job_rows
-from vanillaswitch.coordination.fleet.intake import questions
+from vanillaswitch.coordination.fleet.job_requests import job_rows
+from vanillaswitch.coordination.fleet.job_requests import (
+    job_store as job_stores,
+)
+from vanillaswitch.coordination.fleet.job_requests import peer_calls
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import logs
 from vanillaswitch.protocol import jobs
@@ -50,13 +52,13 @@
 store, an earlier owner can tell which process is the owner now."""
 
 
-class Errands:
+class RequestForwarder:
     """Forwards requests to other processes and executes theirs."""
 
     def __init__(
         self,
-        calls: questions.Questions,
-        local: intakes.Intake,
+        calls: peer_calls.PeerCalls,
+        local: job_stores.JobStore,
         own_address: str,
         owner: Callable[[], str],
         store_answered_at: Callable[[], float],
@@ -87,7 +89,7 @@
         self._workers = gevent.pool.Pool(MAX_CONCURRENT)
 
     def on_message(
-        self, message: peers.Message, reply: peer_transport.Reply
+        self, message: peers.Message, reply: peer_transport.SendReply
     ) -> None:
         """Handles a message of another process; ignores unrelated kinds."""
         if isinstance(message, peers.StoreQuestion):
@@ -103,9 +105,11 @@
         elif isinstance(message, peers.Errand):
             self._accept(message, reply)
         elif isinstance(message, peers.StoreStanding | peers.ErrandDone):
-            self._calls.answered(message.question, message)
+            self._calls.on_answer(message.question, message)
 
-    def submit(self, job: jobs.Job, deadline: float) -> intakes.Verdict:
+    def submit(
+        self, job: jobs.Job, deadline: float
+    ) -> job_stores.RequestResult:
         """Forwards the submission of a job; NOT_DONE if no process can help."""
         document = json.dumps(job_rows.pack_full(job)).encode()
         done = self._forward(
@@ -115,7 +119,7 @@
 
     def cancel(
         self, job_id: str, known_accepted: bool, deadline: float
-    ) -> intakes.Verdict:
+    ) -> job_stores.RequestResult:
         """Forwards the cancellation of a job; NOT_DONE if none can help."""
         done = self._forward(
             peers.ErrandKind.CANCEL, job_id, b"", known_accepted, deadline
@@ -124,7 +128,7 @@
 
     def state(
         self, job_id: str, deadline: float
-    ) -> jobs.JobState | None | intakes.Unknown:
+    ) -> jobs.JobState | None | job_stores.StateUnknown:
         """Forwards the read of a job's recorded state."""
         done = self._forward(
             peers.ErrandKind.STATE, job_id, b"", False, deadline
@@ -132,9 +136,9 @@
         if isinstance(done, peers.ErrandDone):
             if done.state:
                 return jobs.JobState(done.state)
-            if done.verdict == intakes.Verdict.MISSING:
+            if done.verdict == job_stores.RequestResult.NOT_FOUND:
                 return None
-        return intakes.Unknown()
+        return job_stores.StateUnknown()
 
     # Forwarding requests of own clients.
 
@@ -145,12 +149,12 @@
         document: bytes,
         known_accepted: bool,
         deadline: float,
-    ) -> peers.ErrandDone | intakes.Verdict:
+    ) -> peers.ErrandDone | job_stores.RequestResult:
         helper = self._find_helper()
         patience_s = deadline - self._clock.monotonic()
         if not helper or patience_s <= 0:
-            return intakes.Verdict.NOT_DONE
-        done = self._calls.ask(
+            return job_stores.RequestResult.NOT_APPLIED
+        done = self._calls.call(
             helper,
             lambda question_id: peers.Errand(
                 question_id, kind, job_id, document, known_accepted, patience_s
@@ -158,11 +162,13 @@
             patience_s,
         )
         answered = isinstance(done, peers.ErrandDone)
-        verdict = done.verdict if answered else intakes.Verdict.UNKNOWN.value
+        verdict = (
+            done.verdict if answered else job_stores.RequestResult.UNKNOWN.value
+        )
         self._emit(events.ErrandSent(job_id, kind.value, helper, verdict))
         if not isinstance(done, peers.ErrandDone):
             self._store_statuses.pop(helper, None)
-            return intakes.Verdict.UNKNOWN
+            return job_stores.RequestResult.UNKNOWN
         return done
 
     def _find_helper(self) -> str:
@@ -188,7 +194,7 @@
         until, is_able = self._store_statuses.get(address, (0.0, False))
         if now < until:
             return is_able
-        status = self._calls.ask(
+        status = self._calls.call(
             address,
             lambda question_id: peers.StoreQuestion(question_id),
             STORE_STATUS_TIMEOUT_S,
@@ -209,16 +215,16 @@
         )
 
     def _accept(
-        self, errand: peers.Errand, reply: peer_transport.Reply
+        self, errand: peers.Errand, reply: peer_transport.SendReply
     ) -> None:
         if self._workers.full():
-            verdict = intakes.Verdict.NOT_DONE.value
+            verdict = job_stores.RequestResult.NOT_APPLIED.value
             reply(peers.ErrandDone(errand.question, verdict))
             return
         self._workers.spawn(self._execute, errand, reply)
 
     def _execute(
-        self, errand: peers.Errand, reply: peer_transport.Reply
+        self, errand: peers.Errand, reply: peer_transport.SendReply
     ) -> None:
         deadline = self._clock.monotonic() + errand.patience_s
         state = ""
@@ -232,27 +238,29 @@
 
     def _execute_submit(
         self, errand: peers.Errand, deadline: float
-    ) -> intakes.Verdict:
+    ) -> job_stores.RequestResult:
         job = job_rows.unpack(json.loads(errand.document))
         if isinstance(job, unusable.Unusable):
             logs.error(
                 "cannot decode the job of a forwarded request: {}", job.reason
             )
-            return intakes.Verdict.NOT_DONE
+            return job_stores.RequestResult.NOT_APPLIED
         return self._local.submit(job, deadline)
 
 
 def _state_result(
-    found: jobs.JobState | None | intakes.Unknown,
-) -> tuple[intakes.Verdict, str]:
-    if isinstance(found, intakes.Unknown):
-        return intakes.Verdict.UNKNOWN, ""
+    found: jobs.JobState | None | job_stores.StateUnknown,
+) -> tuple[job_stores.RequestResult, str]:
+    if isinstance(found, job_stores.StateUnknown):
+        return job_stores.RequestResult.UNKNOWN, ""
     if found is None:
-        return intakes.Verdict.MISSING, ""
-    return intakes.Verdict.ACCEPTED, found.value
+        return job_stores.RequestResult.NOT_FOUND, ""
+    return job_stores.RequestResult.ACCEPTED, found.value
 
 
-def _verdict_of(done: peers.ErrandDone | intakes.Verdict) -> intakes.Verdict:
+def _verdict_of(
+    done: peers.ErrandDone | job_stores.RequestResult,
+) -> job_stores.RequestResult:
     if isinstance(done, peers.ErrandDone):
-        return intakes.Verdict(done.verdict)
+        return job_stores.RequestResult(done.verdict)
     return done
--- a/src/vanillaswitch/coordination/fleet/machines/capacity.py
+++ b/src/vanillaswitch/coordination/fleet/machines/capacity_planner.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Policy:
+class ScalingPolicy:
     """Parameters of the capacity planner.
 
     Attributes:
@@ -62,7 +62,7 @@
     familiar_s: float = 2.0
 
 
-DEFAULT_POLICY = Policy()
+DEFAULT_POLICY = ScalingPolicy()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -112,7 +112,7 @@
 class CapacityPlanner:
     """Plans moves from successive loads of the pools."""
 
-    def __init__(self, policy: Policy = DEFAULT_POLICY):
+    def __init__(self, policy: ScalingPolicy = DEFAULT_POLICY):
         self._policy = policy
         self._history: dict[str, collections.deque[tuple[float, int]]] = {}
         self._surplus_since: dict[str, float] = {}
--- a/src/vanillaswitch/coordination/fleet/machines/evacuation.py
+++ b/src/vanillaswitch/coordination/fleet/machines/evacuation.py
@@ -6,17 +6,27 @@
 
 from collections.abc import Iterable
 
-from vanillaswitch.coordination.fleet.instances import core as cores
-from vanillaswitch.coordination.fleet.instances import sparing
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.instances import disruption_budget
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
+from vanillaswitch.coordination.fleet.queue import instance_state
 
 
-def may_end_all(core: cores.Core, instance: rooms.Instance, now: float) -> bool:
+def allows_disruption_of_all(
+    scheduler: schedulers.Scheduler,
+    instance: instance_state.Instance,
+    now: float,
+) -> bool:
     """Whether the budgets allow all runs of an instance to end at once."""
-    return sparing.may_end(core, instance.runs.values(), now)
+    return disruption_budget.allows_disruption(
+        scheduler, instance.runs.values(), now
+    )
 
 
-def evacuate(core: cores.Core, instance: rooms.Instance, now: float) -> None:
+def evacuate_instance(
+    scheduler: schedulers.Scheduler,
+    instance: instance_state.Instance,
+    now: float,
+) -> None:
     """Stops long-running tasks of an instance, within their budgets.
 
     They start elsewhere once the instance has listed their end. Short tasks
@@ -25,26 +35,28 @@
     """
     others = [
         other
-        for other in core.pool_instances(instance.registration.service)
+        for other in scheduler.pool_instances(instance.registration.service)
         if other is not instance
     ]
     for run in list(instance.runs.values()):
-        if not run.step.long_running or run.stopping is not None:
+        if not run.step.long_running or run.stop_requested_at is not None:
             continue
-        if instance.registration.draining:
-            core.stop_run(instance, run, now, "its instance is shutting down")
-        elif sparing.may_end(core, [run], now) and _can_run_elsewhere(
-            instance, run, others, now
-        ):
-            core.stop_run(
+        if instance.registration.is_draining:
+            scheduler.stop_run(
+                instance, run, now, "its instance is shutting down"
+            )
+        elif disruption_budget.allows_disruption(
+            scheduler, [run], now
+        ) and _can_run_elsewhere(instance, run, others, now):
+            scheduler.stop_run(
                 instance, run, now, "its instance is drained for maintenance"
             )
 
 
 def _can_run_elsewhere(
-    instance: rooms.Instance,
-    run: rooms.Run,
-    others: Iterable[rooms.Instance],
+    instance: instance_state.Instance,
+    run: instance_state.Run,
+    others: Iterable[instance_state.Instance],
     now: float,
 ) -> bool:
     """Whether another instance can run a task that is stopped here.
@@ -55,15 +67,18 @@
     time: its tasks go only where there is free capacity now, and not to an
     instance that is due as well.
     """
-    if instance.cordoned:
+    if instance.is_cordoned:
         return any(
-            other.makes_room(run.step, run.task, run.need, now)
+            other.fits_without_short_tasks(run.step, run.task, run.demand, now)
             for other in others
         )
-    return any(not other.due and other.takes_over(run, now) for other in others)
+    return any(
+        not other.is_maintenance_due and other.can_take_over(run, now)
+        for other in others
+    )
 
 
-def evacuate_all(core: cores.Core, now: float) -> None:
+def evacuate_instances(scheduler: schedulers.Scheduler, now: float) -> None:
     """Drains all instances that are cordoned, due or shutting down.
 
     Long-running tasks leave an instance as soon as its machine is due for
@@ -71,7 +86,7 @@
     of them to stop at a time. Started later, the drain of the last machines of
     a wave would run one after the other, 1.2 s each, past the wave's end.
     """
-    for instance in list(core.instances.values()):
-        draining = instance.registration.draining
-        if instance.cordoned or instance.due or draining:
-            evacuate(core, instance, now)
+    for instance in list(scheduler.instances.values()):
+        draining = instance.registration.is_draining
+        if instance.is_cordoned or instance.is_maintenance_due or draining:
+            evacuate_instance(scheduler, instance, now)
--- a/src/vanillaswitch/coordination/fleet/machines/machine_task.py
+++ b/src/vanillaswitch/coordination/fleet/machines/machine_controller.py
@@ -5,61 +5,61 @@
 
 import gevent.event
 
-from vanillaswitch.coordination.fleet.instances import core as cores
-from vanillaswitch.coordination.fleet.machines import capacity
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
+from vanillaswitch.coordination.fleet.machines import capacity_planner
 from vanillaswitch.coordination.fleet.machines import evacuation
 from vanillaswitch.coordination.fleet.machines import mover
-from vanillaswitch.coordination.fleet.machines import wave_driver
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
+from vanillaswitch.coordination.fleet.machines import wave_controller
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import logs
 from vanillaswitch.protocol import fleet
 from vanillaswitch.state import deployment as deployments
 
-LIST_S = 0.25
+LIST_INTERVAL_S = 0.25
 """Interval between reads of the list. Maintenance and the arrival of a moved
 machine are detected there, so each of them is delayed by up to this time. Each
 read costs money, and the platform allows a few dozen per second."""
 
 
-class MachineTask:
+class MachineController:
     """Moves and maintains machines during one term of an owner."""
 
     def __init__(
         self,
-        core: cores.Core,
+        scheduler: schedulers.Scheduler,
         machines: fleet.Machines,
-        board: wave_driver.WaveBoard,
-        recorder: recorders.Recorder,
+        wave_store: wave_controller.WaveStore,
+        writer: fenced_writer.FencedWriter,
         settings: deployments.Deployment,
         clock: clocks.Clock,
         wake: gevent.event.Event,
         emit: Callable[[object], None],
-        policy: capacity.Policy = capacity.DEFAULT_POLICY,
+        policy: capacity_planner.ScalingPolicy = capacity_planner.DEFAULT_POLICY,
     ):
-        self._core = core
+        self._scheduler = scheduler
         self._machines = machines
-        self._recorder = recorder
+        self._writer = writer
         self._clock = clock
         self._wake = wake
         self._known: Set[str] = frozenset()
         self._missing_since: dict[str, float] = {}
         self._listed: dict[str, fleet.Machine] = {}
         self._mover = mover.MachineMover(
-            core,
+            scheduler,
             machines,
-            recorder,
+            writer,
             settings.machine_orders_per_s,
             lambda: self._wave_driver.reserved,
             clock,
             emit,
             policy,
         )
-        self._wave_driver = wave_driver.WaveDriver(
-            core,
+        self._wave_driver = wave_controller.WaveController(
+            scheduler,
             machines,
-            board,
-            recorder,
+            wave_store,
+            writer,
             settings.bounds,
             lambda: self._mover.required_machines,
             lambda: self._mover.moving,
@@ -74,11 +74,11 @@
 
     def run(self) -> None:
         """Reconciles with the list of machines until the term ends."""
-        while not self._recorder.deposed:
-            self.look()
-            self._clock.sleep(LIST_S)
+        while not self._writer.is_term_over:
+            self.reconcile()
+            self._clock.sleep(LIST_INTERVAL_S)
 
-    def look(self) -> None:
+    def reconcile(self) -> None:
         """Reads the list once and, if that succeeds, acts on it."""
         if self._read_list():
             self._apply()
@@ -91,7 +91,9 @@
             return False
         self._listed = {machine.name: machine for machine in listed}
         for machine in listed:
-            self._core.room_listed(machine.instance, machine.capacity)
+            self._scheduler.update_listed_capacity(
+                machine.instance, machine.capacity
+            )
         self._remove_dead_instances(began)
         return True
 
@@ -109,25 +111,31 @@
         self._missing_since = {
             name: self._missing_since.get(name, began)
             for name in self._known - alive
-            if name in self._core.instances
+            if name in self._scheduler.instances
         }
-        self._known = self._core.instances.keys() & (self._known | alive)
+        self._known = self._scheduler.instances.keys() & (self._known | alive)
         now = self._clock.monotonic()
-        for instance in list(self._core.instances.values()):
+        for instance in list(self._scheduler.instances.values()):
             is_unreachable = (
-                instance.silent or not instance.listed or instance.leaving
+                instance.is_unresponsive
+                or not instance.is_listed
+                or instance.is_terminating
             )
             since = self._missing_since.get(instance.name, began)
-            is_missing = since < began and instance.heard_at < since
-            is_silent_and_missing = is_unreachable and instance.heard_at < began
+            is_missing = since < began and instance.last_contact_at < since
+            is_silent_and_missing = (
+                is_unreachable and instance.last_contact_at < began
+            )
             if instance.name not in alive and (
                 is_missing or is_silent_and_missing
             ):
-                self._core.gone(instance.name, now, "no machine runs it")
+                self._scheduler.remove_instance(
+                    instance.name, now, "no machine runs it"
+                )
                 self._wake.set()
 
     def _apply(self) -> None:
         self._wave_driver.step(self._listed)
-        evacuation.evacuate_all(self._core, self._clock.monotonic())
+        evacuation.evacuate_instances(self._scheduler, self._clock.monotonic())
         self._wake.set()
         self._mover.update_machines(self._listed)
--- a/src/vanillaswitch/coordination/fleet/machines/mover.py
+++ b/src/vanillaswitch/coordination/fleet/machines/mover.py
@@ -17,11 +17,11 @@
 import gevent.pool
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet.instances import core as cores
-from vanillaswitch.coordination.fleet.machines import capacity
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
+from vanillaswitch.coordination.fleet.machines import capacity_planner
 from vanillaswitch.coordination.fleet.machines import waves
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
+from vanillaswitch.coordination.fleet.queue import instance_state
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import fleet
 
@@ -64,7 +64,7 @@
             take effect at any moment.
     """
 
-    move: capacity.Move
+    move: capacity_planner.Move
     ordered_at: float
     accepted: bool
     in_doubt: bool = False
@@ -75,14 +75,14 @@
 
     def __init__(
         self,
-        core: cores.Core,
+        scheduler: schedulers.Scheduler,
         machines: fleet.Machines,
-        recorder: recorders.Recorder,
+        writer: fenced_writer.FencedWriter,
         orders_per_s: float,
         reserved: Callable[[], waves.ReservedMachines],
         clock: clocks.Clock,
         emit: Callable[[object], None],
-        policy: capacity.Policy = capacity.DEFAULT_POLICY,
+        policy: capacity_planner.ScalingPolicy = capacity_planner.DEFAULT_POLICY,
     ):
         """Creates a mover with an empty list of machines.
 
@@ -100,17 +100,17 @@
         self._reserved = reserved
         self._paused_until = 0.0
         self._emit = emit
-        self._core = core
+        self._scheduler = scheduler
         self._machines = machines
-        self._recorder = recorder
+        self._writer = writer
         self._clock = clock
-        self._planner = capacity.CapacityPlanner(policy)
+        self._planner = capacity_planner.CapacityPlanner(policy)
         self._listed: Mapping[str, fleet.Machine] = {}
         self._pending_moves: dict[str, _PendingMove] = {}
         self._unregistered_since: dict[str, float] = {}
         self._in_flight: set[str] = set()
         self._order_pool = gevent.pool.Pool(MAX_CONCURRENT_ORDERS)
-        self._rejected_moves: set[capacity.Move] = set()
+        self._rejected_moves: set[capacity_planner.Move] = set()
 
     @property
     def required_machines(self) -> Mapping[str, int]:
@@ -135,7 +135,7 @@
 
     def run(self) -> None:
         """Plans and orders moves until the term ends."""
-        while not self._recorder.deposed:
+        while not self._writer.is_term_over:
             self.step()
             self._clock.sleep(STEP_INTERVAL_S)
 
@@ -145,7 +145,7 @@
             # The capacity of a machine is unknown before the first read.
             return
         now = self._clock.monotonic()
-        if not self._recorder.may_order():
+        if not self._writer.may_operate_machines():
             self._planner.reset_surplus_timers()
         loads = self._pool_loads(self._reserved())
         unconfirmed = [
@@ -194,25 +194,25 @@
             name: self._unregistered_since.get(name, now)
             for name, machine in listed.items()
             if machine.state is fleet.MachineState.UP
-            and machine.instance not in self._core.instances
+            and machine.instance not in self._scheduler.instances
         }
 
     def _has_arrived(
         self, machine: fleet.Machine, order: _PendingMove, now: float
     ) -> bool:
-        pool = self._core.pools.get(machine.pool)
-        if pool is not None and pool.standby:
+        pool = self._scheduler.pools.get(machine.pool)
+        if pool is not None and pool.is_standby:
             return True
-        instance = self._core.instances.get(machine.instance)
+        instance = self._scheduler.instances.get(machine.instance)
         is_grace_over = now - order.ordered_at > ARRIVAL_GRACE_S
-        return is_grace_over or (instance is not None and instance.adopted)
+        return is_grace_over or (instance is not None and instance.is_adopted)
 
     def _pool_loads(
         self, reserved: waves.ReservedMachines
-    ) -> list[capacity.PoolLoad]:
+    ) -> list[capacity_planner.PoolLoad]:
         by_pool = self._machines_by_pool()
-        instances = self._core.by_pool()
-        min_machines = self._core.least_instances()
+        instances = self._scheduler.instances_by_pool()
+        min_machines = self._scheduler.min_instances()
         return [
             self._pool_load(
                 pool,
@@ -221,7 +221,7 @@
                 min_machines.get(pool.name, 1),
                 reserved,
             )
-            for pool in self._core.pools.values()
+            for pool in self._scheduler.pools.values()
         ]
 
     def _machines_by_pool(self) -> dict[str, list[fleet.Machine]]:
@@ -237,10 +237,10 @@
         self,
         pool: fleet.Pool,
         machines: Iterable[fleet.Machine],
-        instances: Iterable[rooms.Instance],
+        instances: Iterable[instance_state.Instance],
         min_machines: int,
         reserved: waves.ReservedMachines,
-    ) -> capacity.PoolLoad:
+    ) -> capacity_planner.PoolLoad:
         machine_count = 0
         pending = 0
         idle_machines: list[str] = []
@@ -262,39 +262,41 @@
         # maintenance of a machine that serves no pool takes no capacity.
         idle_machines.sort(key=lambda name: name in reserved.pending)
         used_cpu = sum(instance.used_cpu for instance in instances)
-        load = self._core.waiting_load.get(pool.name, fleet.Load())
+        load = self._scheduler.backlog_load.get(pool.name, fleet.Load())
         for instance in instances:
-            load += instance.short_load
-        return capacity.PoolLoad(
+            load += instance.finite_load
+        return capacity_planner.PoolLoad(
             name=pool.name,
-            demand_cpu=used_cpu + self._core.waiting_cpu.get(pool.name, 0),
+            demand_cpu=used_cpu + self._scheduler.backlog_cpu.get(pool.name, 0),
             min_machines=min_machines,
             machine_count=machine_count,
             idle_machines=idle_machines,
             machine_cpu=cpu,
             lost_cpu=lost_cpu,
-            mean_task_s=load.task_s,
+            mean_task_s=load.mean_task_s,
             arrival_growth=self._arrival_growth(pool.name),
             surge_machines=0
-            if pool.standby
+            if pool.is_standby
             else min(pending, MAINTENANCE_SURGE),
-            standby=pool.standby,
+            standby=pool.is_standby,
         )
 
     def _arrival_growth(self, pool: str) -> float:
-        arrivals = self._core.arrivals.get(pool)
+        arrivals = self._scheduler.arrivals.get(pool)
         if arrivals is None:
             return 0.0
         now = self._clock.monotonic()
-        return arrivals.growth(self._planner.growth_window_s, now)
+        return arrivals.demand_growth(self._planner.growth_window_s, now)
 
-    def _instance_on(self, machine: fleet.Machine) -> rooms.Instance | None:
-        return self._core.instances.get(machine.instance)
+    def _instance_on(
+        self, machine: fleet.Machine
+    ) -> instance_state.Instance | None:
+        return self._scheduler.instances.get(machine.instance)
 
     def _full_cpu(self, machine: fleet.Machine) -> int:
         """Returns the full capacity of a machine, thousandths of a core."""
         instance = self._instance_on(machine)
-        known = 0 if instance is None else instance.full_cpu
+        known = 0 if instance is None else instance.max_cpu
         return max(known, machine.capacity.cpu)
 
     def _lost_cpu(self, machine: fleet.Machine) -> int:
@@ -302,11 +304,11 @@
         instance = self._instance_on(machine)
         if instance is None:
             return 0
-        return instance.full_cpu - instance.capacity.cpu
+        return instance.max_cpu - instance.capacity.cpu
 
     def _is_in_service(self, machine: fleet.Machine, pool: fleet.Pool) -> bool:
         """Whether a machine serves its pool or soon will."""
-        if pool.standby:
+        if pool.is_standby:
             return machine.state is fleet.MachineState.UP
         if machine.state is not fleet.MachineState.UP:
             return False
@@ -314,10 +316,10 @@
         if instance is None:
             return self._may_register_soon(machine)
         return not (
-            instance.silent
-            or instance.leaving
-            or instance.cordoned
-            or instance.registration.draining
+            instance.is_unresponsive
+            or instance.is_terminating
+            or instance.is_cordoned
+            or instance.registration.is_draining
         )
 
     def _may_register_soon(self, machine: fleet.Machine) -> bool:
@@ -332,12 +334,14 @@
         return now - since <= ARRIVAL_GRACE_S
 
     def _is_idle(self, machine: fleet.Machine, pool: fleet.Pool) -> bool:
-        if pool.standby:
+        if pool.is_standby:
             return True
         instance = self._instance_on(machine)
-        return instance is not None and instance.adopted and not instance.runs
+        return (
+            instance is not None and instance.is_adopted and not instance.runs
+        )
 
-    def _start_order(self, move: capacity.Move, now: float) -> None:
+    def _start_order(self, move: capacity_planner.Move, now: float) -> None:
         """Sends an order in a new greenlet unless one is in flight.
 
         Does nothing for a machine that still runs tasks: a move ends them.
@@ -345,14 +349,14 @@
         machine = self._listed.get(move.machine)
         if machine is None or move.machine in self._in_flight:
             return
-        if not self._recorder.may_order():
+        if not self._writer.may_operate_machines():
             return
         instance = self._instance_on(machine)
         if instance is not None:
             if instance.runs:
                 return
             # No task may start there from here on.
-            instance.leaving = True
+            instance.is_terminating = True
         self._pending_moves.setdefault(
             move.machine, _PendingMove(move, now, False)
         )
@@ -361,15 +365,15 @@
 
     def _send_order(
         self,
-        move: capacity.Move,
-        instance: rooms.Instance | None,
+        move: capacity_planner.Move,
+        instance: instance_state.Instance | None,
         now: float,
     ) -> None:
         try:
             # The order may have waited for a free greenlet, so check again.
-            if self._recorder.may_order():
+            if self._writer.may_operate_machines():
                 outcome = self._machines.move(
-                    move.machine, move.pool, self._recorder.newest
+                    move.machine, move.pool, self._writer.newest_version
                 )
             else:
                 outcome = fleet.NoAnswer(
@@ -387,7 +391,7 @@
         )
         if isinstance(outcome, fleet.Accepted):
             self._pending_moves[move.machine] = _PendingMove(move, now, True)
-        elif isinstance(outcome, fleet.NoAnswer) and outcome.sent:
+        elif isinstance(outcome, fleet.NoAnswer) and outcome.may_take_effect:
             # The order may take effect at any moment. It is sent again with a
             # higher fencing token until it is answered. Where tokens are
             # checked, this also invalidates the earlier copy.
@@ -412,14 +416,14 @@
 
     def _drop_order(
         self,
-        move: capacity.Move,
+        move: capacity_planner.Move,
         outcome: object,
-        instance: rooms.Instance | None,
+        instance: instance_state.Instance | None,
     ) -> None:
         self._pending_moves.pop(move.machine, None)
         if instance is not None:
-            instance.leaving = False
+            instance.is_terminating = False
         if fleet.is_fenced(outcome):
-            self._recorder.depose()
+            self._writer.end_term()
         elif isinstance(outcome, fleet.Refused):
             self._rejected_moves.add(move)
--- a/src/vanillaswitch/coordination/fleet/machines/wave_driver.py
+++ b/src/vanillaswitch/coordination/fleet/machines/wave_controller.py
@@ -9,11 +9,11 @@
 from typing import Protocol
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet.instances import core as cores
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
 from vanillaswitch.coordination.fleet.machines import evacuation
 from vanillaswitch.coordination.fleet.machines import waves
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
+from vanillaswitch.coordination.fleet.queue import instance_state
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import fleet
 from vanillaswitch.state import deployment as deployments
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class WaveRecord:
+class WaveProgress:
     """Stored state of a wave, kept across changes of owner.
 
     Attributes:
@@ -48,17 +48,17 @@
             the count, a wave would seem to have time left when it has none.
     """
 
-    machines: Collection[str]
+    finished_machines: Collection[str]
     age_s: float
 
 
-class WaveBoard(Protocol):
+class WaveStore(Protocol):
     """Store of the operators' wave orders and of their progress."""
 
-    def orders(self) -> Iterable[fleet.WaveOrder]:
+    def wave_orders(self) -> Iterable[fleet.WaveOrder]:
         """Returns the waves that operators have ordered."""
 
-    def begin(self, wave: str) -> WaveRecord | None:
+    def start_wave(self, wave: str) -> WaveProgress | None:
         """Returns the stored state of a wave; None while it can't be read.
 
         Stores the current time as its start unless one is stored already.
@@ -67,19 +67,19 @@
     def save_finished(self, wave: str, machines: Collection[str]) -> bool:
         """Stores machines as finished; False when that failed."""
 
-    def report(self, wave: str, completed: bool) -> bool:
+    def report_status(self, wave: str, completed: bool) -> bool:
         """Writes the status for the operators; False when that failed."""
 
 
-class WaveDriver:
+class WaveController:
     """Drains machines of waves and orders their maintenance for one term."""
 
     def __init__(
         self,
-        core: cores.Core,
+        scheduler: schedulers.Scheduler,
         machines: fleet.Machines,
-        board: WaveBoard,
-        recorder: recorders.Recorder,
+        wave_store: WaveStore,
+        writer: fenced_writer.FencedWriter,
         bounds: deployments.Bounds,
         required_machines: Callable[[], Mapping[str, int]],
         moving: Callable[[], Collection[str]],
@@ -100,10 +100,10 @@
             clock: source of time.
             emit: receives events.
         """
-        self._core = core
+        self._scheduler = scheduler
         self._machines = machines
-        self._board = board
-        self._recorder = recorder
+        self._board = wave_store
+        self._writer = writer
         self._bounds = bounds
         self._required_machines = required_machines
         self._moving = moving
@@ -122,11 +122,11 @@
         for wave in self._waves.values():
             for progress in wave.machines.values():
                 if progress.phase in (
-                    waves.Phase.ORDERED,
-                    waves.Phase.IN_DOUBT,
+                    waves.MachinePhase.IN_MAINTENANCE,
+                    waves.MachinePhase.OUTCOME_UNKNOWN,
                 ):
                     unavailable.add(progress.machine)
-                elif progress.phase is waves.Phase.WAITING:
+                elif progress.phase is waves.MachinePhase.WAITING:
                     pending.add(progress.machine)
         return waves.ReservedMachines(
             frozenset(unavailable), frozenset(pending)
@@ -141,7 +141,7 @@
         """
         self._listed = listed
         now = self._clock.monotonic()
-        for order in self._board.orders():
+        for order in self._board.wave_orders():
             if order.name not in self._waves:
                 self._start(order, now)
         for wave in self._waves.values():
@@ -150,13 +150,13 @@
         self._update_cordons()
 
     def _start(self, order: fleet.WaveOrder, now: float) -> None:
-        record = self._board.begin(order.name)
+        record = self._board.start_wave(order.name)
         if record is None:
             return
-        wave = waves.begin(order, now - record.age_s)
-        for name in record.machines:
+        wave = waves.new_wave(order, now - record.age_s)
+        for name in record.finished_machines:
             if name in wave.machines:
-                wave.machines[name].phase = waves.Phase.DONE
+                wave.machines[name].phase = waves.MachinePhase.DONE
         self._waves[order.name] = wave
         self._emit_wave(wave, "begins", "", now)
 
@@ -177,7 +177,7 @@
 
     def _advance(self, wave: waves.Wave, now: float) -> None:
         before = _finished_machines(wave)
-        waves.observe(wave, self._listed, self._bounds.upkeep_s, now)
+        waves.update_progress(wave, self._listed, self._bounds.upkeep_s, now)
         finished = _finished_machines(wave)
         if finished != before:
             self._board.save_finished(wave.order.name, finished)
@@ -192,35 +192,35 @@
     ) -> None:
         """Orders maintenance of a draining machine once that is allowed."""
         phase = wave.machines[name].phase
-        if phase is waves.Phase.IN_DOUBT:
+        if phase is waves.MachinePhase.OUTCOME_UNKNOWN:
             # Check the disruption budgets again before the order is resent:
             # other tasks of the same steps may have become unavailable.
             instance = self._instance_on(name)
-            if instance is None or evacuation.may_end_all(
-                self._core, instance, now
+            if instance is None or evacuation.allows_disruption_of_all(
+                self._scheduler, instance, now
             ):
                 self._order_maintenance(wave, name)
-        elif phase is not waves.Phase.WAITING:
+        elif phase is not waves.MachinePhase.WAITING:
             # It left the list, or its maintenance was started by others.
             del self._draining[name]
-        elif waves.down(wave) < wave.order.max_count and self._is_ready(
-            name, wave, waited_s, now
-        ):
+        elif waves.count_in_maintenance(
+            wave
+        ) < wave.order.max_count and self._is_ready(name, wave, waited_s, now):
             self._order_maintenance(wave, name)
 
     def _report_status(self, wave: waves.Wave) -> None:
         if wave.reported is not None and not wave.completed:
             return
-        if self._board.report(wave.order.name, wave.completed):
+        if self._board.report_status(wave.order.name, wave.completed):
             wave.reported = wave.completed
             state = "completed" if wave.completed else "running"
             self._emit_wave(wave, state, "", self._clock.monotonic())
 
-    def _instance_on(self, machine: str) -> rooms.Instance | None:
+    def _instance_on(self, machine: str) -> instance_state.Instance | None:
         listed = self._listed.get(machine)
         if listed is None or not listed.instance:
             return None
-        return self._core.instances.get(listed.instance)
+        return self._scheduler.instances.get(listed.instance)
 
     def _drain_cost(self, machine: str) -> float:
         """Returns the sort key of a machine for draining, lowest first.
@@ -254,16 +254,16 @@
         }
         surplus = collections.Counter(
             instance.registration.service
-            for instance in self._core.instances.values()
-            if instance.usable(now) and instance.name not in draining
+            for instance in self._scheduler.instances.values()
+            if instance.is_schedulable(now) and instance.name not in draining
         )
         surplus.subtract(self._required_machines())
         return surplus
 
     def _active_pool(self, machine: str) -> str:
         """Returns the pool that a machine serves; empty for one on standby."""
-        pool = self._core.pools.get(self._listed[machine].pool)
-        return "" if pool is None or pool.standby else pool.name
+        pool = self._scheduler.pools.get(self._listed[machine].pool)
+        return "" if pool is None or pool.is_standby else pool.name
 
     def _choose_machines(self, wave: waves.Wave, now: float) -> None:
         """Chooses machines to drain, within the surplus of their pools.
@@ -308,7 +308,7 @@
             if name not in wave.machines or name not in self._listed:
                 continue
             pool = self._active_pool(name)
-            waiting = wave.machines[name].phase is waves.Phase.WAITING
+            waiting = wave.machines[name].phase is waves.MachinePhase.WAITING
             if waiting and pool and surplus[pool] < 0:
                 del self._draining[name]
                 surplus[pool] += 1
@@ -316,7 +316,7 @@
     def _is_behind(self, wave: waves.Wave, now: float) -> bool:
         """Whether the remaining machines need more time than the wave has."""
         left = sum(
-            progress.phase is not waves.Phase.DONE
+            progress.phase is not waves.MachinePhase.DONE
             for progress in wave.machines.values()
         )
         rounds = -(-left // wave.order.max_count)
@@ -340,10 +340,12 @@
         )
         if waited_s < grace_s:
             return False
-        return evacuation.may_end_all(self._core, instance, now)
+        return evacuation.allows_disruption_of_all(
+            self._scheduler, instance, now
+        )
 
     def _may_run_unread_jobs(
-        self, name: str, instance: rooms.Instance | None
+        self, name: str, instance: instance_state.Instance | None
     ) -> bool:
         """Whether a machine may run tasks that this owner does not know.
 
@@ -351,42 +353,44 @@
         reports of instances only. A machine whose instance has not reported
         yet must not be treated as empty: maintenance would end those runs.
         """
-        if not self._core.unread:
+        if not self._scheduler.unreadable_jobs:
             return False
         if instance is None:
             return bool(self._listed[name].instance)
-        return not instance.adopted
+        return not instance.is_adopted
 
     def _order_maintenance(self, wave: waves.Wave, name: str) -> None:
-        if not self._recorder.may_order():
+        if not self._writer.may_operate_machines():
             return
         instance = self._instance_on(name)
         if instance is not None:
             # Only the list shows whether the runs have ended: if an earlier
             # owner's order was carried out already, the platform accepts this
             # one without effect and the runs continue.
-            self._core.tell_upkeep(instance, self._clock.monotonic())
-            instance.leaving = True
+            self._scheduler.emit_maintenance_stops(
+                instance, self._clock.monotonic()
+            )
+            instance.is_terminating = True
             self._marked_leaving.add(name)
         outcome = self._machines.maintain(
-            name, wave.order.number, self._recorder.newest
+            name, wave.order.number, self._writer.newest_version
         )
         change = f"upkeep {type(outcome).__name__.lower()}"
         self._emit_wave(wave, change, name, self._clock.monotonic())
         progress = wave.machines[name]
         if isinstance(outcome, fleet.Accepted):
-            progress.phase = waves.Phase.ORDERED
+            progress.phase = waves.MachinePhase.IN_MAINTENANCE
             progress.ordered_at = self._clock.monotonic()
             progress.instance = self._listed[name].instance
             self._draining.pop(name, None)
-        elif isinstance(outcome, fleet.NoAnswer) and outcome.sent:
+        elif isinstance(outcome, fleet.NoAnswer) and outcome.may_take_effect:
             # Maintenance may start at any moment, so the machine counts as
             # down until the same order is answered.
-            progress.phase = waves.Phase.IN_DOUBT
+            progress.phase = waves.MachinePhase.OUTCOME_UNKNOWN
         elif fleet.is_fenced(outcome):
-            self._recorder.depose()
+            self._writer.end_term()
         elif instance is not None:
-            instance.leaving = False
+            instance.is_terminating = False
 
     def _update_cordons(self) -> None:
         """Cordons the instances of draining machines.
@@ -397,21 +401,21 @@
         pending = self.reserved.pending
         finished = set().union(*map(_finished_machines, self._waves.values()))
         for name, machine in self._listed.items():
-            instance = self._core.instances.get(machine.instance)
+            instance = self._scheduler.instances.get(machine.instance)
             if instance is not None:
-                instance.cordoned = name in self._draining
-                instance.due = name in pending
+                instance.is_cordoned = name in self._draining
+                instance.is_maintenance_due = name in pending
                 if name in self._marked_leaving & finished:
                     # Reset only what this driver has set: a mover sets it too.
                     self._marked_leaving.discard(name)
-                    instance.leaving = False
+                    instance.is_terminating = False
 
 
 def _finished_machines(wave: waves.Wave) -> set[str]:
     return {
         name
         for name, progress in wave.machines.items()
-        if progress.phase is waves.Phase.DONE
+        if progress.phase is waves.MachinePhase.DONE
     }
 
 
--- a/src/vanillaswitch/coordination/fleet/machines/waves.py
+++ b/src/vanillaswitch/coordination/fleet/machines/waves.py
@@ -16,12 +16,12 @@
 from vanillaswitch.protocol import fleet
 
 
-class Phase(enum.StrEnum):
+class MachinePhase(enum.StrEnum):
     """Progress of a machine of a wave."""
 
     WAITING = "waiting"
-    IN_DOUBT = "in-doubt"
-    ORDERED = "ordered"
+    OUTCOME_UNKNOWN = "in-doubt"
+    IN_MAINTENANCE = "ordered"
     DONE = "done"
 
 
@@ -35,7 +35,7 @@
     """
 
     machine: str
-    phase: Phase = Phase.WAITING
+    phase: MachinePhase = MachinePhase.WAITING
     instance: str = ""
     ordered_at: float = 0.0
 
@@ -73,17 +73,18 @@
     def completed(self) -> bool:
         """Whether each machine has been maintained or was removed."""
         return all(
-            progress.phase is Phase.DONE for progress in self.machines.values()
+            progress.phase is MachinePhase.DONE
+            for progress in self.machines.values()
         )
 
 
-def begin(order: fleet.WaveOrder, now: float) -> Wave:
+def new_wave(order: fleet.WaveOrder, now: float) -> Wave:
     """Returns a wave with all its machines waiting."""
     machines = {name: MachineProgress(name) for name in order.machines}
     return Wave(order, now, machines)
 
 
-def observe(
+def update_progress(
     wave: Wave, listed: Mapping[str, fleet.Machine], upkeep_s: float, now: float
 ) -> None:
     """Updates the progress of a wave from the list of machines.
@@ -102,23 +103,24 @@
     for progress in wave.machines.values():
         machine = listed.get(progress.machine)
         if machine is None:
-            progress.phase = Phase.DONE
-        elif machine.state is fleet.MachineState.UPKEEP:
-            if progress.phase is not Phase.ORDERED:
-                progress.phase = Phase.ORDERED
+            progress.phase = MachinePhase.DONE
+        elif machine.state is fleet.MachineState.MAINTENANCE:
+            if progress.phase is not MachinePhase.IN_MAINTENANCE:
+                progress.phase = MachinePhase.IN_MAINTENANCE
                 progress.ordered_at = now
-        elif progress.phase is Phase.ORDERED:
+        elif progress.phase is MachinePhase.IN_MAINTENANCE:
             unchanged = (
                 progress.instance and progress.instance == machine.instance
             )
             if unchanged or now - progress.ordered_at >= upkeep_s:
-                progress.phase = Phase.DONE
+                progress.phase = MachinePhase.DONE
 
 
-def down(wave: Wave) -> int:
+def count_in_maintenance(wave: Wave) -> int:
     """Returns how many machines of a wave are, or may be, in maintenance."""
     return sum(
-        progress.phase in (Phase.ORDERED, Phase.IN_DOUBT)
+        progress.phase
+        in (MachinePhase.IN_MAINTENANCE, MachinePhase.OUTCOME_UNKNOWN)
         for progress in wave.machines.values()
     )
 
@@ -143,9 +145,9 @@
     waiting = [
         progress.machine
         for progress in wave.machines.values()
-        if progress.phase is Phase.WAITING
+        if progress.phase is MachinePhase.WAITING
         and progress.machine not in moving
         and listed[progress.machine].state is fleet.MachineState.UP
     ]
-    limit = wave.order.max_count - down(wave) + drain_ahead
+    limit = wave.order.max_count - count_in_maintenance(wave) + drain_ahead
     return sorted(waiting, key=lambda name: (cost(name), name))[: max(0, limit)]
--- a/src/vanillaswitch/coordination/fleet/operators.py
+++ b/src/vanillaswitch/coordination/fleet/operator_table.py
@@ -8,21 +8,21 @@
 from typing import Any
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet import shared_time
-from vanillaswitch.coordination.fleet.machines import wave_driver
+from vanillaswitch.coordination.fleet import reference_clock
+from vanillaswitch.coordination.fleet.machines import wave_controller
 from vanillaswitch.internal import logs
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import platform
 from vanillaswitch.protocol import unusable
 
-FINISHED_TABLE = "wave"
+WAVE_PROGRESS_TABLE = "wave"
 
 _MAX_ATTEMPTS = 3
 
 
 @dataclasses.dataclass(frozen=True)
-class Format:
+class OperatorFormat:
     """The platform's format of rows that operators write and read.
 
     Attributes:
@@ -45,14 +45,14 @@
     wave_status: Callable[[bool], Mapping[str, Any]]
 
 
-class Operators:
+class OperatorTable:
     """Newest configuration and wave orders; implements ``WaveBoard``."""
 
     def __init__(
         self,
         table: platform.Table,
-        form: Format,
-        time: shared_time.SharedTime,
+        form: OperatorFormat,
+        time: reference_clock.ReferenceClock,
         emit: Callable[[object], None],
     ):
         self._emit = emit
@@ -67,31 +67,33 @@
         """The newest configuration; None before the first."""
         return self._config
 
-    def on_snapshot(self, snapshot: feeds.Snapshot) -> None:
+    def on_snapshot(self, snapshot: change_feeds.Snapshot) -> None:
         """Replaces all rows of the operators' table."""
         present = {row.key for row in snapshot.rows}
         for name in self._waves.keys() - present:
             del self._waves[name]
         self.on_changes(snapshot.rows)
 
-    def on_changes(self, changes: Iterable[feeds.Change]) -> None:
+    def on_changes(self, changes: Iterable[change_feeds.RowChange]) -> None:
         """Applies changed rows of the operators' table."""
         for change in changes:
-            if change.damage:
+            if change.read_error:
                 # The previous content of the row stays in force.
-                self._report_unusable(change, change.damage)
+                self._report_unusable(change, change.read_error)
             elif change.key == self._format.config_key and change.value:
                 self._on_config(change, change.value)
             elif change.key.startswith(self._format.wave_prefix):
                 self._on_wave(change)
 
-    def _report_unusable(self, change: feeds.Change, why: str) -> None:
+    def _report_unusable(
+        self, change: change_feeds.RowChange, why: str
+    ) -> None:
         self._emit(
             events.RowUnusable("operators", change.key, change.version, why)
         )
 
     def _on_config(
-        self, change: feeds.Change, document: Mapping[str, Any]
+        self, change: change_feeds.RowChange, document: Mapping[str, Any]
     ) -> None:
         config = self._format.config(document)
         if isinstance(config, unusable.Unusable):
@@ -102,7 +104,7 @@
         self._config = config
         self._emit(events.ConfigInForce(config.version, len(config.queues)))
 
-    def _on_wave(self, change: feeds.Change) -> None:
+    def _on_wave(self, change: change_feeds.RowChange) -> None:
         if change.value is None:
             self._waves.pop(change.key, None)
             return
@@ -112,16 +114,16 @@
             return
         self._waves[change.key] = wave
 
-    def orders(self) -> Iterable[fleet.WaveOrder]:
+    def wave_orders(self) -> Iterable[fleet.WaveOrder]:
         """Returns the waves that operators have ordered."""
         return tuple(self._waves.values())
 
-    def begin(self, wave: str) -> wave_driver.WaveRecord | None:
+    def start_wave(self, wave: str) -> wave_controller.WaveProgress | None:
         """Returns the stored state of a wave; stores its start if it is new."""
-        key = f"{FINISHED_TABLE}/{wave}"
+        key = f"{WAVE_PROGRESS_TABLE}/{wave}"
         began: dict[str, Any] = {
             "machines": [],
-            "began_store_ms": self._time.now_ms or 0,
+            "began_store_ms": self._time.store_now_ms or 0,
         }
 
         def begun(document: Mapping[str, Any]) -> dict[str, Any]:
@@ -138,8 +140,10 @@
             # The start is unknown, so the age counts from now.
             logs.warning("{}: began_store_ms is not a number, using now", key)
             began_ms = 0
-        age_s = self._time.age_s(began_ms)
-        return wave_driver.WaveRecord(tuple(finished_machines(row)), age_s)
+        age_s = self._time.age_of_s(began_ms)
+        return wave_controller.WaveProgress(
+            tuple(finished_machines(row)), age_s
+        )
 
     def save_finished(self, wave: str, machines: Collection[str]) -> bool:
         """Adds machines to the stored finished machines of a wave.
@@ -151,9 +155,9 @@
             known = finished_machines(document) | set(machines)
             return dict(document) | {"machines": sorted(known)}
 
-        return self._update(f"{FINISHED_TABLE}/{wave}", merged)
+        return self._update(f"{WAVE_PROGRESS_TABLE}/{wave}", merged)
 
-    def report(self, wave: str, completed: bool) -> bool:
+    def report_status(self, wave: str, completed: bool) -> bool:
         """Writes the status of a wave for the operators."""
         status = dict(self._format.wave_status(completed))
         done = dict(self._format.wave_status(True))
--- a/src/vanillaswitch/coordination/fleet/ownership/recorder.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/fenced_writer.py
@@ -73,7 +73,7 @@
 new one would operate on machines without the delay after its predecessor."""
 
 
-def owner_row(document: Mapping[str, Any]) -> OwnerRow:
+def decode_owner_row(document: Mapping[str, Any]) -> OwnerRow:
     """Decodes the owner's row."""
     fields = [document.get(name) for name in ("holder", "address", "boot")]
     texts = [field for field in fields if isinstance(field, str)]
@@ -95,11 +95,11 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Deposed:
+class TermOver:
     """The term is over: the transaction is not known to have taken effect."""
 
 
-class Recorder:
+class FencedWriter:
     """Writes rows during one term of ownership."""
 
     def __init__(
@@ -126,7 +126,7 @@
         return self._token
 
     @property
-    def newest(self) -> int:
+    def newest_version(self) -> int:
         """Version of the last successful write; increases within a term."""
         return self._version
 
@@ -146,15 +146,15 @@
         return self._answered_at
 
     @property
-    def deposed(self) -> bool:
+    def is_term_over(self) -> bool:
         """Whether this term is over."""
         return self._is_term_over
 
-    def depose(self) -> None:
+    def end_term(self) -> None:
         """Ends the term, for example because a higher token was seen."""
         self._is_term_over = True
 
-    def may_order(self) -> bool:
+    def may_operate_machines(self) -> bool:
         """Returns whether the owner may operate on machines now.
 
         Its lease has to be fresh, and a previous owner that was only slow must
@@ -186,7 +186,7 @@
             self._token = outcome.version
         return isinstance(outcome, Written)
 
-    def write(self, puts: Sequence[platform.Put]) -> Written | Deposed:
+    def write(self, puts: Sequence[platform.Put]) -> Written | TermOver:
         """Writes rows and renews the lease.
 
         Retries until the outcome is known or the term is over.
@@ -204,7 +204,7 @@
         row: OwnerRow,
         puts: Sequence[platform.Put],
         timeout_s: float | None,
-    ) -> Written | Deposed:
+    ) -> Written | TermOver:
         token = f"{self._own_row.boot}-{next(self._ids)}"
         owner = platform.Put(OWNER_KEY, self._version, row.document())
         transaction = platform.Transaction(token, (owner, *puts))
@@ -227,7 +227,7 @@
             self._clock.sleep(backoff_s)
             backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
         self._is_term_over = True
-        return Deposed()
+        return TermOver()
 
 
 def _applied_version(outcome: platform.CommitOutcome, token: str) -> int | None:
