--- a/src/vanillaswitch/coordination/fleet/ownership/job_tables.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/job_tables.py
@@ -4,16 +4,16 @@
 from collections.abc import Iterable
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet import follow
-from vanillaswitch.coordination.fleet import shared_time
-from vanillaswitch.coordination.fleet.instances import core as cores
+from vanillaswitch.coordination.fleet import reference_clock
+from vanillaswitch.coordination.fleet import table_follower
 from vanillaswitch.coordination.fleet.instances import lease_times
-from vanillaswitch.coordination.fleet.intake import job_rows
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
+from vanillaswitch.coordination.fleet.job_requests import job_rows
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.coordination.fleet.ownership import spec_table
-from vanillaswitch.coordination.fleet.queue import book as books
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.internal import clock as clocks
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import unusable
 
@@ -27,10 +27,10 @@
 
     def __init__(
         self,
-        core: cores.Core,
-        feed: feeds.Feed,
+        scheduler: schedulers.Scheduler,
+        feed: change_feeds.ChangeFeed,
         clock: clocks.Clock,
-        time: shared_time.SharedTime,
+        time: reference_clock.ReferenceClock,
         emit: Callable[[object], None],
         on_change: Callable[[], None],
         specs: spec_table.SpecTable,
@@ -47,26 +47,26 @@
             on_change: called when the plan may be out of date.
             specs: receives the ids of jobs that were added.
         """
-        self._core = core
+        self._scheduler = scheduler
         self._specs = specs
         self._clock = clock
         self._time = time
         self._on_change = on_change
-        self._progress_without_job: dict[str, feeds.Change] = {}
+        self._progress_without_job: dict[str, change_feeds.RowChange] = {}
         self._quarantined: set[str] = set()
         self._emit = emit
-        self._orphans: list[books.Entry] = []
-        self._jobs = follow.Follower(
+        self._orphans: list[job_tracker.JobEntry] = []
+        self._jobs = table_follower.Follower(
             feed,
-            recorders.JOB_TABLE,
+            fenced_writer.JOB_TABLE,
             clock,
             lambda snapshot: self._on_jobs(snapshot.rows),
             self._on_jobs,
             emit,
         )
-        self._cancels = follow.Follower(
+        self._cancels = table_follower.Follower(
             feed,
-            recorders.CANCEL_TABLE,
+            fenced_writer.CANCEL_TABLE,
             clock,
             lambda snapshot: self._on_cancels(snapshot.rows),
             self._on_cancels,
@@ -75,9 +75,9 @@
 
     def start_from(
         self,
-        accepted: feeds.Snapshot,
-        progress: feeds.Snapshot,
-        cancelled: feeds.Snapshot,
+        accepted: change_feeds.Snapshot,
+        progress: change_feeds.Snapshot,
+        cancelled: change_feeds.Snapshot,
         now: float,
     ) -> None:
         """Restores the rows of earlier owners and resumes from their versions.
@@ -91,19 +91,21 @@
         rows = {
             row.key: row
             for row in progress.rows
-            if row.value is not None or row.damage
+            if row.value is not None or row.read_error
         }
         for number, row in enumerate(accepted.rows, 1):
             self._restore(row, rows.pop(row.key, None), now)
             if number % RESTORE_BATCH == 0:
                 self._clock.sleep(0)
         self._progress_without_job = rows
-        self._jobs.start_from(accepted)
+        self._jobs.resume_from(accepted)
         self._specs.start_from(accepted.version)
         self._classify_unread_jobs()
-        self._core.inherit_runs(now, lease_times.inherited_lapse_at(now))
+        self._scheduler.recover_runs(
+            now, lease_times.inherited_lease_expiry(now)
+        )
         self._on_cancels(cancelled.rows)
-        self._cancels.start_from(cancelled)
+        self._cancels.resume_from(cancelled)
 
     def follow_jobs(self) -> None:
         """Follows the table of jobs; does not return."""
@@ -113,7 +115,7 @@
         """Follows the table of cancels; does not return."""
         self._cancels.run()
 
-    def take_orphans(self) -> list[books.Entry]:
+    def take_orphans(self) -> list[job_tracker.JobEntry]:
         """Returns and forgets entries for progress rows without a job.
 
         The jobs were removed; the entries let the owner remove the rows too.
@@ -122,41 +124,44 @@
         return orphans
 
     def _restore(
-        self, row: feeds.Change, progress: feeds.Change | None, now: float
+        self,
+        row: change_feeds.RowChange,
+        progress: change_feeds.RowChange | None,
+        now: float,
     ) -> None:
         """Restores one job at the start of the term."""
-        if row.value is None and not row.damage:
+        if row.value is None and not row.read_error:
             return
         job = self._decode_job(row)
         if job is None:
             return
         if progress is None:
-            self._core.job_added(job, now, self._job_age_s(job))
+            self._scheduler.add_job(job, now, self._job_age_s(job))
             return
         if progress.value is None:
-            self._quarantine_unusable_progress(progress, progress.damage)
+            self._quarantine_unusable_progress(progress, progress.read_error)
             return
-        problem = self._core.restore(
+        problem = self._scheduler.restore(
             job, progress.value, progress.version, now, self._job_age_s(job)
         )
         if problem is not None:
             self._quarantine_unusable_progress(progress, problem.reason)
 
-    def _decode_job(self, row: feeds.Change) -> jobs.Job | None:
+    def _decode_job(self, row: change_feeds.RowChange) -> jobs.Job | None:
         """Decodes a job's row; returns None if the row is unusable.
 
         A known job continues as it was accepted. An unknown job is quarantined:
         it was accepted, but its row may have been overwritten since.
         """
         decoded = (
-            unusable.Unusable(row.damage)
+            unusable.Unusable(row.read_error)
             if row.value is None
             else job_rows.unpack(row.value)
         )
         if isinstance(decoded, jobs.Job):
             return decoded
-        self._report_unusable(recorders.JOB_TABLE, row, decoded.reason)
-        if self._core.book.get(row.key) is None:
+        self._report_unusable(fenced_writer.JOB_TABLE, row, decoded.reason)
+        if self._scheduler.tracker.get(row.key) is None:
             self._quarantine(row.key)
         return None
 
@@ -164,10 +169,12 @@
         """Prevents that anything is started or stopped for a job."""
         self._progress_without_job.pop(job_id, None)
         self._quarantined.add(job_id)
-        self._core.unread = set(self._core.unread) | {job_id}
+        self._scheduler.unreadable_jobs = set(
+            self._scheduler.unreadable_jobs
+        ) | {job_id}
 
     def _quarantine_unusable_progress(
-        self, row: feeds.Change, why: str
+        self, row: change_feeds.RowChange, why: str
     ) -> None:
         """Quarantines a job whose progress can't be decoded.
 
@@ -175,15 +182,17 @@
         would run some of them twice. Its current runs continue and nothing new
         starts.
         """
-        self._report_unusable(recorders.PROGRESS_TABLE, row, why)
+        self._report_unusable(fenced_writer.PROGRESS_TABLE, row, why)
         self._quarantine(row.key)
 
-    def _report_unusable(self, table: str, row: feeds.Change, why: str) -> None:
+    def _report_unusable(
+        self, table: str, row: change_feeds.RowChange, why: str
+    ) -> None:
         self._emit(events.RowUnusable(table, row.key, row.version, why))
 
     def _job_age_s(self, job: jobs.Job) -> float:
-        self._time.handed_in(job.submitted_ms, job.submitted_wall_ms)
-        return self._time.age_s(job.submitted_ms)
+        self._time.add_wall_sample(job.submitted_ms, job.submitted_wall_ms)
+        return self._time.age_of_s(job.submitted_ms)
 
     def _classify_unread_jobs(self) -> None:
         """Tells jobs that can't be read yet from jobs that were removed.
@@ -193,21 +202,21 @@
         unless it has ended. Stopping them or starting them again would break
         the guarantees that the previous owner gave to the client.
         """
-        if self._jobs.whole:
+        if self._jobs.is_complete:
             self._orphans.extend(
                 map(_orphan_entry, self._progress_without_job.values())
             )
             self._progress_without_job = {}
-        self._core.unread = self._quarantined | {
+        self._scheduler.unreadable_jobs = self._quarantined | {
             key
             for key, row in self._progress_without_job.items()
-            if row.value is None or not books.has_ended(row.value)
+            if row.value is None or not job_tracker.has_ended(row.value)
         }
 
-    def _on_jobs(self, changes: Iterable[feeds.Change]) -> None:
+    def _on_jobs(self, changes: Iterable[change_feeds.RowChange]) -> None:
         now = self._clock.monotonic()
         for change in changes:
-            if change.value is None and not change.damage:
+            if change.value is None and not change.read_error:
                 continue
             job = self._decode_job(change)
             if job is None or change.key in self._quarantined:
@@ -216,44 +225,46 @@
             if progress is not None:
                 self._restore_late(job, progress, now)
             else:
-                self._core.job_added(job, now, self._job_age_s(job))
+                self._scheduler.add_job(job, now, self._job_age_s(job))
             self._specs.on_job_added(job.job_id)
         if self._progress_without_job:
             self._classify_unread_jobs()
         self._on_change()
 
     def _restore_late(
-        self, job: jobs.Job, progress: feeds.Change, now: float
+        self, job: jobs.Job, progress: change_feeds.RowChange, now: float
     ) -> None:
         """Restores a job whose row became readable during the term."""
         if progress.value is None:
-            self._quarantine_unusable_progress(progress, progress.damage)
+            self._quarantine_unusable_progress(progress, progress.read_error)
             return
-        self._core.unread = set(self._core.unread) - {job.job_id}
-        problem = self._core.restore_late(
+        self._scheduler.unreadable_jobs = set(
+            self._scheduler.unreadable_jobs
+        ) - {job.job_id}
+        problem = self._scheduler.restore_deferred(
             job,
             progress.value,
             progress.version,
             now,
-            lease_times.inherited_lapse_at(now),
+            lease_times.inherited_lease_expiry(now),
             self._job_age_s(job),
         )
         if problem is not None:
             self._quarantine_unusable_progress(progress, problem.reason)
 
-    def _on_cancels(self, changes: Iterable[feeds.Change]) -> None:
+    def _on_cancels(self, changes: Iterable[change_feeds.RowChange]) -> None:
         now = self._clock.monotonic()
         for change in changes:
             # The key is enough: even if the content was overwritten, the
             # cancel was confirmed to its client.
-            if change.value is not None or change.damage:
-                self._core.cancelled(change.key, now)
+            if change.value is not None or change.read_error:
+                self._scheduler.cancel_job(change.key, now)
         self._on_change()
 
 
-def _orphan_entry(row: feeds.Change) -> books.Entry:
+def _orphan_entry(row: change_feeds.RowChange) -> job_tracker.JobEntry:
     """Returns an entry for a progress row whose job was removed."""
     job = jobs.Job(row.key, "", "", "", (jobs.Step(count=1),), 0)
-    entry = books.Entry(job, 0.0)
+    entry = job_tracker.JobEntry(job, 0.0)
     entry.version = row.version
     return entry
--- a/src/vanillaswitch/coordination/fleet/ownership/owner.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/owner.py
@@ -9,26 +9,26 @@
 import gevent.event
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet import follow
-from vanillaswitch.coordination.fleet import shared_time
-from vanillaswitch.coordination.fleet.instances import advice_task
-from vanillaswitch.coordination.fleet.instances import core as cores
-from vanillaswitch.coordination.fleet.instances import instance_task
-from vanillaswitch.coordination.fleet.instances import instance_tasks
-from vanillaswitch.coordination.fleet.instances import listing
+from vanillaswitch.coordination.fleet import reference_clock
+from vanillaswitch.coordination.fleet import table_follower
+from vanillaswitch.coordination.fleet.instances import instance_client
+from vanillaswitch.coordination.fleet.instances import instance_clients
+from vanillaswitch.coordination.fleet.instances import registration_watcher
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
 from vanillaswitch.coordination.fleet.instances import term_state
-from vanillaswitch.coordination.fleet.machines import machine_task
-from vanillaswitch.coordination.fleet.machines import wave_driver
+from vanillaswitch.coordination.fleet.instances import ticket_refresher
+from vanillaswitch.coordination.fleet.machines import machine_controller
+from vanillaswitch.coordination.fleet.machines import wave_controller
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.coordination.fleet.ownership import job_tables
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
+from vanillaswitch.coordination.fleet.ownership import owner_monitor
 from vanillaswitch.coordination.fleet.ownership import retention
 from vanillaswitch.coordination.fleet.ownership import spec_table
-from vanillaswitch.coordination.fleet.ownership import succession
-from vanillaswitch.coordination.fleet.queue import book as books
+from vanillaswitch.coordination.fleet.queue import job_tracker
+from vanillaswitch.coordination.fleet.queue import pacing
 from vanillaswitch.coordination.fleet.queue import queue_order
-from vanillaswitch.coordination.fleet.queue import sharing
 from vanillaswitch.internal import clock as clocks
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import platform
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Outside:
+class Dependencies:
     """The services that an owner calls.
 
     Attributes:
@@ -72,14 +72,14 @@
     """
 
     table: platform.Table
-    feed: feeds.Feed
+    feed: change_feeds.ChangeFeed
     upstreams: fleet.Upstreams
     machines: fleet.Machines
     advisor: fleet.Advisor
-    registrations: str
-    registration: listing.Decode
-    waves: wave_driver.WaveBoard
-    time: shared_time.SharedTime
+    registration_table: str
+    decode_registration: registration_watcher.RegistrationDecoder
+    waves: wave_controller.WaveStore
+    time: reference_clock.ReferenceClock
 
 
 class Owner:
@@ -87,8 +87,8 @@
 
     def __init__(
         self,
-        outside: Outside,
-        recorder: recorders.Recorder,
+        outside: Dependencies,
+        writer: fenced_writer.FencedWriter,
         settings: deployments.Deployment,
         config: Callable[[], fleet.FleetConfig | None],
         clock: clocks.Clock,
@@ -96,84 +96,88 @@
     ):
         self._emit = emit
         self._outside = outside
-        self._recorder = recorder
+        self._writer = writer
         self._settings = settings
         self._config = config
         self._clock = clock
         self._config_version = -1
         self._loaded = False
         self._finishing = False
-        self._removed_entries: list[books.Entry] = []
+        self._removed_entries: list[job_tracker.JobEntry] = []
         self._is_recording = False
-        self._wake = gevent.event.Event()
-        self._core = cores.Core(
+        self._replan_event = gevent.event.Event()
+        self._scheduler = schedulers.Scheduler(
             queue_order.ORDERS.get(queue_order.DEFAULT_ORDER),
             emit,
             settings.bounds,
         )
-        self._means = instance_task.Means(
-            self._core, outside.upstreams, recorder, clock, self._wake
+        self._means = instance_client.CallContext(
+            self._scheduler,
+            outside.upstreams,
+            writer,
+            clock,
+            self._replan_event,
         )
-        self._instances = instance_tasks.InstanceTasks(self._means)
-        self._advice = advice_task.AdviceTask(
-            self._core,
+        self._instances = instance_clients.InstanceClients(self._means)
+        self._advice = ticket_refresher.TicketRefresher(
+            self._scheduler,
             outside.advisor,
             clock,
-            self._wake,
-            lambda: outside.time.wall_ms,
+            self._replan_event,
+            lambda: outside.time.wall_now_ms,
         )
-        self._listing = listing.Listing(
-            self._core,
+        self._listing = registration_watcher.RegistrationWatcher(
+            self._scheduler,
             outside.feed,
-            outside.registrations,
-            outside.registration,
+            outside.registration_table,
+            outside.decode_registration,
             clock,
             emit,
-            self._wake.set,
+            self._replan_event.set,
             settings.bounds.contact_s + settings.heartbeat_s,
         )
         self._specs = spec_table.SpecTable(
-            self._core,
+            self._scheduler,
             outside.table,
             outside.feed,
             clock,
-            lambda: recorder.newest,
+            lambda: writer.newest_version,
             emit,
-            self._wake.set,
+            self._replan_event.set,
         )
-        self._tables = job_tables.JobTables(
-            self._core,
+        self._job_tables = job_tables.JobTables(
+            self._scheduler,
             outside.feed,
             clock,
             outside.time,
             emit,
-            self._wake.set,
+            self._replan_event.set,
             self._specs,
         )
-        self._machines = machine_task.MachineTask(
-            self._core,
+        self._machines = machine_controller.MachineController(
+            self._scheduler,
             outside.machines,
             outside.waves,
-            recorder,
+            writer,
             settings,
             clock,
-            self._wake,
+            self._replan_event,
             emit,
         )
 
     @property
-    def core(self) -> cores.Core:
+    def scheduler(self) -> schedulers.Scheduler:
         """The state on which the owner decides."""
-        return self._core
+        return self._scheduler
 
     def recorded_state(self, job_id: str) -> jobs.JobState | None:
         """Returns the recorded state of a job; None if the job is unknown."""
-        entry = self._core.book.get(job_id)
-        return None if entry is None else entry.shown
+        entry = self._scheduler.tracker.get(job_id)
+        return None if entry is None else entry.recorded_state
 
     def pending(self, queue: str) -> int:
         """Returns how many jobs of a queue have not started yet."""
-        return self._core.book.pending(queue)
+        return self._scheduler.tracker.count_pending(queue)
 
     def load(self, is_leaving: Callable[[], bool] = lambda: False) -> bool:
         """Loads the rows of earlier owners.
@@ -190,12 +194,12 @@
         """
         until = self._clock.monotonic() + MAX_LOAD_S
         with self._lease_renewal():
-            while not self._recorder.deposed and not is_leaving():
-                if self._read_all():
+            while not self._writer.is_term_over and not is_leaving():
+                if self._load_tables():
                     return True
                 if self._clock.monotonic() >= until:
                     return False
-                self._clock.sleep(follow.RETRY_S)
+                self._clock.sleep(table_follower.RETRY_S)
             return False
 
     @contextlib.contextmanager
@@ -215,19 +219,19 @@
             renewing.kill(block=False)
 
     def _renew_until_loaded(self) -> None:
-        while not self._loaded and not self._recorder.deposed:
-            self._recorder.write([])
-            self._clock.sleep(succession.RENEW_INTERVAL_S / 2)
+        while not self._loaded and not self._writer.is_term_over:
+            self._writer.write([])
+            self._clock.sleep(owner_monitor.RENEW_INTERVAL_S / 2)
 
-    def _read_all(self) -> bool:
+    def _load_tables(self) -> bool:
         """Loads all tables; returns whether each could be read."""
         read = [
             snapshot
             for table in (
-                self._outside.registrations,
-                recorders.JOB_TABLE,
-                recorders.PROGRESS_TABLE,
-                recorders.CANCEL_TABLE,
+                self._outside.registration_table,
+                fenced_writer.JOB_TABLE,
+                fenced_writer.PROGRESS_TABLE,
+                fenced_writer.CANCEL_TABLE,
             )
             if (snapshot := self._read_table(table)) is not None
         ]
@@ -236,13 +240,13 @@
         listed, accepted, progress, cancelled = read
         now = self._clock.monotonic()
         self._refresh_config()
-        self._listing.start_from(listed)
-        self._tables.start_from(accepted, progress, cancelled, now)
+        self._listing.resume_from(listed)
+        self._job_tables.start_from(accepted, progress, cancelled, now)
         return True
 
-    def _read_table(self, table: str) -> feeds.Snapshot | None:
+    def _read_table(self, table: str) -> change_feeds.Snapshot | None:
         outcome = self._outside.feed.snapshot(table)
-        if isinstance(outcome, feeds.Snapshot):
+        if isinstance(outcome, change_feeds.Snapshot):
             return outcome
         self._emit(events.Dependency(f"table {table}", "lost", outcome.reason))
         return None
@@ -253,11 +257,11 @@
         tasks = [
             gevent.spawn(run)
             for run in (
-                self._plan_all,
+                self._run_planning,
                 self._run_recording,
                 self._listing.run,
-                self._tables.follow_jobs,
-                self._tables.follow_cancels,
+                self._job_tables.follow_jobs,
+                self._job_tables.follow_cancels,
                 self._specs.follow,
                 self._specs.read_missing,
                 self._machines.run,
@@ -270,7 +274,7 @@
             task.link_exception(
                 lambda task: gevent.kill(caller, task.exception)
             )
-        self._instances.ensure()
+        self._instances.start_missing()
         try:
             yield
         finally:
@@ -278,7 +282,7 @@
 
     def wait(self, is_leaving: Callable[[], bool]) -> None:
         """Waits until the term is over or the process shuts down."""
-        while not self._recorder.deposed and not is_leaving():
+        while not self._writer.is_term_over and not is_leaving():
             self._clock.sleep(TICK_S)
 
     def finish(self, timeout_s: float) -> None:
@@ -290,20 +294,20 @@
 
     # Planning and recording.
 
-    def _plan_all(self) -> None:
+    def _run_planning(self) -> None:
         """Plans whenever something changed, until the term ends."""
         checked_at = float("-inf")
-        while not self._recorder.deposed and not self._finishing:
-            self._wake.wait(TICK_S)
-            self._wake.clear()
+        while not self._writer.is_term_over and not self._finishing:
+            self._replan_event.wait(TICK_S)
+            self._replan_event.clear()
             now = self._clock.monotonic()
             due = now - checked_at >= TICK_S
             if due:
                 checked_at = now
                 self._run_periodic_checks(now)
-            if due or self._core.changed:
-                self._core.plan(now, self._outside.time.wall_ms)
-                self._advice.ask_for_waiting()
+            if due or self._scheduler.needs_plan:
+                self._scheduler.plan(now, self._outside.time.wall_now_ms)
+                self._advice.request_missing_tickets()
             self._send_stops()
             took_s = self._clock.monotonic() - now
             self._clock.sleep(max(BATCH_WINDOW_S, PLAN_PAUSE_FACTOR * took_s))
@@ -311,23 +315,23 @@
     def _run_periodic_checks(self, now: float) -> None:
         """Runs the checks that depend on time alone."""
         self._refresh_config()
-        self._listing.judge_missing(now)
-        self._listing.judge_rooms(now)
-        self._instances.ensure()
-        self._core.lapse(now)
-        self._core.stop_again(now)
-        self._core.stop_stalled(now)
+        self._listing.mark_missing_unlisted(now)
+        self._listing.check_registration_age(now)
+        self._instances.start_missing()
+        self._scheduler.release_expired_leases(now)
+        self._scheduler.resend_stops(now)
+        self._scheduler.stop_stalled_runs(now)
         self._send_pacing(now)
 
     def _send_stops(self) -> None:
-        for stop in self._core.take_stops():
+        for stop in self._scheduler.take_stops():
             task = self._instances.get(stop.instance)
             if task is not None:
                 task.send_stop(stop)
 
     def _send_pacing(self, now: float) -> None:
-        for name, instance in self._core.instances.items():
-            for pace in sharing.plan(instance, now):
+        for name, instance in self._scheduler.instances.items():
+            for pace in pacing.plan_paces(instance, now):
                 task = self._instances.get(name)
                 if task is not None:
                     task.send_pace(pace)
@@ -336,66 +340,70 @@
         config = self._config()
         if config is not None and config.version != self._config_version:
             self._config_version = config.version
-            self._core.configured(config)
+            self._scheduler.apply_config(config)
 
     def _run_recording(self) -> None:
         """Records changes and renews the lease until the term ends."""
         # Renews at once: restoring thousands of jobs takes a weak machine
         # most of a second, during which nothing was renewed.
         last = float("-inf")
-        while not self._recorder.deposed and not self._finishing:
+        while not self._writer.is_term_over and not self._finishing:
             now = self._clock.monotonic()
-            due = now - last >= succession.RENEW_INTERVAL_S
-            if not due and not self._core.has_work:
+            due = now - last >= owner_monitor.RENEW_INTERVAL_S
+            if not due and not self._scheduler.has_rows_to_write:
                 self._clock.sleep(BATCH_WINDOW_S)
                 continue
             self._clock.sleep(BATCH_WINDOW_S)
             last = self._clock.monotonic()
             self._is_recording = True
-            self._record(self._core.take_batch(recorders.MAX_ROWS_PER_WRITE))
+            self._record(
+                self._scheduler.take_batch(fenced_writer.MAX_ROWS_PER_WRITE)
+            )
             self._is_recording = False
 
     def _run_retention(self) -> None:
         """Removes the rows of jobs that ended long ago, until the term ends."""
-        while not self._recorder.deposed and not self._finishing:
+        while not self._writer.is_term_over and not self._finishing:
             self._clock.sleep(retention.SCAN_INTERVAL_S)
-            store_ms = self._outside.time.now_ms
+            store_ms = self._outside.time.store_now_ms
             if store_ms is None:
                 continue
             expired = retention.expired_jobs(
-                self._core.book, self._settings.bounds.status_s, store_ms
+                self._scheduler.tracker,
+                self._settings.bounds.status_s,
+                store_ms,
             )
             for entry in expired:
                 if retention.remove_job(self._outside.table, entry.job.job_id):
-                    self._core.book.remove(entry.job.job_id)
+                    self._scheduler.tracker.remove(entry.job.job_id)
                     self._removed_entries.append(entry)
 
-    def _record(self, batch: term_state.Batch) -> None:
+    def _record(self, batch: term_state.WriteBatch) -> None:
         """Writes a batch; acknowledges its ends and sends its starts after."""
         states = [entry.state for entry in batch.entries]
-        store_ms = self._outside.time.now_ms or 0.0
+        store_ms = self._outside.time.store_now_ms or 0.0
         puts = [
             platform.Put(
-                f"{recorders.PROGRESS_TABLE}/{entry.job.job_id}",
+                f"{fenced_writer.PROGRESS_TABLE}/{entry.job.job_id}",
                 entry.version,
-                entry.pack(store_ms),
+                entry.to_document(store_ms),
             )
             for entry in batch.entries
         ]
-        removed = self._removed_entries + self._tables.take_orphans()
-        free_rows = recorders.MAX_ROWS_PER_WRITE - len(puts)
+        removed = self._removed_entries + self._job_tables.take_orphans()
+        free_rows = fenced_writer.MAX_ROWS_PER_WRITE - len(puts)
         self._removed_entries = removed[free_rows:]
         puts.extend(retention.progress_removals(removed[:free_rows]))
-        written = self._recorder.write(puts)
-        if isinstance(written, recorders.Deposed):
+        written = self._writer.write(puts)
+        if isinstance(written, fenced_writer.TermOver):
             return
         for entry, state in zip(batch.entries, states, strict=True):
             entry.version = written.version
-            entry.shown = state
-        for name, number in batch.seen.items():
+            entry.recorded_state = state
+        for name, number in batch.recorded_ends.items():
             task = self._instances.get(name)
             if task is not None:
-                task.recorded(number, batch.lives[name])
+                task.mark_recorded(number, batch.incarnations[name])
         for start in batch.starts:
             task = self._instances.get(start.instance)
             if task is not None:
--- a/src/vanillaswitch/coordination/fleet/ownership/member.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/owner_candidate.py
@@ -6,10 +6,10 @@
 import random
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet import operators
+from vanillaswitch.coordination.fleet import operator_table
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.coordination.fleet.ownership import owner as owners
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
-from vanillaswitch.coordination.fleet.ownership import succession
+from vanillaswitch.coordination.fleet.ownership import owner_monitor
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import logs
 from vanillaswitch.protocol import platform
@@ -50,13 +50,13 @@
 without an answer."""
 
 
-class Member:
+class OwnerCandidate:
     """Takes the fleet over when it has no live owner."""
 
     def __init__(
         self,
-        outside: owners.Outside,
-        operator: operators.Operators,
+        outside: owners.Dependencies,
+        operator: operator_table.OperatorTable,
         settings: deployments.Deployment,
         boot: str,
         clock: clocks.Clock,
@@ -77,12 +77,12 @@
         self._watch = watch
         self._watched_address = ""
         self._stream_ended = False
-        self._own_row = recorders.OwnerRow(
+        self._own_row = fenced_writer.OwnerRow(
             settings.process, settings.internal_address, boot
         )
-        self._succession = succession.Succession()
+        self._succession = owner_monitor.OwnerMonitor()
         self._owner: owners.Owner | None = None
-        self._recorder: recorders.Recorder | None = None
+        self._writer: fenced_writer.FencedWriter | None = None
         self._shutting_down = False
         self._owner_checked = False
         self._unreachable_boot = ""
@@ -101,12 +101,12 @@
     @property
     def store_answered_at(self) -> float:
         """Monotonic seconds when the store last answered."""
-        recorder = self._recorder
-        if self._owner is not None and recorder is not None:
-            return recorder.confirmed_at
+        writer = self._writer
+        if self._owner is not None and writer is not None:
+            return writer.confirmed_at
         return self._store_answered_at
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Ends this process's term, if any, and stops taking over."""
         self._shutting_down = True
 
@@ -120,14 +120,14 @@
             self._watch_owner()
             now = self._clock.monotonic()
             poll_faster = (
-                self._succession.suspect(now)
+                self._succession.is_suspect(now)
                 or self._succession.is_unresponsive
                 or bool(self._unreachable_boot)
             )
             self._pause(
-                succession.SUSPECT_READ_INTERVAL_S
+                owner_monitor.SUSPECT_READ_INTERVAL_S
                 if poll_faster
-                else succession.READ_INTERVAL_S
+                else owner_monitor.READ_INTERVAL_S
             )
 
     def _pause(self, seconds: float) -> None:
@@ -142,7 +142,7 @@
             self._clock.sleep(min(HINT_POLL_S, seconds))
         self._stream_ended = False
 
-    def stream_closed(self, address: str) -> None:
+    def on_stream_closed(self, address: str) -> None:
         """Handles the end of a stream, a hint that its process ended.
 
         The owner's process is checked at once. By its row alone, a killed owner
@@ -166,20 +166,24 @@
     def _read_owner_row(self) -> None:
         """Reads the owner's row, and checks its process if that is due."""
         asked_at = self._clock.monotonic()
-        read = self._outside.table.read([recorders.OWNER_KEY])
+        read = self._outside.table.read([fenced_writer.OWNER_KEY])
         now = self._clock.monotonic()
         if isinstance(read, platform.Unavailable):
-            self._succession.unread()
+            self._succession.on_read_failed()
             return
         self._store_answered_at = now
         store_was_down = not self._succession.is_row_readable
         version = read.rows[0].version if read.rows else platform.ABSENT
-        row = recorders.owner_row(read.rows[0].value) if read.rows else None
-        self._succession.observed(row, version, asked_at, now)
+        row = (
+            fenced_writer.decode_owner_row(read.rows[0].value)
+            if read.rows
+            else None
+        )
+        self._succession.on_row_read(row, version, asked_at, now)
         # A process that has just started checks the owner at once. All
         # processes may have been lost, and waiting until the row is suspect
         # would cost a second in which no task starts.
-        suspect = self._succession.suspect(now)
+        suspect = self._succession.is_suspect(now)
         if (
             not self._owner_checked
             or suspect
@@ -194,18 +198,18 @@
             if self._succession.has_process_ended(self._succession.row.boot):
                 self._report_term_over(self._succession.row)
 
-    def _probe_owner(self, row: recorders.OwnerRow) -> None:
+    def _probe_owner(self, row: fenced_writer.OwnerRow) -> None:
         """Records whether a connection to the owner can be opened."""
         self._unreachable_boot = ""
         if not row.address or row.boot == self._own_row.boot:
             return
         error = self._probe(row.address)
         if error == errno.ECONNREFUSED:
-            self._succession.process_ended(row.boot)
+            self._succession.on_process_ended(row.boot)
         elif error:
             self._unreachable_boot = row.boot
 
-    def _check_owner(self, row: recorders.OwnerRow) -> None:
+    def _check_owner(self, row: fenced_writer.OwnerRow) -> None:
         """Finds out whether the term of a suspect owner is over.
 
         Its process has ended if nothing listens at its address, or if this
@@ -215,7 +219,7 @@
         if not row.address or row.boot == self._own_row.boot:
             return
         if row.address == self._own_row.address:
-            self._succession.process_ended(row.boot)
+            self._succession.on_process_ended(row.boot)
         elif row.boot != self._unreachable_boot:
             self._probe_owner(row)
         self._unreachable_boot = ""
@@ -229,7 +233,7 @@
             self._succession.on_term_ended()
         self._report_term_over(row)
 
-    def _report_term_over(self, row: recorders.OwnerRow) -> None:
+    def _report_term_over(self, row: fenced_writer.OwnerRow) -> None:
         age_s = self._succession.unchanged_for_s(self._clock.monotonic())
         self._emit_owner("found-over", row.holder, 0, age_s)
 
@@ -239,7 +243,7 @@
         age_ms = int(age_s * 1000)
         self._emit(events.OwnerChanged(change, holder, token, age_ms))
 
-    def yield_term(self, patience_s: float) -> bool:
+    def step_down_if_stale(self, patience_s: float) -> bool:
         """Ends this process's term if its writes have gone unanswered.
 
         Args:
@@ -248,19 +252,19 @@
         Returns:
             Whether this process has no term now.
         """
-        recorder = self._recorder
+        writer = self._writer
         # A term begins with its first write, before the rows are loaded. An
         # owner that stepped down while loading would never serve.
-        if recorder is None or recorder.deposed:
+        if writer is None or writer.is_term_over:
             return True
         # Counts from the answer. Counted from when the write was sent, an
         # owner on a store 45 times slower would step down for every process
         # that has just started.
-        age = self._clock.monotonic() - recorder.answered_at
+        age = self._clock.monotonic() - writer.answered_at
         if age < patience_s:
             return False
-        self._emit_owner("yielded", self._own_row.holder, recorder.token, age)
-        recorder.depose()
+        self._emit_owner("yielded", self._own_row.holder, writer.token, age)
+        writer.end_term()
         return True
 
     def _may_take_over(self) -> bool:
@@ -278,7 +282,7 @@
         self._clock.sleep(wait_s + max(0.0, shortfall) * WEAK_MACHINE_DELAY_S)
         return True
 
-    def _row_to_write(self) -> recorders.OwnerRow:
+    def _row_to_write(self) -> fenced_writer.OwnerRow:
         """Returns the owner's row as this process would write it."""
         known_weakness = self._succession.row.weakness
         own_weakness = machine_weakness(self._settings)
@@ -291,20 +295,20 @@
 
     def _take_over(self) -> None:
         """Tries to take over, and serves until the term is over."""
-        recorder = recorders.Recorder(
+        writer = fenced_writer.FencedWriter(
             self._outside.table, self._clock, self._row_to_write()
         )
         now = self._clock.monotonic()
-        orders_from = self._succession.orders_from(
+        orders_from = self._succession.operations_allowed_from(
             self._settings.bounds.lease_s, now
         )
-        if not recorder.take_over(self._succession.version, orders_from):
+        if not writer.take_over(self._succession.version, orders_from):
             return
-        self._recorder = recorder
-        self._emit_owner("began", self._own_row.holder, recorder.token, 0.0)
+        self._writer = writer
+        self._emit_owner("began", self._own_row.holder, writer.token, 0.0)
         owner = owners.Owner(
             self._outside,
-            recorder,
+            writer,
             self._settings,
             lambda: self._operator.config,
             self._clock,
@@ -315,7 +319,7 @@
                 "the fleet's rows could not be loaded; releasing the fleet"
                 " to another process"
             )
-            recorder.release(RELEASE_TIMEOUT_S)
+            writer.release(RELEASE_TIMEOUT_S)
             return
         self._owner = owner
         try:
@@ -324,12 +328,10 @@
                 owner.finish(RELEASE_TIMEOUT_S)
         finally:
             self._owner = None
-            age_s = self._clock.monotonic() - recorder.confirmed_at
-            self._emit_owner(
-                "ended", self._own_row.holder, recorder.token, age_s
-            )
-        if not recorder.deposed:
-            recorder.release(RELEASE_TIMEOUT_S)
+            age_s = self._clock.monotonic() - writer.confirmed_at
+            self._emit_owner("ended", self._own_row.holder, writer.token, age_s)
+        if not writer.is_term_over:
+            writer.release(RELEASE_TIMEOUT_S)
 
 
 def machine_weakness(settings: deployments.Deployment) -> float:
--- a/src/vanillaswitch/coordination/fleet/ownership/succession.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/owner_monitor.py
@@ -6,13 +6,13 @@
 and gets the chance to write first after an outage.
 """
 
-from vanillaswitch.coordination.fleet.ownership import recorder
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 
 RENEW_INTERVAL_S = 0.4
 """Longest pause between two writes of the owner; several fit into
 ``TERM_S``."""
 
-TERM_S = 1.6
+TERM_TIMEOUT_S = 1.6
 """The owner counts as lost when its row stays unchanged for this long, which
 is three missed writes. Ending a term too early costs a change of owner, but is
 safe."""
@@ -40,12 +40,12 @@
 """Pause between two reads of the row of a suspect owner."""
 
 
-class Succession:
+class OwnerMonitor:
     """Tracks the owner's row and its process, as seen by one process."""
 
     def __init__(self) -> None:
         """Creates the state before the first read."""
-        self._row = recorder.OwnerRow("", "", "")
+        self._row = fenced_writer.OwnerRow("", "", "")
         self._version = 0
         self._unchanged_since: float | None = None
         self._ended_boot = ""
@@ -59,7 +59,7 @@
         return SUSPECT_AFTER_S + READ_LATENCY_FACTOR * self._read_latency_s
 
     @property
-    def row(self) -> recorder.OwnerRow:
+    def row(self) -> fenced_writer.OwnerRow:
         """The owner's row as of the last successful read."""
         return self._row
 
@@ -86,9 +86,9 @@
         """The row's version as of the last successful read; 0 for no row."""
         return self._version
 
-    def observed(
+    def on_row_read(
         self,
-        row: recorder.OwnerRow | None,
+        row: fenced_writer.OwnerRow | None,
         version: int,
         asked_at: float,
         now: float,
@@ -107,9 +107,9 @@
             self._is_term_over = False
             self._unresponsive_boot = ""
         self._version = version
-        self._row = row or recorder.OwnerRow("", "", "")
+        self._row = row or fenced_writer.OwnerRow("", "", "")
 
-    def unread(self) -> None:
+    def on_read_failed(self) -> None:
         """Records that the row could not be read."""
         self._unchanged_since = None
 
@@ -121,7 +121,7 @@
             else now - self._unchanged_since
         )
 
-    def orders_from(self, lease_s: float, now: float) -> float:
+    def operations_allowed_from(self, lease_s: float, now: float) -> float:
         """Returns the time from which a new owner may operate on machines.
 
         An owner that was only slow may have operated on a machine just before
@@ -141,7 +141,7 @@
         """
         return boot == self._ended_boot
 
-    def process_ended(self, boot: str) -> None:
+    def on_process_ended(self, boot: str) -> None:
         """Records that the owner's process has certainly ended."""
         self._ended_boot = boot
 
@@ -164,12 +164,14 @@
             return False
         if self._has_no_owner:
             return True
-        timeout_s = UNRESPONSIVE_TERM_S if self.is_unresponsive else TERM_S
+        timeout_s = (
+            UNRESPONSIVE_TERM_S if self.is_unresponsive else TERM_TIMEOUT_S
+        )
         return (
             now - self._unchanged_since
             >= timeout_s + READ_LATENCY_FACTOR * self._read_latency_s
         )
 
-    def suspect(self, now: float) -> bool:
+    def is_suspect(self, now: float) -> bool:
         """Returns whether the owner has not written for too long."""
         return self.unchanged_for_s(now) >= self.suspect_after_s
--- a/src/vanillaswitch/coordination/fleet/ownership/owner_link.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/owner_rpc.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from vanillaswitch.coordination.fleet.intake import questions
+from vanillaswitch.coordination.fleet.job_requests import peer_calls
 from vanillaswitch.coordination.fleet.ownership import owner as owners
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import peer_transport
@@ -13,17 +13,17 @@
 the timeout there is still time to ask the store before the client gives up."""
 
 
-class OwnerLink:
+class OwnerRpc:
     """Asks the owner, or answers itself while this process owns the fleet."""
 
     def __init__(
         self,
-        questions_: questions.Questions,
+        questions_: peer_calls.PeerCalls,
         boot: str,
         me: str,
         local: Callable[[], owners.Owner | None],
         address: Callable[[], str],
-        yield_term: Callable[[float], bool],
+        step_down_if_stale: Callable[[float], bool],
     ):
         """Creates the link.
 
@@ -41,10 +41,10 @@
         self._me = me
         self._local = local
         self._address = address
-        self._yield_term = yield_term
+        self._yield_term = step_down_if_stale
 
     def on_message(
-        self, message: peers.Message, reply: peer_transport.Reply
+        self, message: peers.Message, reply: peer_transport.SendReply
     ) -> None:
         """Handles a message of another process, if it is about ownership."""
         if isinstance(message, peers.JobQuestion):
@@ -54,7 +54,7 @@
             ended = other or self._yield_term(message.patience_s)
             reply(peers.OwnerStanding(message.question, self._boot, ended))
         elif isinstance(message, peers.JobAnswer | peers.OwnerStanding):
-            self._questions.answered(message.question, message)
+            self._questions.on_answer(message.question, message)
 
     def state(self, job_id: str) -> jobs.JobState | None:
         """Asks the owner for a job's recorded state; None if unknown."""
@@ -68,7 +68,7 @@
         answer = self._ask("", queue)
         return None if answer is None else answer.pending
 
-    def term_ended(
+    def ask_term_ended(
         self, address: str, boot: str, patience_s: float
     ) -> bool | None:
         """Asks an owner that has stopped writing whether its term is over.
@@ -82,7 +82,7 @@
         Returns:
             Whether its term is over; None without an answer.
         """
-        answer = self._questions.ask(
+        answer = self._questions.call(
             address,
             lambda number: peers.OwnerQuestion(
                 number, boot, patience_s, self._me
@@ -96,7 +96,7 @@
     def _ask(self, job_id: str, queue: str) -> peers.JobAnswer | None:
         if self._local() is not None:
             return self._answer(peers.JobQuestion("", job_id, queue))
-        answer = self._questions.ask(
+        answer = self._questions.call(
             self._address(),
             lambda number: peers.JobQuestion(number, job_id, queue),
             ANSWER_S,
--- a/src/vanillaswitch/coordination/fleet/ownership/retention.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/retention.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable
 from collections.abc import Sequence
 
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
-from vanillaswitch.coordination.fleet.queue import book as books
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.protocol import platform
 
 RETENTION_MARGIN_S = 30.0
@@ -29,8 +29,8 @@
 
 
 def expired_jobs(
-    entries: Iterable[books.Entry], status_s: float, store_ms: float
-) -> list[books.Entry]:
+    entries: Iterable[job_tracker.JobEntry], status_s: float, store_ms: float
+) -> list[job_tracker.JobEntry]:
     """Returns jobs whose rows may be removed, at most ``MAX_BATCH``.
 
     Args:
@@ -43,7 +43,10 @@
     cutoff_ms = store_ms - (status_s + RETENTION_MARGIN_S) * 1000
     found = []
     for entry in entries:
-        if entry.shown.ended and 0 < entry.ended_ms < cutoff_ms:
+        if (
+            entry.recorded_state.is_final
+            and 0 < entry.ended_store_ms < cutoff_ms
+        ):
             found.append(entry)
             if len(found) == MAX_BATCH:
                 break
@@ -56,7 +59,11 @@
     Returns:
         Whether the rows are known to be removed.
     """
-    tables = recorders.JOB_TABLE, recorders.SPEC_TABLE, recorders.CANCEL_TABLE
+    tables = (
+        fenced_writer.JOB_TABLE,
+        fenced_writer.SPEC_TABLE,
+        fenced_writer.CANCEL_TABLE,
+    )
     keys = [f"{table}/{job_id}" for table in tables]
     read = table.read(keys)
     if isinstance(read, platform.Unavailable):
@@ -68,11 +75,13 @@
     return isinstance(table.commit(transaction), platform.Committed)
 
 
-def progress_removals(entries: Sequence[books.Entry]) -> list[platform.Put]:
+def progress_removals(
+    entries: Sequence[job_tracker.JobEntry],
+) -> list[platform.Put]:
     """Returns the writes that remove the progress rows of jobs."""
     return [
         platform.Put(
-            f"{recorders.PROGRESS_TABLE}/{entry.job.job_id}",
+            f"{fenced_writer.PROGRESS_TABLE}/{entry.job.job_id}",
             entry.version,
             None,
         )
--- a/src/vanillaswitch/coordination/fleet/ownership/spec_table.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/spec_table.py
@@ -13,12 +13,12 @@
 import gevent
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet import follow
-from vanillaswitch.coordination.fleet.instances import core as cores
-from vanillaswitch.coordination.fleet.intake import job_rows
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
+from vanillaswitch.coordination.fleet import table_follower
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
+from vanillaswitch.coordination.fleet.job_requests import job_rows
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.internal import clock as clocks
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import platform
 from vanillaswitch.protocol import unusable
 
@@ -33,8 +33,8 @@
 UNUSABLE_RETRY_S = 2.0
 """Pause before an unusable spec is read again."""
 
-_CHANGES_SOURCE = f"table {recorders.SPEC_TABLE}"
-_ROWS_SOURCE = f"rows of table {recorders.SPEC_TABLE}"
+_CHANGES_SOURCE = f"table {fenced_writer.SPEC_TABLE}"
+_ROWS_SOURCE = f"rows of table {fenced_writer.SPEC_TABLE}"
 
 MAX_EARLY_SPECS = 1000
 """Specs kept for jobs that are not known yet. One transaction writes both, but
@@ -46,9 +46,9 @@
 
     def __init__(
         self,
-        core: cores.Core,
+        scheduler: schedulers.Scheduler,
         table: platform.Table,
-        feed: feeds.Feed,
+        feed: change_feeds.ChangeFeed,
         clock: clocks.Clock,
         newest_version: Callable[[], int],
         emit: Callable[[object], None],
@@ -66,7 +66,7 @@
             emit: receives events.
             on_change: called when a job may start.
         """
-        self._core = core
+        self._scheduler = scheduler
         self._table = table
         self._feed = feed
         self._clock = clock
@@ -92,19 +92,21 @@
         """Assigns the specs of new jobs; does not return."""
         while True:
             outcome = self._feed.changes(
-                recorders.SPEC_TABLE, self._version, follow.LONG_POLL_S
+                fenced_writer.SPEC_TABLE,
+                self._version,
+                table_follower.LONG_POLL_S,
             )
             if isinstance(outcome, platform.Unavailable):
                 self._report_state(_CHANGES_SOURCE, outcome.reason)
-                self._clock.sleep(follow.RETRY_S)
+                self._clock.sleep(table_follower.RETRY_S)
                 continue
             self._report_state(_CHANGES_SOURCE, "")
-            if isinstance(outcome, feeds.HistoryLost):
+            if isinstance(outcome, change_feeds.HistoryTruncated):
                 # Specs written in between are read singly. The version of
                 # the owner's last write may be too old as well, until the
                 # next write.
                 self._version = self._newest_version()
-                self._clock.sleep(follow.RETRY_S)
+                self._clock.sleep(table_follower.RETRY_S)
                 continue
             self._version = outcome.version
             for change in outcome.changes:
@@ -131,8 +133,8 @@
         """Returns a few of the jobs that would start next."""
         now = self._clock.monotonic()
         job_ids: list[str] = []
-        for job_id in self._core.without_spec:
-            entry = self._core.book.get(job_id)
+        for job_id in self._scheduler.jobs_without_spec:
+            entry = self._scheduler.tracker.get(job_id)
             if entry is None or entry.spec is not None:
                 continue
             if now >= self._retry_at.get(job_id, now):
@@ -142,10 +144,10 @@
         return job_ids
 
     def _read_spec(self, job_id: str) -> None:
-        read = self._table.read([f"{recorders.SPEC_TABLE}/{job_id}"])
+        read = self._table.read([f"{fenced_writer.SPEC_TABLE}/{job_id}"])
         if isinstance(read, platform.Unavailable):
             self._report_state(_ROWS_SOURCE, read.reason)
-            self._delay_read(job_id, follow.RETRY_S)
+            self._delay_read(job_id, table_follower.RETRY_S)
             return
         self._report_state(_ROWS_SOURCE, "")
         if not read.rows:
@@ -158,19 +160,19 @@
         else:
             self._assign_spec(job_id, spec)
 
-    def _on_spec_change(self, change: feeds.Change) -> None:
+    def _on_spec_change(self, change: change_feeds.RowChange) -> None:
         if change.value is None:
             return
         spec = job_rows.unpack_spec(change.value)
         if isinstance(spec, unusable.Unusable):
             self._report_unusable(change.key, change.version, spec.reason)
-        elif self._core.book.get(change.key) is not None:
+        elif self._scheduler.tracker.get(change.key) is not None:
             self._assign_spec(change.key, spec)
         elif len(self._early_specs) < MAX_EARLY_SPECS:
             self._early_specs[change.key] = spec
 
     def _assign_spec(self, job_id: str, spec: str) -> None:
-        problem = self._core.spec_read(job_id, spec)
+        problem = self._scheduler.set_spec(job_id, spec)
         if problem is not None:
             self._report_unusable(job_id, 0, problem.reason)
             return
@@ -185,7 +187,7 @@
         """
         self._delay_read(job_id, UNUSABLE_RETRY_S)
         self._emit(
-            events.RowUnusable(recorders.SPEC_TABLE, job_id, version, why)
+            events.RowUnusable(fenced_writer.SPEC_TABLE, job_id, version, why)
         )
 
     def _delay_read(self, job_id: str, seconds: float) -> None:
--- a/src/vanillaswitch/coordination/fleet/queue/arrivals.py
+++ b/src/vanillaswitch/coordination/fleet/queue/arrival_rate.py
@@ -17,7 +17,7 @@
 """How long arrivals are kept. Growth is measured over a shorter window."""
 
 
-class Arrivals:
+class ArrivalRate:
     """Counts the jobs that arrived for one pool."""
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         self._usual_cpu: float | None = None
         self._times: collections.deque[float] = collections.deque()
 
-    def observe(self, cpu: int, now: float) -> None:
+    def record_job(self, cpu: int, now: float) -> None:
         """Records the arrival of a job.
 
         Args:
@@ -39,7 +39,7 @@
             self._usual_cpu = cpu
         self._usual_cpu += SMOOTHING * (cpu - self._usual_cpu)
 
-    def growth(self, window_s: float, now: float) -> float:
+    def demand_growth(self, window_s: float, now: float) -> float:
         """Returns how fast demand grew in a window, at the usual job size.
 
         Args:
--- a/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
+++ b/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
@@ -12,7 +12,7 @@
 import enum
 
 
-class Kind(enum.StrEnum):
+class CrashKind(enum.StrEnum):
     """How certain it is that a run crashed its instance.
 
     Attributes:
@@ -24,13 +24,13 @@
             instance crashed at all.
     """
 
-    ALONE = "alone"
-    NEW = "new"
-    WORKED = "worked"
-    UNSURE = "unsure"
+    SOLE_NEW_RUN = "alone"
+    NEW_RUN = "new"
+    PROVEN_RUN = "worked"
+    UNCERTAIN = "unsure"
 
 
-PROVEN_S = 0.1
+MIN_PROOF_S = 0.1
 """A run that its instance reports for this long did not crash it by
 starting."""
 
@@ -38,7 +38,7 @@
 """A run clears its task after this multiple of the longest time that a crashed
 run of the task worked."""
 
-MOST_PROOF_S = 2.0
+MAX_PROOF_S = 2.0
 """Longest time for which nothing else starts beside a suspect task."""
 
 FULLY_CLEARED_S = 10.0
@@ -71,8 +71,8 @@
 
     run: int
     instance: str
-    kind: Kind
-    worked_s: float = 0.0
+    kind: CrashKind
+    run_time_s: float = 0.0
 
     @property
     def text(self) -> str:
@@ -80,47 +80,51 @@
         return f"run {self.run} on {self.instance}: {self.kind}"
 
 
-def proof_s(crashes: Sequence[Crash]) -> float:
+def required_proof_s(crashes: Sequence[Crash]) -> float:
     """Returns how long a task's next run has to work to clear the task.
 
     Half a second of work does not clear a task that crashes its instances
     after a second.
     """
-    longest_s = max((crash.worked_s for crash in crashes), default=0.0)
-    return min(max(PROVEN_S, PROOF_FACTOR * longest_s), MOST_PROOF_S)
+    longest_s = max((crash.run_time_s for crash in crashes), default=0.0)
+    return min(max(MIN_PROOF_S, PROOF_FACTOR * longest_s), MAX_PROOF_S)
 
 
-def convicts(crashes: Sequence[Crash], *, lasting: bool) -> bool:
+def exceeds_crash_limit(
+    crashes: Sequence[Crash], *, long_running: bool
+) -> bool:
     """Whether a task is given up because of crashes during its runs.
 
     Args:
         crashes: crashes of instances during its runs.
         lasting: whether the task runs until its job is cancelled.
     """
-    extra = EXTRA_CRASHES_LONG_RUNNING if lasting else 0
+    extra = EXTRA_CRASHES_LONG_RUNNING if long_running else 0
     kinds = [crash.kind for crash in crashes]
-    certain = len(kinds) - kinds.count(Kind.UNSURE)
+    certain = len(kinds) - kinds.count(CrashKind.UNCERTAIN)
     # A run that worked shows that no earlier run crashed its instance by
     # starting there.
     latest = kinds[_last_worked_index(kinds) + 1 :]
-    alone = latest.count(Kind.ALONE)
-    new = alone + latest.count(Kind.NEW)
+    alone = latest.count(CrashKind.SOLE_NEW_RUN)
+    new = alone + latest.count(CrashKind.NEW_RUN)
     return (
         (alone > 0 and new >= MAX_SOLE_CAUSE_CRASHES + extra)
         or new >= MAX_NEW_RUN_CRASHES + extra
         or certain >= MAX_CERTAIN_CRASHES + extra
-        or (not lasting and len(kinds) >= MAX_CRASHES)
+        or (not long_running and len(kinds) >= MAX_CRASHES)
     )
 
 
-def _last_worked_index(kinds: Sequence[Kind]) -> int:
+def _last_worked_index(kinds: Sequence[CrashKind]) -> int:
     """Returns the index of the last run that had worked; -1 for none."""
-    worked = [at for at, kind in enumerate(kinds) if kind is Kind.WORKED]
+    worked = [
+        at for at, kind in enumerate(kinds) if kind is CrashKind.PROVEN_RUN
+    ]
     return max(worked, default=-1)
 
 
-def left_after(
-    crashes: Sequence[Crash], worked_s: float, *, lasting: bool
+def remaining_crashes(
+    crashes: Sequence[Crash], run_time_s: float, *, long_running: bool
 ) -> list[Crash]:
     """Returns the crashes that still count against a task.
 
@@ -129,15 +133,15 @@
         worked_s: for how long its current run has worked.
         lasting: whether the task runs until its job is cancelled.
     """
-    if worked_s < MOST_PROOF_S:
+    if run_time_s < MAX_PROOF_S:
         return list(crashes)
-    if lasting or worked_s >= FULLY_CLEARED_S:
+    if long_running or run_time_s >= FULLY_CLEARED_S:
         return []
-    return [crash for crash in crashes if crash.kind is Kind.WORKED]
+    return [crash for crash in crashes if crash.kind is CrashKind.PROVEN_RUN]
 
 
 def is_suspect(crashes: Sequence[Crash]) -> bool:
     """Whether a task has to run in isolation after its last crash."""
     if not crashes:
         return False
-    return crashes[-1].kind is not Kind.WORKED or len(crashes) > 1
+    return crashes[-1].kind is not CrashKind.PROVEN_RUN or len(crashes) > 1
--- a/src/vanillaswitch/coordination/fleet/queue/rooms.py
+++ b/src/vanillaswitch/coordination/fleet/queue/instance_state.py
@@ -8,9 +8,9 @@
 import dataclasses
 import itertools
 
-from vanillaswitch.coordination.fleet.instances import lives
+from vanillaswitch.coordination.fleet.instances import incarnations
 from vanillaswitch.coordination.fleet.queue import crash_evidence
-from vanillaswitch.coordination.fleet.queue import known_room
+from vanillaswitch.coordination.fleet.queue import known_capacity
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 
@@ -21,7 +21,7 @@
 _INCARNATION_NUMBERS = itertools.count(1)
 """Numbers of incarnations, unique over all instances."""
 
-LATE_S = 15.0
+MAX_ORDER_DELAY_S = 15.0
 """Longest delay after which an unanswered order may still be executed. The
 platform only specifies that it takes seconds."""
 
@@ -77,28 +77,28 @@
     task: jobs.TaskName
     run: int
     step: jobs.Step
-    need: fleet.Resources
+    demand: fleet.Resources
     decided_at: float
     sent: bool = False
     confirmed: bool = False
-    unanswered: bool = False
+    has_unanswered_start: bool = False
     inherited: bool = False
-    in_doubt: bool = False
-    unread: bool = False
-    stopping: float | None = None
+    may_be_stopping: bool = False
+    has_unknown_demand: bool = False
+    stop_requested_at: float | None = None
     stop_sent_at: float = 0.0
-    void_since: float | None = None
+    cannot_start_since: float | None = None
     percent: float = 0.0
     progress_at: float = dataclasses.field(init=False)
-    listed_at: float = _NEVER
-    begun_at: float | None = None
+    reported_at: float = _NEVER
+    started_at: float | None = None
     stalled_s: float = 0.0
-    saved: str = ""
-    apart: bool = False
-    begun_before: bool = False
-    unsent: bool = False
-    cleared: bool = False
-    proof_s: float = crash_evidence.PROVEN_S
+    checkpoint: str = ""
+    is_isolated: bool = False
+    started_before_term: bool = False
+    is_start_unsent: bool = False
+    is_cleared: bool = False
+    required_proof_s: float = crash_evidence.MIN_PROOF_S
     born_ms: int | None = None
     gauge: float = 0.0
     pace: int = FULL_PACE
@@ -113,48 +113,48 @@
         return self.task, self.run
 
     @property
-    def was_listed(self) -> bool:
+    def was_reported(self) -> bool:
         """Whether its instance has reported it in its current incarnation."""
-        return self.listed_at > _NEVER
+        return self.reported_at > _NEVER
 
     @property
-    def proven(self) -> bool:
+    def is_proven(self) -> bool:
         """Whether it has worked for ``proof_s``."""
-        if self.begun_at is None:
+        if self.started_at is None:
             return False
-        return self.worked_s >= self.proof_s
+        return self.run_time_s >= self.required_proof_s
 
     @property
-    def worked_s(self) -> float:
+    def run_time_s(self) -> float:
         """Seconds between its start and the last report that lists it."""
-        if self.begun_at is None:
+        if self.started_at is None:
             return 0.0
-        return max(0.0, self.listed_at - self.begun_at)
+        return max(0.0, self.reported_at - self.started_at)
 
-    def begin(self, now: float) -> None:
+    def mark_started(self, now: float) -> None:
         """Records that its instance confirmed its start.
 
         Args:
             now: monotonic seconds.
         """
         self.confirmed = True
-        if self.begun_at is None:
-            self.begun_at = now
+        if self.started_at is None:
+            self.started_at = now
 
-    def take_listing(self, other: "Run") -> None:
+    def copy_reported_state(self, other: "Run") -> None:
         """Copies the reported state from another record of the same run."""
-        self.confirmed, self.begun_at = other.confirmed, other.begun_at
+        self.confirmed, self.started_at = other.confirmed, other.started_at
         self.percent, self.progress_at = other.percent, other.progress_at
-        self.listed_at, self.stalled_s = other.listed_at, other.stalled_s
-        self.saved, self.gauge = other.saved, other.gauge
+        self.reported_at, self.stalled_s = other.reported_at, other.stalled_s
+        self.checkpoint, self.gauge = other.checkpoint, other.gauge
 
-    def begin_doubt(self) -> None:
+    def reset_reported_state(self) -> None:
         """Drops what its instance reported before the instance restarted."""
         self.confirmed = False
-        self.begun_at = None
+        self.started_at = None
         self.percent = 0.0
-        self.listed_at = _NEVER
-        self.void_since = None
+        self.reported_at = _NEVER
+        self.cannot_start_since = None
 
 
 class Instance:
@@ -197,14 +197,18 @@
 
     def __init__(self, registration: fleet.Registration, now: float):
         self.registration = registration
-        self.lives = lives.Lives(registration.born_ms, now)
-        self.listed = True
-        self.distrusted = False
-        self.cordoned = False
-        self.due = False
-        self.leaving = False
-        self.heard_at = now
-        self._known_capacity = known_room.KnownCapacity(registration.capacity)
+        self.incarnations = incarnations.IncarnationHistory(
+            registration.born_ms, now
+        )
+        self.is_listed = True
+        self.has_unreadable_registration = False
+        self.is_cordoned = False
+        self.is_maintenance_due = False
+        self.is_terminating = False
+        self.last_contact_at = now
+        self._known_capacity = known_capacity.KnownCapacity(
+            registration.capacity
+        )
         self.runs: dict[RunKey, Run] = {}
         self._pending_renewals: list[float] = []
         self._undelivered: dict[RunKey, float] = {}
@@ -215,43 +219,43 @@
         self._runs_per_step: dict[tuple[str, int, int], int] = {}
         self._isolated: set[RunKey] = set()
         self._unread: set[RunKey] = set()
-        self.start_anew(now, now)
+        self.reset_incarnation(now, now)
 
-    def start_anew(self, now: float, lapses_at: float) -> None:
+    def reset_incarnation(self, now: float, lease_expires_at: float) -> None:
         """Resets the state of one incarnation; keeps runs and machine state.
 
         Args:
             now: monotonic seconds.
             lapses_at: see the attribute.
         """
-        self.life = next(_INCARNATION_NUMBERS)
-        self.adopted = False
+        self.incarnation = next(_INCARNATION_NUMBERS)
+        self.is_adopted = False
         self.adopted_at = float("inf")
-        self.silent = False
-        self.doubtful = False
+        self.is_unresponsive = False
+        self.has_unanswered_call = False
         self.suspended_until = 0.0
-        self.failures_in_row: set[str] = set()
-        self.suspensions = 0
-        self.speed = 1.0
+        self.consecutive_failed_jobs: set[str] = set()
+        self.suspension_count = 0
+        self.relative_speed = 1.0
         self.speed_samples = 0
-        self.slow = False
+        self.is_straggler = False
         self.last_paced_at = 0.0
         self.below_target_since = now
-        self.last_end = 0
-        self.unread_ends: list[fleet.End] = []
+        self.last_end_number = 0
+        self.unprocessed_ends: list[fleet.RunEnd] = []
         self.clock_ms = 0.0
         self.clock_at = now
-        self.lapses_at = lapses_at
+        self.lease_expires_at = lease_expires_at
         self._known_capacity.reset(self.registration.capacity)
         self.capacity = self._known_capacity.current
 
-    def register(self, registration: fleet.Registration) -> None:
+    def update_registration(self, registration: fleet.Registration) -> None:
         """Stores its newest registration."""
         self.registration = registration
         self._known_capacity.update_registered(registration.capacity)
         self.capacity = self._known_capacity.current
 
-    def list_room(self, capacity: fleet.Resources) -> bool:
+    def update_listed_capacity(self, capacity: fleet.Resources) -> bool:
         """Stores its capacity in the platform's machine list.
 
         Returns:
@@ -261,7 +265,7 @@
         self.capacity = self._known_capacity.current
         return changed
 
-    def age_room(self, stale: bool) -> None:
+    def set_registration_stale(self, stale: bool) -> None:
         """Sets whether its registration may be out of date."""
         self._known_capacity.set_stale(stale)
         self.capacity = self._known_capacity.current
@@ -272,7 +276,7 @@
         return self.registration.instance
 
     @property
-    def full_cpu(self) -> int:
+    def max_cpu(self) -> int:
         """Largest capacity so far, in thousandths of a core."""
         return self._known_capacity.largest.cpu
 
@@ -297,38 +301,40 @@
         return self._reserved_cpu
 
     @property
-    def noted_end(self) -> int:
+    def acknowledged_end(self) -> int:
         """Number of the last end up to which all ends were processed."""
-        if self.unread_ends:
-            return self.unread_ends[0].number - 1
-        return self.last_end
+        if self.unprocessed_ends:
+            return self.unprocessed_ends[0].number - 1
+        return self.last_end_number
 
     @property
-    def apart(self) -> bool:
+    def has_isolated_run(self) -> bool:
         """Whether a run in isolation is here, beside which nothing starts."""
         return bool(self._isolated)
 
     @property
-    def tries(self) -> bool:
+    def has_active_trial(self) -> bool:
         """Whether a run in isolation is here that is not to be stopped."""
-        return any(self.runs[key].stopping is None for key in self._isolated)
+        return any(
+            self.runs[key].stop_requested_at is None for key in self._isolated
+        )
 
     @property
-    def unproven(self) -> list[Run]:
+    def unproven_runs(self) -> list[Run]:
         """Runs that have not worked long enough to be proven."""
-        return [run for run in self.runs.values() if not run.proven]
+        return [run for run in self.runs.values() if not run.is_proven]
 
-    def clear_apart(self, run: Run) -> None:
+    def end_isolation(self, run: Run) -> None:
         """Ends the isolation of a run."""
-        run.apart = False
+        run.is_isolated = False
         self._isolated.discard(run.key)
 
     @property
-    def short_load(self) -> fleet.Load:
+    def finite_load(self) -> fleet.Load:
         """Load of its tasks that end by themselves."""
         return self._short_load
 
-    def copies_under_way(self, now: float) -> list[RunKey]:
+    def undelivered_starts(self, now: float) -> list[RunKey]:
         """Returns runs that are over and whose starts may still arrive.
 
         The current incarnation rejects such starts as old. The next one would
@@ -340,11 +346,11 @@
         self._undelivered = {
             key: decided_at
             for key, decided_at in self._undelivered.items()
-            if now - decided_at <= LATE_S
+            if now - decided_at <= MAX_ORDER_DELAY_S
         }
         return list(self._undelivered)
 
-    def begin_grant(self, until: float) -> None:
+    def begin_lease_renewal(self, until: float) -> None:
         """Records that a call which renews its lease has begun.
 
         Args:
@@ -352,7 +358,7 @@
         """
         self._pending_renewals.append(until)
 
-    def end_grant(self, until: float, left: bool) -> None:
+    def end_lease_renewal(self, until: float, may_have_arrived: bool) -> None:
         """Records that a call which renews its lease is over.
 
         Args:
@@ -360,30 +366,30 @@
             left: whether any byte of the call may have reached the instance.
         """
         self._pending_renewals.remove(until)
-        if left:
-            self.lapses_at = max(self.lapses_at, until)
+        if may_have_arrived:
+            self.lease_expires_at = max(self.lease_expires_at, until)
 
-    def lapsed(self, now: float) -> bool:
+    def is_lease_expired(self, now: float) -> bool:
         """Whether its lease has expired, so that all its runs have ended."""
-        return now >= max([self.lapses_at, *self._pending_renewals])
+        return now >= max([self.lease_expires_at, *self._pending_renewals])
 
-    def usable(self, now: float) -> bool:
+    def is_schedulable(self, now: float) -> bool:
         """Whether new work may be assigned to it."""
         return (
-            self.adopted
-            and self.listed
-            and not self.silent
-            and not self.doubtful
-            and not self.distrusted
-            and not self.cordoned
-            and not self.leaving
+            self.is_adopted
+            and self.is_listed
+            and not self.is_unresponsive
+            and not self.has_unanswered_call
+            and not self.has_unreadable_registration
+            and not self.is_cordoned
+            and not self.is_terminating
             and not self._isolated
             and not self._unread
-            and not self.registration.draining
+            and not self.registration.is_draining
             and now >= self.suspended_until
         )
 
-    def fits(self, need: fleet.Resources) -> bool:
+    def has_capacity_for(self, need: fleet.Resources) -> bool:
         """Whether its unreserved capacity is enough for a need."""
         capacity = self.capacity
         return (
@@ -392,7 +398,7 @@
             and self._reserved_gpu + need.gpu <= capacity.gpu
         )
 
-    def has_room_for(self, run: Run) -> bool:
+    def can_send_start(self, run: Run) -> bool:
         """Whether a run fits beside the runs whose starts may have been sent.
 
         The capacity may have shrunk since the start was decided.
@@ -403,7 +409,7 @@
             return True
         capacity = self.capacity
         needs = [
-            other.need
+            other.demand
             for other in self.runs.values()
             if other.sent or other is run
         ]
@@ -422,11 +428,13 @@
             and self._reserved_gpu <= capacity.gpu
         )
 
-    def takes_over(self, run: Run, now: float) -> bool:
+    def can_take_over(self, run: Run, now: float) -> bool:
         """Whether a run of another instance could start here now."""
-        return self.fits(run.need) and self._allows(run.step, run.task, now)
+        return self.has_capacity_for(run.demand) and self._allows(
+            run.step, run.task, now
+        )
 
-    def makes_room(
+    def fits_without_short_tasks(
         self,
         step: jobs.Step,
         task: jobs.TaskName,
@@ -436,7 +444,7 @@
         """Whether a task could run here once the short tasks have ended."""
         capacity = self.capacity
         long_running = [
-            run.need for run in self.runs.values() if run.step.long_running
+            run.demand for run in self.runs.values() if run.step.long_running
         ]
         wanted = [need, *long_running]
         fits = (
@@ -461,31 +469,34 @@
         return min(shares, default=1.0)
 
     def _allows(self, step: jobs.Step, task: jobs.TaskName, now: float) -> bool:
-        if not self.usable(now):
+        if not self.is_schedulable(now):
             return False
-        if step.anti_affinity and self.count_of(task) >= step.anti_affinity:
+        if (
+            step.anti_affinity
+            and self.count_step_runs(task) >= step.anti_affinity
+        ):
             return False
         return not step.requires or step.requires in self.registration.labels
 
-    def count_of(self, task: jobs.TaskName) -> int:
+    def count_step_runs(self, task: jobs.TaskName) -> int:
         """Returns how many runs of the task's step it has reserved."""
         return self._runs_per_step.get(step_key(task), 0)
 
-    def add(self, run: Run) -> None:
+    def add_run(self, run: Run) -> None:
         """Reserves resources for a run."""
         self.runs[run.key] = run
-        if run.apart:
+        if run.is_isolated:
             self._isolated.add(run.key)
-        if run.unread:
+        if run.has_unknown_demand:
             self._unread.add(run.key)
-        self._reserved_cpu += run.need.cpu
-        self._reserved_mem += run.need.mem_mb
-        self._reserved_gpu += run.need.gpu
-        self._short_load = self._short_load.plus(run.step, 1)
+        self._reserved_cpu += run.demand.cpu
+        self._reserved_mem += run.demand.mem_mb
+        self._reserved_gpu += run.demand.gpu
+        self._short_load = self._short_load.with_tasks(run.step, 1)
         key = step_key(run.task)
         self._runs_per_step[key] = self._runs_per_step.get(key, 0) + 1
 
-    def remove(self, key: RunKey) -> Run | None:
+    def remove_run(self, key: RunKey) -> Run | None:
         """Releases the resources of a run.
 
         Returns:
@@ -496,19 +507,19 @@
             return None
         self._isolated.discard(key)
         self._unread.discard(key)
-        if run.unanswered:
+        if run.has_unanswered_start:
             self._undelivered[key] = run.decided_at
-        self._reserved_cpu -= run.need.cpu
-        self._reserved_mem -= run.need.mem_mb
-        self._reserved_gpu -= run.need.gpu
-        self._short_load = self._short_load.plus(run.step, -1)
+        self._reserved_cpu -= run.demand.cpu
+        self._reserved_mem -= run.demand.mem_mb
+        self._reserved_gpu -= run.demand.gpu
+        self._short_load = self._short_load.with_tasks(run.step, -1)
         step = step_key(run.task)
         self._runs_per_step[step] -= 1
         if not self._runs_per_step[step]:
             del self._runs_per_step[step]
         return run
 
-    def clock_now_ms(self, now: float) -> float:
+    def estimated_clock_ms(self, now: float) -> float:
         """Returns an estimate of its clock that is never ahead of it.
 
         The last answer was in transit for a while, so it shows an earlier time.
--- a/src/vanillaswitch/coordination/fleet/queue/book.py
+++ b/src/vanillaswitch/coordination/fleet/queue/job_tracker.py
@@ -51,18 +51,18 @@
     state: TaskState = TaskState.WAITING
     run: int = 0
     instance: str = ""
-    failed: int = 0
-    counted_run: int = 0
-    saved: str = ""
-    avoid: set[str] = dataclasses.field(default_factory=set)
+    failed_runs: int = 0
+    last_counted_run: int = 0
+    checkpoint: str = ""
+    avoided_instances: set[str] = dataclasses.field(default_factory=set)
     crashes: list[crash_evidence.Crash] = dataclasses.field(
         default_factory=list
     )
-    suspect: bool = False
-    judged_at: float = 0.0
+    is_suspect: bool = False
+    not_before: float = 0.0
     born_ms: int | None = None
 
-    def add_crash(self, crash: crash_evidence.Crash) -> bool:
+    def record_crash(self, crash: crash_evidence.Crash) -> bool:
         """Records a crash, once per run.
 
         Returns:
@@ -71,13 +71,13 @@
         if any(known.run == crash.run for known in self.crashes):
             return False
         self.crashes.append(crash)
-        self.suspect = crash_evidence.is_suspect(self.crashes)
+        self.is_suspect = crash_evidence.is_suspect(self.crashes)
         return True
 
-    def withdraw_crash(self, run: int) -> None:
+    def remove_crash(self, run: int) -> None:
         """Removes the crash of a run that its instance reports after all."""
         self.crashes = [known for known in self.crashes if known.run != run]
-        self.suspect = crash_evidence.is_suspect(self.crashes)
+        self.is_suspect = crash_evidence.is_suspect(self.crashes)
 
 
 class OpenStep:
@@ -92,26 +92,26 @@
     """
 
     __slots__ = (
-        "crashed",
+        "has_crashed",
         "entry",
-        "held",
+        "reserved_instance",
         "number",
         "occurrence",
         "step",
         "tasks",
-        "works",
+        "has_proven_task",
     )
 
     def __init__(
-        self, entry: "Entry", occurrence: int, number: int, step: jobs.Step
+        self, entry: "JobEntry", occurrence: int, number: int, step: jobs.Step
     ):
         self.entry = entry
         self.occurrence = occurrence
         self.number = number
         self.step = step
-        self.held = ""
-        self.crashed = False
-        self.works = False
+        self.reserved_instance = ""
+        self.has_crashed = False
+        self.has_proven_task = False
         job_id = entry.job.job_id
         self.tasks = [
             Task(jobs.TaskName(job_id, occurrence, number, index))
@@ -119,16 +119,16 @@
         ]
 
     @property
-    def waiting(self) -> list[Task]:
+    def waiting_tasks(self) -> list[Task]:
         """Tasks without a current run."""
         return [task for task in self.tasks if task.state is TaskState.WAITING]
 
     @property
-    def suspects(self) -> list[Task]:
+    def suspect_tasks(self) -> list[Task]:
         """Waiting tasks to start in isolation, most crashes first."""
-        if not self.crashed:
+        if not self.has_crashed:
             return []
-        found = [task for task in self.waiting if task.suspect]
+        found = [task for task in self.waiting_tasks if task.is_suspect]
         return sorted(found, key=lambda task: -len(task.crashes))
 
     @property
@@ -139,31 +139,31 @@
         suspect tasks are tried one at a time and the others wait. A gang is
         tried as a whole.
         """
-        if not self.crashed:
-            return self.waiting
-        suspected = any(task.suspect for task in self.tasks)
-        if suspected and (self.step.gang or not self.works):
+        if not self.has_crashed:
+            return self.waiting_tasks
+        suspected = any(task.is_suspect for task in self.tasks)
+        if suspected and (self.step.gang or not self.has_proven_task):
             return []
-        return [task for task in self.waiting if not task.suspect]
+        return [task for task in self.waiting_tasks if not task.is_suspect]
 
     @property
-    def waits(self) -> bool:
+    def has_waiting_task(self) -> bool:
         """Whether any task has no current run."""
         return any(task.state is TaskState.WAITING for task in self.tasks)
 
     @property
-    def done(self) -> bool:
+    def is_done(self) -> bool:
         """Whether every task is done."""
         return all(task.state is TaskState.DONE for task in self.tasks)
 
     @property
-    def failures(self) -> int:
+    def failure_count(self) -> int:
         """Failed runs of a gang in total, else of the task with the most."""
-        counts = [task.failed for task in self.tasks]
+        counts = [task.failed_runs for task in self.tasks]
         return sum(counts) if self.step.gang else max(counts)
 
 
-class Entry:
+class JobEntry:
     """Record of one accepted job.
 
     Attributes:
@@ -195,18 +195,18 @@
         """
         self.job = job
         self.spec = None if job.spec_digest else job.spec
-        self.heard_at = now
+        self.received_at = now
         self.submitted_at = now - age_s
         self.ended: jobs.JobState | None = None
-        self.started = False
-        self.begun = False
-        self.shown = jobs.JobState.QUEUED
+        self.was_assigned = False
+        self.has_started = False
+        self.recorded_state = jobs.JobState.QUEUED
         self.version = 0
-        self.ended_ms = 0.0
+        self.ended_store_ms = 0.0
         self.critical_path_ms: float | None = None
         self.remaining_path_ms: dict[int, float] = {}
-        self.open: dict[tuple[int, int], OpenStep] = {}
-        self.given_up: tuple[crash_evidence.Crash, ...] = ()
+        self.open_by_key: dict[tuple[int, int], OpenStep] = {}
+        self.fatal_crashes: tuple[crash_evidence.Crash, ...] = ()
         self._may_open_steps = True
         self._done: set[tuple[int, int]] = set()
         self._opened: set[tuple[int, int]] = set()
@@ -216,9 +216,11 @@
         """The current state; ``shown`` is the recorded one."""
         if self.ended is not None:
             return self.ended
-        return jobs.JobState.RUNNING if self.started else jobs.JobState.QUEUED
+        return (
+            jobs.JobState.RUNNING if self.was_assigned else jobs.JobState.QUEUED
+        )
 
-    def open_steps(self, wall_ms: float) -> Iterable[OpenStep]:
+    def open_due_steps(self, wall_ms: float) -> Iterable[OpenStep]:
         """Opens the steps that may run by now and returns all open ones.
 
         Args:
@@ -230,44 +232,44 @@
         # them in each plan took a quarter of a plan with 400 waiting jobs.
         if self._may_open_steps or self.job.repeat_count:
             self._may_open_steps = False
-            for occurrence in range(self.job.occurrences):
+            for occurrence in range(self.job.occurrence_count):
                 if self.job.due_ms(occurrence) > wall_ms:
                     break
                 self._open_occurrence(occurrence)
-        return self.open.values()
+        return self.open_by_key.values()
 
     def next_due_ms(self) -> float | None:
         """Returns when the next unopened occurrence is due, None for none."""
-        for occurrence in range(self.job.occurrences):
+        for occurrence in range(self.job.occurrence_count):
             if (occurrence, 0) not in self._opened:
                 return self.job.due_ms(occurrence)
         return None
 
     def task(self, name: jobs.TaskName) -> Task | None:
         """Returns a task of an open step, None if there is no such task."""
-        step = self.open.get((name.occurrence, name.step))
+        step = self.open_by_key.get((name.occurrence, name.step))
         if step is None or not 0 <= name.index < len(step.tasks):
             return None
         return step.tasks[name.index]
 
-    def is_done(self, occurrence: int, number: int) -> bool:
+    def is_step_done(self, occurrence: int, number: int) -> bool:
         """Whether all tasks of a step are done."""
         return (occurrence, number) in self._done
 
     def close_step(self, step: OpenStep) -> None:
         """Marks a step as done, and the job as completed with its last one."""
         key = (step.occurrence, step.number)
-        del self.open[key]
+        del self.open_by_key[key]
         self._done.add(key)
         self._may_open_steps = True
         self.remaining_path_ms.clear()
-        if len(self._done) == self.job.occurrences * len(self.job.steps):
+        if len(self._done) == self.job.occurrence_count * len(self.job.steps):
             self.ended = jobs.JobState.COMPLETED
 
-    def end(self, state: jobs.JobState) -> None:
+    def end_early(self, state: jobs.JobState) -> None:
         """Ends the job early and drops its open steps."""
         self.ended = state
-        self.open.clear()
+        self.open_by_key.clear()
 
     def _open_occurrence(self, occurrence: int) -> None:
         for number, step in enumerate(self.job.steps):
@@ -276,17 +278,17 @@
                 continue
             if all((occurrence, first) in self._done for first in step.after):
                 self._opened.add(key)
-                self.open[key] = OpenStep(self, occurrence, number, step)
+                self.open_by_key[key] = OpenStep(self, occurrence, number, step)
 
-    def pack(self, store_ms: float = 0.0) -> dict[str, Any]:
+    def to_document(self, store_ms: float = 0.0) -> dict[str, Any]:
         """Returns the state that a later owner needs as a document.
 
         Args:
             store_ms: the store's steady clock, used as the end time of a
                 job that has just ended; 0 if unknown.
         """
-        if self.ended is not None and not self.ended_ms:
-            self.ended_ms = store_ms
+        if self.ended is not None and not self.ended_store_ms:
+            self.ended_store_ms = store_ms
         tasks = [
             [
                 step.occurrence,
@@ -295,17 +297,17 @@
                 task.state.value,
                 task.run,
                 task.instance,
-                task.failed,
-                task.saved,
+                task.failed_runs,
+                task.checkpoint,
             ]
-            for step in self.open.values()
+            for step in self.open_by_key.values()
             for task in step.tasks
             if task.run
         ]
         document: dict[str, Any] = {
             "ended": self.ended.value if self.ended else "",
-            "ended_store_ms": self.ended_ms,
-            "started": self.started,
+            "ended_store_ms": self.ended_store_ms,
+            "started": self.was_assigned,
             "done": [list(key) for key in sorted(self._done)],
             "tasks": tasks,
         }
@@ -318,17 +320,19 @@
                 task.born_ms,
                 _pack_crashes(task.crashes),
             ]
-            for step in self.open.values()
+            for step in self.open_by_key.values()
             for task in step.tasks
             if task.crashes or task.born_ms is not None
         ]
         if evidence:
             document["evidence"] = evidence
-        if self.given_up:
-            document["given_up"] = _pack_crashes(self.given_up)
+        if self.fatal_crashes:
+            document["given_up"] = _pack_crashes(self.fatal_crashes)
         return document
 
-    def unpack(self, document: Mapping[str, Any]) -> unusable.Unusable | None:
+    def load_document(
+        self, document: Mapping[str, Any]
+    ) -> unusable.Unusable | None:
         """Restores the state from a document that ``pack`` returned.
 
         Returns:
@@ -337,20 +341,20 @@
         """
         try:
             self._unpack(document)
-        except unusable.WRONG_FIELDS as error:
+        except unusable.FIELD_ERRORS as error:
             return unusable.Unusable(f"invalid progress document: {error!r}")
         return None
 
     def _unpack(self, document: Mapping[str, Any]) -> None:
-        self.started = bool(document.get("started"))
+        self.was_assigned = bool(document.get("started"))
         self._done = {(row[0], row[1]) for row in document.get("done", ())}
-        self.begun = bool(self._done)
+        self.has_started = bool(self._done)
         self._opened = set(self._done)
         ended = document.get("ended")
         self.ended = jobs.JobState(ended) if ended else None
-        self.shown = self.state
-        self.ended_ms = float(document.get("ended_store_ms", 0.0))
-        self.given_up = _unpack_crashes(document.get("given_up", ()))
+        self.recorded_state = self.state
+        self.ended_store_ms = float(document.get("ended_store_ms", 0.0))
+        self.fatal_crashes = _unpack_crashes(document.get("given_up", ()))
         if self.ended is not None:
             return
         for row in document.get("tasks", ()):
@@ -370,17 +374,19 @@
         saved: str,
     ) -> None:
         key = (occurrence, number)
-        if key not in self.open:
+        if key not in self.open_by_key:
             self._opened.add(key)
             step = self.job.steps[number]
-            self.open[key] = OpenStep(self, occurrence, number, step)
-        task = self.open[key].tasks[index]
+            self.open_by_key[key] = OpenStep(self, occurrence, number, step)
+        task = self.open_by_key[key].tasks[index]
         task.state = TaskState(state)
         task.run = run
         task.instance = instance
-        task.failed = failed
-        task.counted_run = run if task.state is TaskState.WAITING else run - 1
-        task.saved = saved
+        task.failed_runs = failed
+        task.last_counted_run = (
+            run if task.state is TaskState.WAITING else run - 1
+        )
+        task.checkpoint = saved
 
     def _restore_evidence(
         self,
@@ -390,20 +396,22 @@
         born_ms: int | None,
         crashes: Iterable[Sequence[Any]],
     ) -> None:
-        step = self.open[occurrence, number]
+        step = self.open_by_key[occurrence, number]
         task = step.tasks[index]
         task.born_ms = born_ms
         for crash in _unpack_crashes(crashes):
-            task.add_crash(crash)
-        step.crashed = step.crashed or bool(task.crashes)
-        step.works = any(item.state is TaskState.DONE for item in step.tasks)
+            task.record_crash(crash)
+        step.has_crashed = step.has_crashed or bool(task.crashes)
+        step.has_proven_task = any(
+            item.state is TaskState.DONE for item in step.tasks
+        )
 
 
 def _pack_crashes(
     crashes: Iterable[crash_evidence.Crash],
 ) -> list[list[Any]]:
     return [
-        [crash.run, crash.instance, crash.kind, round(crash.worked_s, 2)]
+        [crash.run, crash.instance, crash.kind, round(crash.run_time_s, 2)]
         for crash in crashes
     ]
 
@@ -413,36 +421,36 @@
 ) -> tuple[crash_evidence.Crash, ...]:
     return tuple(
         crash_evidence.Crash(
-            run, instance, crash_evidence.Kind(kind), float(worked_s)
+            run, instance, crash_evidence.CrashKind(kind), float(worked_s)
         )
         for run, instance, kind, worked_s in rows
     )
 
 
-class Book:
+class JobTracker:
     """All accepted jobs, and those whose rows have to be written."""
 
     def __init__(self) -> None:
-        self._entries: dict[str, Entry] = {}
-        self._live: dict[str, Entry] = {}
-        self._dirty: dict[str, Entry] = {}
+        self._entries: dict[str, JobEntry] = {}
+        self._live: dict[str, JobEntry] = {}
+        self._dirty: dict[str, JobEntry] = {}
 
     @property
-    def live(self) -> Mapping[str, Entry]:
+    def unfinished(self) -> Mapping[str, JobEntry]:
         """The jobs that have not ended."""
         return self._live
 
-    def __iter__(self) -> Iterator[Entry]:
+    def __iter__(self) -> Iterator[JobEntry]:
         return iter(self._entries.values())
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def get(self, job_id: str) -> Entry | None:
+    def get(self, job_id: str) -> JobEntry | None:
         """Returns the record of a job, None for an unknown job."""
         return self._entries.get(job_id)
 
-    def add(self, entry: Entry) -> None:
+    def add(self, entry: JobEntry) -> None:
         """Adds a job."""
         self._entries[entry.job.job_id] = entry
         if entry.ended is None:
@@ -453,13 +461,13 @@
         self._entries.pop(job_id, None)
         self._live.pop(job_id, None)
 
-    def touch(self, entry: Entry) -> None:
+    def mark_dirty(self, entry: JobEntry) -> None:
         """Marks a job's row as to be written."""
         self._dirty[entry.job.job_id] = entry
         if entry.ended is not None:
             self._live.pop(entry.job.job_id, None)
 
-    def take_dirty(self, limit: int) -> list[Entry]:
+    def take_dirty(self, limit: int) -> list[JobEntry]:
         """Removes up to ``limit`` jobs to be written, longest marked first.
 
         Args:
@@ -478,7 +486,7 @@
         """Whether any row has to be written."""
         return bool(self._dirty)
 
-    def pending(self, queue: str) -> int:
+    def count_pending(self, queue: str) -> int:
         """Returns how many jobs without a schedule wait to start.
 
         A job counts until an instance confirms the start of one of its tasks.
@@ -490,7 +498,7 @@
             1
             for entry in self._live.values()
             if entry.job.queue == queue
-            and not entry.begun
+            and not entry.has_started
             and not entry.job.repeat_count
         )
 
@@ -500,6 +508,6 @@
     return bool(document.get("ended"))
 
 
-def need(step: jobs.Step) -> fleet.Resources:
+def task_demand(step: jobs.Step) -> fleet.Resources:
     """Returns the resources that a task of a step reserves."""
     return fleet.Resources(0 if step.fills else step.cpu, step.mem_mb, step.gpu)
--- a/src/vanillaswitch/coordination/fleet/queue/sharing.py
+++ b/src/vanillaswitch/coordination/fleet/queue/pacing.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 import dataclasses
 
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.queue import instance_state
 
 HIGH_SHARE = 0.85
 """Fillers are slowed down when a tail latency exceeds this share of its target:
@@ -35,14 +35,16 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Pace:
+class PaceOrder:
     """The decision to let a run work at a share of its speed, in percent."""
 
-    run: rooms.Run
+    run: instance_state.Run
     percent: int
 
 
-def plan(instance: rooms.Instance, now: float) -> list[Pace]:
+def plan_paces(
+    instance: instance_state.Instance, now: float
+) -> list[PaceOrder]:
     """Returns the paces to order on one instance.
 
     Args:
@@ -63,15 +65,15 @@
     return []
 
 
-def _is_serving(run: rooms.Run) -> bool:
+def _is_serving(run: instance_state.Run) -> bool:
     return run.confirmed and run.step.target_ms > 0 and not run.step.fills
 
 
-def _is_filler(run: rooms.Run) -> bool:
-    return run.confirmed and run.step.fills and run.stopping is None
+def _is_filler(run: instance_state.Run) -> bool:
+    return run.confirmed and run.step.fills and run.stop_requested_at is None
 
 
-def _target_share(run: rooms.Run) -> float:
+def _target_share(run: instance_state.Run) -> float:
     """Returns the tail latency of a task as a share of its target."""
     return run.gauge / run.step.target_ms
 
@@ -82,17 +84,17 @@
 
 
 def _sped_up(percent: int) -> int:
-    return min(rooms.FULL_PACE, percent + STEP_UP)
+    return min(instance_state.FULL_PACE, percent + STEP_UP)
 
 
 def _change_paces(
-    instance: rooms.Instance,
-    fillers: Iterable[rooms.Run],
+    instance: instance_state.Instance,
+    fillers: Iterable[instance_state.Run],
     change: Callable[[int], int],
     now: float,
-) -> list[Pace]:
+) -> list[PaceOrder]:
     paces = [
-        Pace(run, change(run.pace))
+        PaceOrder(run, change(run.pace))
         for run in fillers
         if change(run.pace) != run.pace
     ]
--- a/src/vanillaswitch/coordination/fleet/queue/placement.py
+++ b/src/vanillaswitch/coordination/fleet/queue/placement.py
@@ -11,19 +11,19 @@
 from collections.abc import Mapping
 from collections.abc import Sequence
 
-from vanillaswitch.coordination.fleet.queue import book
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.queue import instance_state
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.protocol import fleet
 
-Chosen = list[tuple[book.Task, rooms.Instance]]
+Chosen = list[tuple[job_tracker.Task, instance_state.Instance]]
 
 
 def eligible(
-    step: book.OpenStep,
-    instances: Iterable[rooms.Instance],
+    step: job_tracker.OpenStep,
+    instances: Iterable[instance_state.Instance],
     now: float,
     tickets: Mapping[str, str] | None,
-) -> list[rooms.Instance]:
+) -> list[instance_state.Instance]:
     """Returns the instances that may run a step now, whatever their capacity.
 
     Args:
@@ -37,7 +37,7 @@
     return [
         instance
         for instance in instances
-        if instance.usable(now)
+        if instance.is_schedulable(now)
         and (not requires or requires in instance.registration.labels)
         and (tickets is None or instance.name in tickets)
     ]
@@ -51,7 +51,7 @@
     check each of them would look at every instance of the pool.
     """
 
-    def __init__(self, instances: Iterable[rooms.Instance]):
+    def __init__(self, instances: Iterable[instance_state.Instance]):
         """Takes the maximum over the current state of some instances."""
         self._cpu = self._mem = self._gpu = -1
         for instance in instances:
@@ -69,7 +69,9 @@
         )
 
 
-def choose(step: book.OpenStep, candidates: Sequence[rooms.Instance]) -> Chosen:
+def choose(
+    step: job_tracker.OpenStep, candidates: Sequence[instance_state.Instance]
+) -> Chosen:
     """Chooses an instance for each waiting task that fits on one.
 
     Either all tasks of a gang get an instance or none of them does.
@@ -81,7 +83,7 @@
     for task in step.startable_tasks:
         instance = _best(step, task, candidates)
         if instance is None:
-            if not task.avoid:
+            if not task.avoided_instances:
                 break
             continue
         reservations.add(step, task, instance)
@@ -94,33 +96,42 @@
     """Reservations made while instances are chosen, and undone afterwards."""
 
     def __init__(self) -> None:
-        self._added: list[tuple[rooms.Instance, rooms.RunKey]] = []
+        self._added: list[
+            tuple[instance_state.Instance, instance_state.RunKey]
+        ] = []
 
     def add(
-        self, step: book.OpenStep, task: book.Task, instance: rooms.Instance
+        self,
+        step: job_tracker.OpenStep,
+        task: job_tracker.Task,
+        instance: instance_state.Instance,
     ) -> None:
         """Reserves resources for a task."""
         # Run numbers start at 1, so this key differs from that of any real run.
-        run = rooms.Run(task.name, 0, step.step, book.need(step.step), 0.0)
-        instance.add(run)
+        run = instance_state.Run(
+            task.name, 0, step.step, job_tracker.task_demand(step.step), 0.0
+        )
+        instance.add_run(run)
         self._added.append((instance, run.key))
 
     def undo(self) -> None:
         """Releases all reservations."""
         for instance, key in self._added:
-            instance.remove(key)
+            instance.remove_run(key)
 
 
 def place_gang(
-    step: book.OpenStep, candidates: Sequence[rooms.Instance]
+    step: job_tracker.OpenStep, candidates: Sequence[instance_state.Instance]
 ) -> Chosen:
     """Places a whole gang, on one rack if the step prefers it and one fits.
 
     A part of a gang would only block capacity while it waits for the others.
     """
-    if any(task.state is not book.TaskState.WAITING for task in step.tasks):
+    if any(
+        task.state is not job_tracker.TaskState.WAITING for task in step.tasks
+    ):
         return []
-    groups: list[Sequence[rooms.Instance]] = [candidates]
+    groups: list[Sequence[instance_state.Instance]] = [candidates]
     if step.step.same_rack:
         racks = sorted({item.registration.rack for item in candidates})
         groups = [
@@ -135,7 +146,7 @@
 
 
 def _all_or_none(
-    step: book.OpenStep, candidates: Sequence[rooms.Instance]
+    step: job_tracker.OpenStep, candidates: Sequence[instance_state.Instance]
 ) -> Chosen:
     chosen: Chosen = []
     reservations = _TentativeReservations()
@@ -151,27 +162,27 @@
 
 
 def _best(
-    step: book.OpenStep,
-    task: book.Task,
-    candidates: Sequence[rooms.Instance],
-) -> rooms.Instance | None:
-    need = book.need(step.step)
+    step: job_tracker.OpenStep,
+    task: job_tracker.Task,
+    candidates: Sequence[instance_state.Instance],
+) -> instance_state.Instance | None:
+    need = job_tracker.task_demand(step.step)
     max_per_instance = step.step.anti_affinity
     preferred_rack = step.step.affinity
-    best: rooms.Instance | None = None
+    best: instance_state.Instance | None = None
     best_rank: tuple[bool, bool, bool, int, str] | None = None
     for instance in candidates:
-        if not instance.fits(need):
+        if not instance.has_capacity_for(need):
             continue
         if (
             max_per_instance
-            and instance.count_of(task.name) >= max_per_instance
+            and instance.count_step_runs(task.name) >= max_per_instance
         ):
             continue
         rank = (
-            instance.name in task.avoid or instance.slow,
+            instance.name in task.avoided_instances or instance.is_straggler,
             # A wave would soon evict a long-running task from it.
-            step.step.long_running and instance.due,
+            step.step.long_running and instance.is_maintenance_due,
             bool(preferred_rack)
             and preferred_rack not in instance.registration.labels,
             instance.free_cpu,
--- a/src/vanillaswitch/coordination/fleet/queue/planning.py
+++ b/src/vanillaswitch/coordination/fleet/queue/planning.py
@@ -7,21 +7,21 @@
 
 from vanillaswitch import errors
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet.instances import orders
-from vanillaswitch.coordination.fleet.instances import suspicion
+from vanillaswitch.coordination.fleet.instances import order_outcomes
+from vanillaswitch.coordination.fleet.instances import suspect_placement
 from vanillaswitch.coordination.fleet.instances import term_state
-from vanillaswitch.coordination.fleet.queue import book as books
 from vanillaswitch.coordination.fleet.queue import crash_evidence
+from vanillaswitch.coordination.fleet.queue import instance_state
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.coordination.fleet.queue import placement
 from vanillaswitch.coordination.fleet.queue import queue_order
-from vanillaswitch.coordination.fleet.queue import rooms
 from vanillaswitch.protocol import fleet
 
 
-class Planning(orders.Orders):
+class Planning(order_outcomes.OrderOutcomes):
     """Decides which tasks start on which instances."""
 
-    def least_instances(self) -> dict[str, int]:
+    def min_instances(self) -> dict[str, int]:
         """Returns how many instances long-running tasks need, by pool.
 
         Anti-affinity limits how many tasks of a step share an instance, so such
@@ -29,26 +29,28 @@
         them are left out.
         """
         minimums: dict[str, int] = {}
-        for entry in self.book.live.values():
-            for step in entry.open.values():
+        for entry in self.tracker.unfinished.values():
+            for step in entry.open_by_key.values():
                 max_per_instance = step.step.anti_affinity
                 if step.step.long_running and max_per_instance:
-                    service = self.service_of(entry)
+                    service = self.pool_name_of(entry)
                     count = -(-step.step.count // max_per_instance)
                     minimums[service] = max(minimums.get(service, 1), count)
         return minimums
 
     def ready_steps(
-        self, moment: queue_order.Moment
-    ) -> dict[str, list[books.OpenStep]]:
+        self, moment: queue_order.PlanTime
+    ) -> dict[str, list[job_tracker.OpenStep]]:
         """Returns open steps with waiting tasks, by pool, in queue order."""
-        steps: dict[str, list[tuple[queue_order.Key, books.OpenStep]]] = {}
-        for entry in self.book.live.values():
+        steps: dict[
+            str, list[tuple[queue_order.Key, job_tracker.OpenStep]]
+        ] = {}
+        for entry in self.tracker.unfinished.values():
             queue = self.queues.get(entry.job.queue)
-            service = self.service_of(entry)
-            for step in entry.open_steps(moment.wall_ms):
-                if step.waits:
-                    key = self._order(step, queue, moment)
+            service = self.pool_name_of(entry)
+            for step in entry.open_due_steps(moment.wall_ms):
+                if step.has_waiting_task:
+                    key = self._queue_order(step, queue, moment)
                     steps.setdefault(service, []).append((key, step))
         return {
             service: [step for _, step in sorted(found, key=_sort_key)]
@@ -62,38 +64,38 @@
             now: monotonic seconds.
             wall_ms: time of day in milliseconds since 1970.
         """
-        self._changed = False
-        self.settle_crashes(now)
-        ready = self.ready_steps(queue_order.Moment(now, wall_ms))
-        self.without_spec = _without_spec(ready)
+        self._needs_plan = False
+        self.evaluate_pending_crashes(now)
+        ready = self.ready_steps(queue_order.PlanTime(now, wall_ms))
+        self.jobs_without_spec = _without_spec(ready)
         self._plan_steps(ready, now)
         waiting = {service: _backlog(steps) for service, steps in ready.items()}
-        self.waiting_cpu = {name: cpu for name, (cpu, _) in waiting.items()}
-        self.waiting_load = {name: load for name, (_, load) in waiting.items()}
+        self.backlog_cpu = {name: cpu for name, (cpu, _) in waiting.items()}
+        self.backlog_load = {name: load for name, (_, load) in waiting.items()}
 
     def _plan_steps(
-        self, ready: Mapping[str, list[books.OpenStep]], now: float
+        self, ready: Mapping[str, list[job_tracker.OpenStep]], now: float
     ) -> None:
-        pools = self.by_pool()
+        pools = self.instances_by_pool()
         for service, steps in ready.items():
             instances = [
                 instance
                 for instance in pools.get(service, [])
-                if instance.usable(now)
+                if instance.is_schedulable(now)
             ]
             max_free = placement.MaxFree(instances)
             for step in steps:
                 if step.entry.spec is None:
                     continue
-                if step.crashed or self._suspect_by_image(step, now):
+                if step.has_crashed or self._suspect_by_image(step, now):
                     pool = pools.get(service, [])
                     instances = self._place_in_isolation(
                         step, instances, pool, now
                     )
                     max_free = placement.MaxFree(instances)
-                if max_free.may_fit(books.need(step.step)) and self._place(
-                    step, instances, now
-                ):
+                if max_free.may_fit(
+                    job_tracker.task_demand(step.step)
+                ) and self._place(step, instances, now):
                     max_free = placement.MaxFree(instances)
                 reserved = self._reserve_for(step, instances, now)
                 if reserved is not None:
@@ -102,7 +104,7 @@
                     ]
                     max_free = placement.MaxFree(instances)
 
-    def _suspect_by_image(self, step: books.OpenStep, now: float) -> bool:
+    def _suspect_by_image(self, step: job_tracker.OpenStep, now: float) -> bool:
         """Marks a step as suspect if its image has recently crashed instances.
 
         Its first task is then tried in isolation before the others start.
@@ -111,19 +113,22 @@
             Whether the step was marked.
         """
         image = step.step.image
-        if now >= self._doubted_images.get(image, 0.0) or step.works:
+        if (
+            now >= self._suspect_images_until.get(image, 0.0)
+            or step.has_proven_task
+        ):
             return False
-        step.crashed = True
-        step.tasks[0].suspect = True
+        step.has_crashed = True
+        step.tasks[0].is_suspect = True
         return True
 
     def _place_in_isolation(
         self,
-        step: books.OpenStep,
-        instances: list[rooms.Instance],
-        pool: Sequence[rooms.Instance],
+        step: job_tracker.OpenStep,
+        instances: list[instance_state.Instance],
+        pool: Sequence[instance_state.Instance],
         now: float,
-    ) -> list[rooms.Instance]:
+    ) -> list[instance_state.Instance]:
         """Starts suspect tasks of a step where a crash does least harm.
 
         Args:
@@ -135,56 +140,64 @@
         Returns:
             The instances that stay available for other tasks.
         """
-        suspects = [task for task in step.suspects if now >= task.judged_at]
-        if not step.works:
-            all_startable = len(suspects) == len(step.suspects)
+        suspects = [
+            task for task in step.suspect_tasks if now >= task.not_before
+        ]
+        if not step.has_proven_task:
+            all_startable = len(suspects) == len(step.suspect_tasks)
             may_try = all_startable and not self._has_trial(step)
             suspects = suspects[:1] if may_try else []
         if not suspects:
             return instances
         tickets = self.tickets_for(step, now)
         if step.step.gang:
-            proven = [item for item in instances if not item.unproven]
+            proven = [item for item in instances if not item.unproven_runs]
             self._place(step, proven, now, apart=True)
-            return [item for item in instances if not item.apart]
+            return [item for item in instances if not item.has_isolated_run]
         for task in suspects:
             eligible = placement.eligible(step, instances, now, tickets)
-            found = suspicion.least_harm(self, step, task, eligible, now)
-            if found is None or not suspicion.may_try(pool, found):
+            found = suspect_placement.choose_suspect_instance(
+                self, step, task, eligible, now
+            )
+            if found is None or not suspect_placement.may_run_suspect(
+                pool, found
+            ):
                 break
             instances = [item for item in instances if item is not found]
-            if not suspicion.is_free_for(step, task, found):
+            if not suspect_placement.can_start_suspect(step, task, found):
                 # Reserved: nothing else starts there until its new runs are
                 # proven and the task fits.
-                step.held = found.name
+                step.reserved_instance = found.name
                 break
             ticket = tickets.get(found.name, "") if tickets else ""
             self._assign(
                 step, task, found, task.run + 1, ticket, now, apart=True
             )
-            step.entry.started = True
-            self.book.touch(step.entry)
+            step.entry.was_assigned = True
+            self.tracker.mark_dirty(step.entry)
         return instances
 
-    def _has_trial(self, step: books.OpenStep) -> bool:
+    def _has_trial(self, step: job_tracker.OpenStep) -> bool:
         """Whether a run of a suspect task is under way that will give evidence.
 
         A run that is to be stopped gives none. Its stop may have to wait until
         other tasks of its step are at work, so they must not wait for it.
         """
         trials = [
-            self._run(task.instance, (task.name, task.run))
+            self._find_run(task.instance, (task.name, task.run))
             for task in step.tasks
-            if task.suspect and task.state is books.TaskState.ASSIGNED
+            if task.is_suspect and task.state is job_tracker.TaskState.ASSIGNED
         ]
-        return any(run is not None and run.stopping is None for run in trials)
+        return any(
+            run is not None and run.stop_requested_at is None for run in trials
+        )
 
     def _reserve_for(
         self,
-        step: books.OpenStep,
-        instances: Iterable[rooms.Instance],
+        step: job_tracker.OpenStep,
+        instances: Iterable[instance_state.Instance],
         now: float,
-    ) -> rooms.Instance | None:
+    ) -> instance_state.Instance | None:
         """Returns an instance to reserve until a long-running task fits on it.
 
         In a full pool smaller tasks fill each gap at once, so a larger,
@@ -194,28 +207,33 @@
         """
         if not step.step.long_running:
             return None
-        waiting = step.waiting
+        waiting = step.waiting_tasks
         if not waiting:
             return None
-        need = books.need(step.step)
+        need = job_tracker.task_demand(step.step)
         reserved = max(
             (
                 instance
                 for instance in instances
-                if instance.makes_room(step.step, waiting[0].name, need, now)
+                if instance.fits_without_short_tasks(
+                    step.step, waiting[0].name, need, now
+                )
             ),
             # Keep the same one unless another has more free capacity: if the
             # reservation alternated, small tasks would fill both of them.
-            key=lambda item: (item.free_share(need), item.name == step.held),
+            key=lambda item: (
+                item.free_share(need),
+                item.name == step.reserved_instance,
+            ),
             default=None,
         )
-        step.held = reserved.name if reserved else ""
+        step.reserved_instance = reserved.name if reserved else ""
         return reserved
 
     def _place(
         self,
-        step: books.OpenStep,
-        instances: Iterable[rooms.Instance],
+        step: job_tracker.OpenStep,
+        instances: Iterable[instance_state.Instance],
         now: float,
         *,
         apart: bool = False,
@@ -246,15 +264,15 @@
             run = highest + 1 if step.step.gang else task.run + 1
             ticket = tickets.get(instance.name, "") if tickets else ""
             self._assign(step, task, instance, run, ticket, now, apart=apart)
-        step.entry.started = True
-        self.book.touch(step.entry)
+        step.entry.was_assigned = True
+        self.tracker.mark_dirty(step.entry)
         return True
 
     def _assign(
         self,
-        step: books.OpenStep,
-        task: books.Task,
-        instance: rooms.Instance,
+        step: job_tracker.OpenStep,
+        task: job_tracker.Task,
+        instance: instance_state.Instance,
         number: int,
         ticket: str,
         now: float,
@@ -266,53 +284,57 @@
             raise errors.InvariantError(
                 "a task was assigned before its spec was read"
             )
-        task.state = books.TaskState.ASSIGNED
+        task.state = job_tracker.TaskState.ASSIGNED
         task.run = number
         task.instance = instance.name
-        task.born_ms = instance.lives.current
-        run = rooms.Run(
-            task.name, number, step.step, books.need(step.step), now
+        task.born_ms = instance.incarnations.current_ms
+        run = instance_state.Run(
+            task.name,
+            number,
+            step.step,
+            job_tracker.task_demand(step.step),
+            now,
         )
         run.born_ms = task.born_ms
-        run.apart = apart
-        run.proof_s = crash_evidence.proof_s(task.crashes)
-        instance.add(run)
+        run.is_isolated = apart
+        run.required_proof_s = crash_evidence.required_proof_s(task.crashes)
+        instance.add_run(run)
         self._emit(
             events.TaskAssigned(
                 task.name.job_id,
-                task.name.label,
+                task.name.path_in_job,
                 number,
                 instance.name,
                 instance.free_cpu,
-                task.failed,
+                task.failed_runs,
             )
         )
-        self._starts.append(
+        self._pending_starts.append(
             term_state.StartOrder(
                 instance.name,
                 task.name,
                 number,
                 spec,
-                task.saved,
+                task.checkpoint,
                 ticket,
             )
         )
 
     def tickets_for(
-        self, step: books.OpenStep, now: float
+        self, step: job_tracker.OpenStep, now: float
     ) -> Mapping[str, str] | None:
         """Returns a step's valid tickets by instance, None if it needs none."""
         queue = self.queues.get(step.entry.job.queue)
         if queue is None or queue.advice is None:
             return None
         key = (step.entry.job.job_id, step.occurrence, step.number)
-        if self._ticket_until.get(key, 0.0) <= now:
+        if self._tickets_valid_until.get(key, 0.0) <= now:
             return {}
         return self.tickets.get(key, {})
 
-    def advised(
+    def set_tickets(
         self,
-        step: books.OpenStep,
+        step: job_tracker.OpenStep,
         tickets: Mapping[str, str],
         until: float,
     ) -> None:
@@ -325,11 +347,11 @@
         """
         key = (step.entry.job.job_id, step.occurrence, step.number)
         self.tickets[key] = tickets
-        self._ticket_until[key] = until
-        self._changed = True
+        self._tickets_valid_until[key] = until
+        self._needs_plan = True
 
 
-def _backlog(steps: Iterable[books.OpenStep]) -> tuple[int, fleet.Load]:
+def _backlog(steps: Iterable[job_tracker.OpenStep]) -> tuple[int, fleet.Load]:
     """Sums up the waiting tasks of some steps.
 
     Returns:
@@ -338,15 +360,15 @@
     """
     cpu, load = 0, fleet.Load()
     for step in steps:
-        count = len(step.waiting)
+        count = len(step.waiting_tasks)
         if count:
-            cpu += books.need(step.step).cpu * count
-            load = load.plus(step.step, count)
+            cpu += job_tracker.task_demand(step.step).cpu * count
+            load = load.with_tasks(step.step, count)
     return cpu, load
 
 
 def _without_spec(
-    ready: Mapping[str, list[books.OpenStep]],
+    ready: Mapping[str, list[job_tracker.OpenStep]],
 ) -> tuple[str, ...]:
     """Returns ids of jobs without a spec, one of each pool at a time."""
     waiting = [
@@ -358,6 +380,6 @@
 
 
 def _sort_key(
-    item: tuple[queue_order.Key, books.OpenStep],
+    item: tuple[queue_order.Key, job_tracker.OpenStep],
 ) -> tuple[queue_order.Key, float]:
-    return item[0], item[1].entry.heard_at
+    return item[0], item[1].entry.received_at
--- a/src/vanillaswitch/coordination/fleet/queue/queue_order.py
+++ b/src/vanillaswitch/coordination/fleet/queue/queue_order.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 import dataclasses
 
-from vanillaswitch.coordination.fleet.queue import book
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.internal import registry
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Moment:
+class PlanTime:
     """The time of a plan on two clocks.
 
     Attributes:
@@ -39,7 +39,7 @@
     wall_ms: float
 
 
-Order = Callable[[book.OpenStep, fleet.Queue | None, Moment], Key]
+Order = Callable[[job_tracker.OpenStep, fleet.Queue | None, PlanTime], Key]
 
 ORDERS: registry.Registry[Order] = registry.Registry("order of a queue")
 DEFAULT_ORDER = "headroom"
@@ -81,17 +81,17 @@
     """
     if queue is None:
         return path_ms
-    return queue.stretch * path_ms + queue.target_ms
+    return queue.stretch * path_ms + queue.target_duration_ms
 
 
-def _critical_path_ms(entry: book.Entry) -> float:
+def _critical_path_ms(entry: job_tracker.JobEntry) -> float:
     """Returns the critical path of a whole job."""
     if entry.critical_path_ms is None:
         entry.critical_path_ms = critical_path_ms(entry.job, lambda _: False)
     return entry.critical_path_ms
 
 
-def _remaining_path_ms(step: book.OpenStep) -> float:
+def _remaining_path_ms(step: job_tracker.OpenStep) -> float:
     """Returns the remaining critical path of an occurrence.
 
     The value is cached until a step is done. Computing it for each open step in
@@ -100,12 +100,13 @@
     entry = step.entry
     if step.occurrence not in entry.remaining_path_ms:
         entry.remaining_path_ms[step.occurrence] = critical_path_ms(
-            entry.job, lambda number: entry.is_done(step.occurrence, number)
+            entry.job,
+            lambda number: entry.is_step_done(step.occurrence, number),
         )
     return entry.remaining_path_ms[step.occurrence]
 
 
-def _age_ms(step: book.OpenStep, moment: Moment) -> float:
+def _age_ms(step: job_tracker.OpenStep, moment: PlanTime) -> float:
     due_ms = step.entry.job.due_ms(step.occurrence)
     if due_ms:
         return max(0.0, moment.wall_ms - due_ms)
@@ -132,7 +133,7 @@
 
 
 def _urgency(
-    step: book.OpenStep, queue: fleet.Queue | None, moment: Moment
+    step: job_tracker.OpenStep, queue: fleet.Queue | None, moment: PlanTime
 ) -> _Urgency:
     entry = step.entry
     remaining = _remaining_path_ms(step)
@@ -154,7 +155,7 @@
 
 @ORDERS.register("headroom")
 def headroom(
-    step: book.OpenStep, queue: fleet.Queue | None, moment: Moment
+    step: job_tracker.OpenStep, queue: fleet.Queue | None, moment: PlanTime
 ) -> Key:
     """Started jobs first, then those with ample slack, then the others.
 
@@ -182,7 +183,7 @@
     return (_IN_TIME, urgency.priority, *rank)
 
 
-def _has_started(step: book.OpenStep) -> bool:
+def _has_started(step: job_tracker.OpenStep) -> bool:
     """Whether a task of this occurrence of the job was ever assigned."""
     return step.number > 0 or any(task.run for task in step.tasks)
 
@@ -197,7 +198,7 @@
 
 @ORDERS.register("slack")
 def slack(
-    step: book.OpenStep, queue: fleet.Queue | None, moment: Moment
+    step: job_tracker.OpenStep, queue: fleet.Queue | None, moment: PlanTime
 ) -> Key:
     """Jobs that can still meet their objective first, by least slack."""
     return _by_group(_urgency(step, queue, moment))
@@ -205,7 +206,7 @@
 
 @ORDERS.register("arrival")
 def arrival(
-    step: book.OpenStep, queue: fleet.Queue | None, moment: Moment
+    step: job_tracker.OpenStep, queue: fleet.Queue | None, moment: PlanTime
 ) -> Key:
     """First come, first served; the baseline for comparisons."""
     del queue
--- a/src/vanillaswitch/coordination/fleet/queue/progress.py
+++ b/src/vanillaswitch/coordination/fleet/queue/stragglers.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 import statistics
 
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.queue import instance_state
 
 STALL_S = 2.2
 """A task is stalled when its progress has not changed for this long, over two
@@ -39,8 +39,11 @@
 """Shorter intervals give no sample: progress is reported in whole percent."""
 
 
-def observe(
-    instance: rooms.Instance, run: rooms.Run, percent: float, now: float
+def record_progress(
+    instance: instance_state.Instance,
+    run: instance_state.Run,
+    percent: float,
+    now: float,
 ) -> None:
     """Records the progress of a run from a status report.
 
@@ -54,15 +57,18 @@
         _sample(instance, run, percent, now)
         run.percent, run.progress_at = percent, now
         run.stalled_s = 0.0
-    elif now - run.listed_at <= MAX_REPORT_GAP_S:
-        run.stalled_s += now - run.listed_at
+    elif now - run.reported_at <= MAX_REPORT_GAP_S:
+        run.stalled_s += now - run.reported_at
     else:
         run.stalled_s = 0.0
-    run.listed_at = now
+    run.reported_at = now
 
 
 def _sample(
-    instance: rooms.Instance, run: rooms.Run, percent: float, now: float
+    instance: instance_state.Instance,
+    run: instance_state.Run,
+    percent: float,
+    now: float,
 ) -> None:
     step = run.step
     interval_s = now - run.progress_at
@@ -72,25 +78,25 @@
         return
     worked_s = (percent - run.percent) / 100 * step.estimate_ms / 1000
     speed = worked_s / interval_s
-    instance.speed += SMOOTHING * (speed - instance.speed)
+    instance.relative_speed += SMOOTHING * (speed - instance.relative_speed)
     instance.speed_samples += 1
 
 
-def stalled(run: rooms.Run, now: float) -> bool:
+def is_stalled(run: instance_state.Run, now: float) -> bool:
     """Whether a run is stalled, from consecutive reports without a gap."""
-    unreported_s = now - run.listed_at
+    unreported_s = now - run.reported_at
     return (
         run.confirmed
-        and run.stopping is None
+        and run.stop_requested_at is None
         and not run.step.long_running
-        and run.pace == rooms.FULL_PACE
+        and run.pace == instance_state.FULL_PACE
         and unreported_s <= MAX_REPORT_GAP_S
         and run.stalled_s > 0
         and run.stalled_s + unreported_s >= STALL_S
     )
 
 
-def mark_slow(instances: Iterable[rooms.Instance]) -> None:
+def mark_stragglers(instances: Iterable[instance_state.Instance]) -> None:
     """Marks the instances of one pool that are slow compared with it."""
     known = [
         instance
@@ -99,6 +105,6 @@
     ]
     if len(known) < MIN_SAMPLES:
         return
-    median = statistics.median(instance.speed for instance in known)
+    median = statistics.median(instance.relative_speed for instance in known)
     for instance in known:
-        instance.slow = instance.speed < SLOW_SHARE * median
+        instance.is_straggler = instance.relative_speed < SLOW_SHARE * median
--- a/src/vanillaswitch/coordination/fleet/shared_time.py
+++ b/src/vanillaswitch/coordination/fleet/reference_clock.py
@@ -25,13 +25,13 @@
 many keep a few machines with many submissions from deciding the median, which
 costs some microseconds to compute."""
 
-TRUST_S = 60.0
+MAX_EXTRAPOLATION_S = 60.0
 """Time after which a store time that is behind the extrapolated one is
 accepted. A slow answer is behind by its delay, so it is ignored before; the
 clocks of two machines drift apart by some milliseconds meanwhile."""
 
 
-class SharedTime:
+class ReferenceClock:
     """Estimates of the store's clock and of the common time of day."""
 
     def __init__(self, clock: clocks.Clock):
@@ -49,7 +49,7 @@
         )
 
     @property
-    def now_ms(self) -> float | None:
+    def store_now_ms(self) -> float | None:
         """The store's steady clock in milliseconds; None before any answer."""
         if self._store_ms is None:
             return None
@@ -57,25 +57,25 @@
         return self._store_ms + elapsed_s * 1000
 
     @property
-    def wall_ms(self) -> float:
+    def wall_now_ms(self) -> float:
         """The time of day of most machines, in milliseconds since 1970."""
         own_ms = self._clock.wall() * 1000
-        now_ms = self.now_ms
+        now_ms = self.store_now_ms
         if now_ms is None:
             return own_ms
         return now_ms + statistics.median([*self._samples, own_ms - now_ms])
 
-    def heard(self, store_ms: float) -> None:
+    def observe_store_clock(self, store_ms: float) -> None:
         """Updates the store's clock from an answer that has just arrived."""
-        now_ms = self.now_ms
+        now_ms = self.store_now_ms
         now = self._clock.monotonic()
         is_behind = now_ms is not None and store_ms < now_ms
-        if is_behind and now - self._received_at < TRUST_S:
+        if is_behind and now - self._received_at < MAX_EXTRAPOLATION_S:
             return
         self._store_ms = store_ms
         self._received_at = now
 
-    def handed_in(self, store_ms: float, wall_ms: float) -> None:
+    def add_wall_sample(self, store_ms: float, wall_ms: float) -> None:
         """Adds a clock sample from a submitted job.
 
         Args:
@@ -86,7 +86,7 @@
         if store_ms and wall_ms:
             self._samples.append(wall_ms - store_ms)
 
-    def age_s(self, store_ms: float) -> float:
+    def age_of_s(self, store_ms: float) -> float:
         """Returns the age of a store timestamp in seconds.
 
         Args:
@@ -95,7 +95,7 @@
         Returns:
             The age; 0 if it is negative or the store's clock is unknown.
         """
-        now_ms = self.now_ms
+        now_ms = self.store_now_ms
         if now_ms is None or not store_ms:
             return 0.0
         return max(0.0, now_ms - store_ms) / 1000
--- a/src/vanillaswitch/coordination/fleet/standing.py
+++ b/src/vanillaswitch/coordination/fleet/status_summaries.py
@@ -10,20 +10,20 @@
 import dataclasses
 from typing import Any
 
-from vanillaswitch.coordination.fleet.intake import job_rows
-from vanillaswitch.coordination.fleet.queue import book as books
+from vanillaswitch.coordination.fleet.job_requests import job_rows
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import unusable
 
 _STATES = {
-    books.TaskState.WAITING: "waiting",
-    books.TaskState.ASSIGNED: "assigned",
-    books.TaskState.DONE: "done",
+    job_tracker.TaskState.WAITING: "waiting",
+    job_tracker.TaskState.ASSIGNED: "assigned",
+    job_tracker.TaskState.DONE: "done",
 }
 
 
 @dataclasses.dataclass(frozen=True)
-class TaskStanding:
+class TaskSummary:
     """State of one task that is not done, or that failed or crashed before.
 
     Attributes:
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class JobStanding:
+class JobSummary:
     """State of one job.
 
     Attributes:
@@ -62,12 +62,12 @@
     state: str
     cancelled: bool
     steps: Mapping[str, str]
-    tasks: tuple[TaskStanding, ...]
+    tasks: tuple[TaskSummary, ...]
     given_up: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True)
-class InstanceStanding:
+class InstanceSummary:
     """State of one instance.
 
     Attributes:
@@ -88,7 +88,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class WaveStanding:
+class WaveSummary:
     """State of one wave.
 
     Attributes:
@@ -103,7 +103,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class FleetStanding:
+class FleetSummary:
     """State of the whole fleet.
 
     Attributes:
@@ -119,13 +119,13 @@
     queues: Mapping[str, Mapping[str, int]]
     services: Mapping[str, Mapping[str, int]]
     machines: Mapping[str, Mapping[str, int]]
-    waves: tuple[WaveStanding, ...]
+    waves: tuple[WaveSummary, ...]
     unusable: Mapping[str, str]
 
 
-def entry_of(
+def restore_entry(
     accepted: Mapping[str, Any], progress: Mapping[str, Any] | None
-) -> books.Entry | unusable.Unusable:
+) -> job_tracker.JobEntry | unusable.Unusable:
     """Restores a job from its two rows, as an owner does.
 
     Args:
@@ -135,59 +135,59 @@
     job = job_rows.unpack(accepted)
     if isinstance(job, unusable.Unusable):
         return job
-    entry = books.Entry(job, 0.0)
-    problem = entry.unpack(progress) if progress is not None else None
+    entry = job_tracker.JobEntry(job, 0.0)
+    problem = entry.load_document(progress) if progress is not None else None
     return problem or entry
 
 
-def of_job(entry: books.Entry, cancelled: bool) -> JobStanding:
+def summarize_job(entry: job_tracker.JobEntry, cancelled: bool) -> JobSummary:
     """Returns the state of a job."""
     steps = {}
-    for occurrence in range(entry.job.occurrences):
+    for occurrence in range(entry.job.occurrence_count):
         for number in range(len(entry.job.steps)):
-            if entry.is_done(occurrence, number):
+            if entry.is_step_done(occurrence, number):
                 steps[f"{occurrence}.{number}"] = "done"
-    tasks: list[TaskStanding] = []
-    for step in entry.open.values():
+    tasks: list[TaskSummary] = []
+    for step in entry.open_by_key.values():
         key = f"{step.occurrence}.{step.number}"
         counts = collections.Counter(_STATES[item.state] for item in step.tasks)
         steps[key] = ", ".join(f"{n} {state}" for state, n in counts.items())
         tasks.extend(
             _summarize_task(task) for task in step.tasks if _has_details(task)
         )
-    return JobStanding(
+    return JobSummary(
         entry.job.job_id,
         entry.job.queue,
         entry.state.value,
         cancelled,
         dict(sorted(steps.items())),
         tuple(tasks),
-        tuple(crash.text for crash in entry.given_up),
+        tuple(crash.text for crash in entry.fatal_crashes),
     )
 
 
-def _has_details(task: books.Task) -> bool:
-    done = task.state is books.TaskState.DONE
-    return not done or bool(task.failed or task.crashes)
+def _has_details(task: job_tracker.Task) -> bool:
+    done = task.state is job_tracker.TaskState.DONE
+    return not done or bool(task.failed_runs or task.crashes)
 
 
-def _summarize_task(task: books.Task) -> TaskStanding:
-    return TaskStanding(
-        task.name.label,
+def _summarize_task(task: job_tracker.Task) -> TaskSummary:
+    return TaskSummary(
+        task.name.path_in_job,
         _STATES[task.state],
         task.run,
         task.instance,
-        task.failed,
+        task.failed_runs,
         tuple(crash.text for crash in task.crashes),
-        task.suspect,
+        task.is_suspect,
     )
 
 
-def of_instance(
+def summarize_instance(
     name: str,
     found: fleet.Registration | unusable.Unusable,
-    entries: Iterable[books.Entry],
-) -> InstanceStanding:
+    entries: Iterable[job_tracker.JobEntry],
+) -> InstanceSummary:
     """Returns the state of an instance.
 
     Args:
@@ -198,8 +198,8 @@
     runs = tuple(_runs_on(name, entries))
     if isinstance(found, unusable.Unusable):
         nothing = fleet.Resources(0, 0)
-        return InstanceStanding(name, "", "", found.reason, nothing, None, runs)
-    return InstanceStanding(
+        return InstanceSummary(name, "", "", found.reason, nothing, None, runs)
+    return InstanceSummary(
         name,
         found.service,
         found.address,
@@ -210,25 +210,27 @@
     )
 
 
-def _runs_on(name: str, entries: Iterable[books.Entry]) -> Iterable[str]:
+def _runs_on(
+    name: str, entries: Iterable[job_tracker.JobEntry]
+) -> Iterable[str]:
     for entry in entries:
-        for step in entry.open.values():
+        for step in entry.open_by_key.values():
             for task in step.tasks:
                 here = task.instance == name
-                if here and task.state is books.TaskState.ASSIGNED:
-                    label = task.name.label
+                if here and task.state is job_tracker.TaskState.ASSIGNED:
+                    label = task.name.path_in_job
                     yield f"{entry.job.job_id} {label} run {task.run}"
 
 
 def _instance_state(found: fleet.Registration | unusable.Unusable) -> str:
     if isinstance(found, unusable.Unusable):
         return "unusable"
-    return "draining" if found.draining else "ready"
+    return "draining" if found.is_draining else "ready"
 
 
-def of_wave(
+def summarize_wave(
     order: fleet.WaveOrder, finished: Iterable[str], state: str
-) -> WaveStanding:
+) -> WaveSummary:
     """Returns the state of a wave.
 
     Args:
@@ -240,11 +242,11 @@
     left = tuple(
         name for name in order.machines if name not in finished_machines
     )
-    return WaveStanding(order.name, state, len(order.machines), left)
+    return WaveSummary(order.name, state, len(order.machines), left)
 
 
 def count_jobs(
-    entries: Iterable[books.Entry],
+    entries: Iterable[job_tracker.JobEntry],
 ) -> Mapping[str, Mapping[str, int]]:
     """Returns the number of jobs by queue and state."""
     return _count((entry.job.queue, entry.state.value) for entry in entries)
--- a/src/vanillaswitch/coordination/fleet/follow.py
+++ b/src/vanillaswitch/coordination/fleet/table_follower.py
@@ -9,7 +9,7 @@
 
 from vanillaswitch.coordination.fleet import events
 from vanillaswitch.internal import clock as clocks
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import platform
 
 LONG_POLL_S = 1.0
@@ -20,8 +20,8 @@
 RETRY_S = 0.25
 """Pause after a failed call, and between attempts to read missing parts."""
 
-OnSnapshot = Callable[[feeds.Snapshot], None]
-OnChanges = Callable[[Iterable[feeds.Change]], None]
+OnSnapshot = Callable[[change_feeds.Snapshot], None]
+OnChanges = Callable[[Iterable[change_feeds.RowChange]], None]
 
 
 class Follower:
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        feed: feeds.Feed,
+        feed: change_feeds.ChangeFeed,
         table: str,
         clock: clocks.Clock,
         on_snapshot: OnSnapshot,
@@ -37,7 +37,7 @@
         emit: Callable[[object], None],
         pause_s: float = 0.0,
         wait_s: float = LONG_POLL_S,
-        rereads: bool = False,
+        resync_after_failure: bool = False,
     ):
         """Creates a follower.
 
@@ -63,28 +63,28 @@
         self._emit = emit
         self._pause_s = pause_s
         self._wait_s = wait_s
-        self._rereads = rereads
+        self._rereads = resync_after_failure
         self._version: int | None = None
         self._missing: tuple[str, ...] = ()
         self._failing = False
         self._back_at = 0.0
 
     @property
-    def back_at(self) -> float:
+    def recovered_at(self) -> float:
         """Monotonic seconds of the first answer after the last failure."""
         return self._back_at
 
     @property
-    def failing(self) -> bool:
+    def is_failing(self) -> bool:
         """Whether the last call failed."""
         return self._failing
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every part of the table has been read."""
         return self._version is not None and not self._missing
 
-    def start_from(self, snapshot: feeds.Snapshot) -> None:
+    def resume_from(self, snapshot: change_feeds.Snapshot) -> None:
         """Resumes from a snapshot that was read before."""
         self._version = snapshot.version
         self._update_missing(snapshot)
@@ -92,13 +92,13 @@
     def run(self) -> None:
         """Follows the table; does not return."""
         while True:
-            if self._step():
+            if self._poll():
                 if self._pause_s:
                     self._clock.sleep(self._pause_s)
             else:
                 self._clock.sleep(RETRY_S)
 
-    def _step(self) -> bool:
+    def _poll(self) -> bool:
         if self._version is None:
             return self._read_snapshot()
         if self._missing:
@@ -111,7 +111,7 @@
                 self._version = None
             return False
         self._on_answer()
-        if isinstance(outcome, feeds.HistoryLost):
+        if isinstance(outcome, change_feeds.HistoryTruncated):
             self._report_state(
                 "back", "the history of changes is lost; reading all rows"
             )
@@ -141,13 +141,15 @@
         self._update_missing(outcome)
         self._on_changes(outcome.rows)
 
-    def _update_missing(self, snapshot: feeds.Snapshot) -> None:
-        if snapshot.missing:
-            parts = ", ".join(snapshot.missing)
-            self._report_state("lost in part", f"{parts}: {snapshot.reason}")
+    def _update_missing(self, snapshot: change_feeds.Snapshot) -> None:
+        if snapshot.unreadable_partitions:
+            parts = ", ".join(snapshot.unreadable_partitions)
+            self._report_state(
+                "lost in part", f"{parts}: {snapshot.unreadable_reason}"
+            )
         elif self._missing:
             self._report_state("back", "all parts have been read")
-        self._missing = snapshot.missing
+        self._missing = snapshot.unreadable_partitions
 
     def _on_failure(self, reason: str) -> None:
         if not self._failing:
--- a/src/vanillaswitch/coordination/peering/announcer.py
+++ b/src/vanillaswitch/coordination/peering/announcer.py
@@ -64,7 +64,7 @@
             return
         new = known - self._greeted
         self._greeted = known
-        self._streams.retain(known)
+        self._streams.close_all_except(known)
         everyone = _all_of(*self._groups(state))
         greeted = tuple(one for one in everyone if one.address in new)
         self._send(state, own, greeted)
--- a/src/vanillaswitch/coordination/peering/peer_task.py
+++ b/src/vanillaswitch/coordination/peering/peer_task.py
@@ -33,7 +33,7 @@
 
 INBOX_LIMIT = 1024
 
-Handler = Callable[[str | None, M, peer_transport.Reply], None]
+Handler = Callable[[str | None, M, peer_transport.SendReply], None]
 """Takes (sender's address or None, message, reply); must not block."""
 
 
@@ -41,7 +41,7 @@
 class _Received:
     sender: str | None
     message: peers.Message
-    reply: peer_transport.Reply
+    reply: peer_transport.SendReply
 
 
 class PeerNetwork:
@@ -156,7 +156,7 @@
         self,
         sender: str | None,
         message: peers.Message,
-        reply: peer_transport.Reply,
+        reply: peer_transport.SendReply,
     ) -> None:
         self._inbox.put(_Received(sender, message, reply))
 
@@ -227,7 +227,7 @@
     settings: settings_lib.Settings,
     role: peers.Role,
     boot: str,
-    open_transport: peer_transport.OpenTransport,
+    open_transport: peer_transport.TransportFactory,
     clock: clocks.Clock,
     rng: random.Random,
     snapshot: Callable[[], announcer.Own],
--- a/src/vanillaswitch/platform/advice.py
+++ b/src/vanillaswitch/platform/advice.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from vanillaswitch.platform import calls
+from vanillaswitch.platform import http_calls
 from vanillaswitch.protocol import fleet
 from vanillaswitch.transport import plain_http
 
@@ -19,7 +19,7 @@
         self._client = client
         self._address = address
 
-    def ask(
+    def request_tickets(
         self, step: str, instances: Sequence[str], timeout_s: float
     ) -> fleet.Tickets | fleet.NoAnswer:
         """Requests the tickets of a step.
@@ -31,7 +31,7 @@
         """
         # The platform calls instances "workers".
         body = {"step": step, "workers": list(instances[:MAX_INSTANCES])}
-        response = calls.call(
+        response = http_calls.call(
             self._client,
             self._address,
             "POST",
@@ -39,7 +39,7 @@
             body,
             timeout_s=timeout_s,
         )
-        if isinstance(response, calls.NoResponse):
+        if isinstance(response, http_calls.NoResponse):
             return fleet.NoAnswer(response.sent, response.reason)
         if response.status != _OK:
             return fleet.NoAnswer(False, f"status {response.status}")
--- a/src/vanillaswitch/platform/calls.py
+++ b/src/vanillaswitch/platform/http_calls.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from vanillaswitch.platform import checked
+from vanillaswitch.platform import validation
 from vanillaswitch.protocol import minions
 from vanillaswitch.protocol import requests
 from vanillaswitch.transport import plain_http
@@ -67,7 +67,7 @@
         return NoResponse(True, outcome.reason)
     try:
         decoded = (
-            checked.decode_json(outcome.answer.body)
+            validation.decode_json(outcome.answer.body)
             if outcome.answer.body
             else {}
         )
--- a/src/vanillaswitch/platform/store.py
+++ b/src/vanillaswitch/platform/http_table.py
@@ -16,9 +16,9 @@
 
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import logs
-from vanillaswitch.platform import calls
+from vanillaswitch.platform import http_calls
 from vanillaswitch.platform import store_rows
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import platform
 from vanillaswitch.transport import page_size
 from vanillaswitch.transport import plain_http
@@ -58,7 +58,7 @@
     version: int
 
 
-class Store:
+class HttpTable:
     """Implements ``platform.Table`` and ``feeds.Feed``."""
 
     def __init__(
@@ -89,7 +89,7 @@
         self._call_numbers = itertools.count()
 
     @property
-    def unanswered_s(self) -> float:
+    def unresponsive_s(self) -> float:
         """Seconds since the first call after the store's last answer.
 
         It is 0 if there was no call since then.
@@ -143,7 +143,7 @@
             store_rows.encode_transaction(transaction),
             CALL_TIMEOUT_S,
         )
-        if isinstance(response, calls.NoResponse):
+        if isinstance(response, http_calls.NoResponse):
             outcome_type = platform.OutcomeUnknown if response.sent else None
             return (outcome_type or platform.Unavailable)(response.reason)
         version = response.body.get("row_version")
@@ -162,7 +162,7 @@
 
     def snapshot(
         self, table: str, parts: tuple[str, ...] = ()
-    ) -> feeds.Snapshot | platform.Unavailable:
+    ) -> change_feeds.Snapshot | platform.Unavailable:
         """Reads all rows of a table, or only those in some of its partitions.
 
         Pages and partitions are read at different times. The snapshot has the
@@ -175,7 +175,7 @@
             for partition in wanted
         ]
         gevent.joinall(greenlets, raise_error=True)
-        rows: list[feeds.Change] = []
+        rows: list[change_feeds.RowChange] = []
         versions: list[int] = []
         missing: dict[str, str] = {}
         for partition, greenlet in zip(wanted, greenlets, strict=True):
@@ -190,7 +190,7 @@
         reason = next(iter(missing.values()), "")
         if not versions:
             return platform.Unavailable(reason)
-        return feeds.Snapshot(
+        return change_feeds.Snapshot(
             tuple(rows), min(versions), tuple(missing), reason
         )
 
@@ -217,7 +217,11 @@
 
     def changes(
         self, table: str, after: int, wait_s: float
-    ) -> feeds.Changes | feeds.HistoryLost | platform.Unavailable:
+    ) -> (
+        change_feeds.ChangeBatch
+        | change_feeds.HistoryTruncated
+        | platform.Unavailable
+    ):
         """Waits for changes of a table after a version."""
         query = urllib.parse.urlencode(
             {"table": table, "after": after, "wait_ms": int(wait_s * 1000)}
@@ -229,11 +233,11 @@
             wait_s + FEED_MARGIN_S,
             self._suspects_kept_connections(),
         )
-        if isinstance(response, calls.NoResponse):
+        if isinstance(response, http_calls.NoResponse):
             return platform.Unavailable(response.reason)
         self._on_response(response)
         if response.status == _HISTORY_LOST:
-            return feeds.HistoryLost()
+            return change_feeds.HistoryTruncated()
         if response.status != _OK:
             return platform.Unavailable(f"status {response.status}")
         if not _is_row_page(response.body):
@@ -241,7 +245,7 @@
                 "the response has no rows or row_version"
             )
         rows = response.body["rows"]
-        return feeds.Changes(
+        return change_feeds.ChangeBatch(
             tuple(store_rows.decode_change(table, raw) for raw in rows),
             int(response.body["row_version"]),
         )
@@ -264,7 +268,7 @@
         response = self._call(
             "GET", f"/-/rows-get?{query}", None, CALL_TIMEOUT_S
         )
-        if isinstance(response, calls.NoResponse):
+        if isinstance(response, http_calls.NoResponse):
             return platform.Unavailable(response.reason)
         if response.status != _OK:
             return platform.Unavailable(f"status {response.status}")
@@ -294,7 +298,7 @@
         target: str,
         body: Mapping[str, Any] | None,
         timeout_s: float,
-    ) -> calls.JsonResponse | calls.NoResponse:
+    ) -> http_calls.JsonResponse | http_calls.NoResponse:
         if self._unanswered_since is None:
             self._unanswered_since = self._clock.monotonic()
         fresh = self._suspects_kept_connections()
@@ -306,8 +310,8 @@
             response = send(method, target, body, timeout_s, fresh)
         finally:
             del self._calls_in_flight[number]
-        self._last_call_failed = isinstance(response, calls.NoResponse)
-        if isinstance(response, calls.JsonResponse):
+        self._last_call_failed = isinstance(response, http_calls.NoResponse)
+        if isinstance(response, http_calls.JsonResponse):
             self._page_size.answered(self._clock.monotonic() - started_at)
             self._on_response(response)
         return response
@@ -319,8 +323,8 @@
         body: Mapping[str, Any] | None,
         timeout_s: float,
         fresh: bool,
-    ) -> calls.JsonResponse | calls.NoResponse:
-        return calls.call(
+    ) -> http_calls.JsonResponse | http_calls.NoResponse:
+        return http_calls.call(
             self._client,
             self._address,
             method,
@@ -337,7 +341,7 @@
         body: Mapping[str, Any] | None,
         timeout_s: float,
         fresh: bool,
-    ) -> calls.JsonResponse | calls.NoResponse:
+    ) -> http_calls.JsonResponse | http_calls.NoResponse:
         """Makes a read-only call; gives it up when the store recovers.
 
         After an outage the store answers new calls, but not those that it got
@@ -349,18 +353,20 @@
         try:
             gevent.wait([greenlet, self._recovered], count=1)
             if not greenlet.ready():
-                return calls.NoResponse(
+                return http_calls.NoResponse(
                     True, "sent during an outage that is over"
                 )
-            response: calls.JsonResponse | calls.NoResponse = greenlet.get()
+            response: http_calls.JsonResponse | http_calls.NoResponse = (
+                greenlet.get()
+            )
             return response
         finally:
             # Also runs when the calling greenlet is killed.
             greenlet.kill(block=False)
 
-    def _on_response(self, response: calls.JsonResponse) -> None:
+    def _on_response(self, response: http_calls.JsonResponse) -> None:
         """Ends the calls sent during an outage and passes the clock on."""
-        if self.unanswered_s > OUTAGE_S:
+        if self.unresponsive_s > OUTAGE_S:
             self._recovered.set()
             self._recovered = gevent.event.Event()
         self._unanswered_since = None
--- a/src/vanillaswitch/platform/job_body.py
+++ b/src/vanillaswitch/platform/job_body.py
@@ -45,7 +45,7 @@
 }
 
 
-def parse(
+def parse_job(
     body: bytes,
     job_id: str,
     queue: str,
--- a/src/vanillaswitch/platform/jobs_http.py
+++ b/src/vanillaswitch/platform/job_request_handler.py
@@ -4,10 +4,10 @@
 import re
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet import shared_time
-from vanillaswitch.coordination.fleet.intake import helped_intake
-from vanillaswitch.coordination.fleet.intake import intake
-from vanillaswitch.coordination.fleet.ownership import owner_link
+from vanillaswitch.coordination.fleet import reference_clock
+from vanillaswitch.coordination.fleet.job_requests import job_service
+from vanillaswitch.coordination.fleet.job_requests import job_store
+from vanillaswitch.coordination.fleet.ownership import owner_rpc
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.platform import job_body
 from vanillaswitch.protocol import fleet
@@ -32,16 +32,16 @@
 _OK = 200
 
 
-class JobsHttp:
+class JobRequestHandler:
     """Submits, cancels and shows jobs, and returns lengths of queues."""
 
     def __init__(
         self,
-        job_intake: helped_intake.HelpedIntake,
-        link: owner_link.OwnerLink,
+        job_intake: job_service.JobService,
+        link: owner_rpc.OwnerRpc,
         config: Callable[[], fleet.FleetConfig | None],
         clock: clocks.Clock,
-        time: shared_time.SharedTime,
+        time: reference_clock.ReferenceClock,
         emit: Callable[[object], None],
     ):
         self._emit = emit
@@ -76,7 +76,7 @@
         queue = _find_queue(config, host, path)
         if queue is None:
             return _refusal(404, "no-queue", "no queue has this address")
-        job_id = path[len(queue.prefix) :]
+        job_id = path[len(queue.path_prefix) :]
         if not job_id:
             return self._get_queue_length(incoming, queue)
         if not _JOB_ID.fullmatch(job_id):
@@ -107,12 +107,12 @@
         version: int,
     ) -> requests.Reply:
         try:
-            job = job_body.parse(
+            job = job_body.parse_job(
                 incoming.body,
                 job_id,
                 queue.name,
                 queue.service,
-                int(self._time.now_ms or 0),
+                int(self._time.store_now_ms or 0),
                 int(self._clock.wall() * 1000),
             )
         except job_body.BadJobError as error:
@@ -128,9 +128,9 @@
                 int(waited_s * 1000),
             )
         )
-        if result is intake.Verdict.ACCEPTED:
+        if result is job_store.RequestResult.ACCEPTED:
             return _ok(job_body.encode_state(jobs.JobState.QUEUED))
-        if result is intake.Verdict.DIFFERENT:
+        if result is job_store.RequestResult.ID_CONFLICT:
             return _refusal(
                 409, "other-job", "choose another id: this one is taken"
             )
@@ -142,7 +142,7 @@
         state = self._link.state(job_id)
         if state is None:
             stored = self._intake.state(job_id, self._deadline(incoming))
-            if isinstance(stored, intake.Unknown):
+            if isinstance(stored, job_store.StateUnknown):
                 return _refusal(503, "no-store", "come back soon", 1.0)
             state = stored
         if state is None:
@@ -153,15 +153,15 @@
         self, incoming: requests.Incoming, job_id: str
     ) -> requests.Reply:
         state = self._link.state(job_id)
-        if state is not None and state.ended:
+        if state is not None and state.is_final:
             return _ok(job_body.encode_state(state))
         result = self._intake.cancel(
             job_id, state is not None, self._deadline(incoming)
         )
         self._emit(events.CancelAsked(job_id, result.value))
-        if result is intake.Verdict.ACCEPTED:
+        if result is job_store.RequestResult.ACCEPTED:
             return _ok(job_body.encode_state(jobs.JobState.CANCELLED))
-        if result is intake.Verdict.MISSING:
+        if result is job_store.RequestResult.NOT_FOUND:
             return _refusal(410, "no-job", "there is no such job")
         return _write_failure(result)
 
@@ -182,9 +182,9 @@
     matching = [
         queue
         for queue in config.queues
-        if queue.host == name and path.startswith(queue.prefix)
+        if queue.host == name and path.startswith(queue.path_prefix)
     ]
-    return max(matching, key=lambda queue: len(queue.prefix), default=None)
+    return max(matching, key=lambda queue: len(queue.path_prefix), default=None)
 
 
 def _ok(body: bytes) -> requests.Answer:
@@ -199,12 +199,12 @@
     )
 
 
-def _write_failure(result: intake.Verdict) -> requests.Refusal:
+def _write_failure(result: job_store.RequestResult) -> requests.Refusal:
     """Returns the refusal for a write that was not confirmed.
 
     It states whether the write certainly had no effect or may have one.
     """
-    if result is intake.Verdict.NOT_DONE:
+    if result is job_store.RequestResult.NOT_APPLIED:
         return _refusal(
             503, "no-store", "the store did not take it", RETRY_AFTER_S
         )
--- a/src/vanillaswitch/platform/machines.py
+++ b/src/vanillaswitch/platform/machines.py
@@ -9,9 +9,9 @@
 from typing import Any
 import urllib.parse
 
-from vanillaswitch.platform import calls
-from vanillaswitch.platform import checked
+from vanillaswitch.platform import http_calls
 from vanillaswitch.platform import upstreams
+from vanillaswitch.platform import validation
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import requests
 from vanillaswitch.protocol import unusable
@@ -55,7 +55,7 @@
             if token:
                 target += "?" + urllib.parse.urlencode({"page_token": token})
             response = self._call("GET", target, None, (), LIST_TIMEOUT_S)
-            if isinstance(response, calls.NoResponse):
+            if isinstance(response, http_calls.NoResponse):
                 return fleet.NoAnswer(response.sent, response.reason)
             if response.status != _OK:
                 return fleet.NoAnswer(False, f"status {response.status}")
@@ -113,18 +113,22 @@
             ("X-Fencing-Token", str(token)),
         )
         response = self._call("POST", path, body, headers, ORDER_TIMEOUT_S)
-        if isinstance(response, calls.NoResponse):
+        if isinstance(response, http_calls.NoResponse):
             return fleet.NoAnswer(response.sent, response.reason)
         if response.status == _OK:
             return fleet.Accepted(0.0)
         if response.status == _BAD_REQUEST:
-            return fleet.Refused(fleet.Reason.INVALID)
+            return fleet.Refused(fleet.RefusalReason.INVALID)
         if response.status != _CONFLICT:
             return fleet.NoAnswer(False, f"status {response.status}")
         if response.body.get("reason") == _BUSY:
             return fleet.Busy()
-        is_fenced = response.body.get("reason") == fleet.Reason.FENCED
-        reason = fleet.Reason.FENCED if is_fenced else fleet.Reason.INVALID
+        is_fenced = response.body.get("reason") == fleet.RefusalReason.FENCED
+        reason = (
+            fleet.RefusalReason.FENCED
+            if is_fenced
+            else fleet.RefusalReason.INVALID
+        )
         return fleet.Refused(reason)
 
     def _call(
@@ -134,8 +138,8 @@
         body: Mapping[str, Any] | None,
         headers: requests.Headers,
         timeout_s: float,
-    ) -> calls.JsonResponse | calls.NoResponse:
-        response = calls.call(
+    ) -> http_calls.JsonResponse | http_calls.NoResponse:
+        response = http_calls.call(
             self._client,
             self._address,
             method,
@@ -145,7 +149,7 @@
             timeout_s,
             fresh=self._last_call_failed,
         )
-        self._last_call_failed = isinstance(response, calls.NoResponse)
+        self._last_call_failed = isinstance(response, http_calls.NoResponse)
         return response
 
 
@@ -170,7 +174,7 @@
 
 def decode_machine(raw: Any) -> fleet.Machine | unusable.Unusable:
     """Decodes an entry of the list."""
-    entry = checked.parse_document(_MachineEntry, raw)
+    entry = validation.parse_document(_MachineEntry, raw)
     if isinstance(entry, unusable.Unusable):
         return entry
     capacity = entry.capacity.resources()
--- a/src/vanillaswitch/platform/operator.py
+++ b/src/vanillaswitch/platform/operator_rows.py
@@ -8,14 +8,14 @@
 import dataclasses
 from typing import Any
 
-from vanillaswitch.platform import checked
+from vanillaswitch.platform import validation
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import unusable
 
 CONFIG_KEY = "config"
 WAVE_PREFIX = "wave/"
 
-TABLE = "op"
+OPERATOR_TABLE = "op"
 """The table that operators write."""
 
 STATUS_TABLE = "status"
@@ -68,14 +68,14 @@
         return fleet.Queue(
             name=self.name,
             host=self.host.lower(),
-            prefix=self.path_prefix,
+            path_prefix=self.path_prefix,
             service=self.service,
             priority=self.priority,
             max_attempts=max(1, self.max_attempts),
             stretch=self.stretch,
-            target_ms=self.target_duration_ms,
+            target_duration_ms=self.target_duration_ms,
             timeout_ms=self.timeout_ms,
-            advice=fleet.Advice(**vars(advice)) if advice else None,
+            advice=fleet.AdvisorConfig(**vars(advice)) if advice else None,
         )
 
 
@@ -125,11 +125,11 @@
     max_count: int = 1
 
 
-def config(
+def decode_config(
     document: Mapping[str, Any],
 ) -> fleet.FleetConfig | unusable.Unusable:
     """Decodes the row "config" of the operators' table."""
-    decoded = checked.parse_document(_Config, document)
+    decoded = validation.parse_document(_Config, document)
     if isinstance(decoded, unusable.Unusable):
         return decoded
     return fleet.FleetConfig(
@@ -140,11 +140,11 @@
     )
 
 
-def wave(
+def decode_wave(
     key: str, document: Mapping[str, Any]
 ) -> fleet.WaveOrder | unusable.Unusable:
     """Decodes a row "wave/N" of the operators' table."""
-    decoded = checked.parse_document(_Wave, document)
+    decoded = validation.parse_document(_Wave, document)
     if isinstance(decoded, unusable.Unusable):
         return decoded
     return fleet.WaveOrder(
@@ -156,12 +156,12 @@
     )
 
 
-def wave_status(completed: bool) -> dict[str, str]:
+def encode_wave_status(completed: bool) -> dict[str, str]:
     """Encodes the status row of a wave, which operators read."""
     return {"state": "completed" if completed else "running"}
 
 
-def reported_state(document: Mapping[str, Any]) -> str:
+def decode_wave_state(document: Mapping[str, Any]) -> str:
     """Returns the state in a wave's status row; empty if there is none."""
     state = document.get("state")
     return state if isinstance(state, str) else ""
--- a/src/vanillaswitch/platform/settings.py
+++ b/src/vanillaswitch/platform/settings.py
@@ -12,10 +12,10 @@
 from vanillaswitch.state import deployment
 
 ENVIRONMENT_VARIABLE = "VANILLASWITCH_SETTINGS"
-KNOWN_ORDERS = "request"
+SUPPORTED_ORDER_MODE = "request"
 """The only supported value of ``orders``, how instances take orders."""
 
-KNOWN_CONTRACTS = frozenset(
+SUPPORTED_CONTRACTS = frozenset(
     {
         "base",
         "drain",
@@ -133,7 +133,7 @@
         cores=fields.number("limits.cpu_share", 1.0)
         * fields.number("limits.cpu_cores", 1.0),
         link_mbps=fields.number("limits.link_mbps", 1000.0),
-        orders=fields.text("orders", KNOWN_ORDERS),
+        orders=fields.text("orders", SUPPORTED_ORDER_MODE),
         contracts=fields.items("contracts"),
         heartbeat_s=fields.seconds("heartbeat_ms", 1.5),
         writes_per_s=fields.number("platform.writes_per_s", 100.0),
--- a/src/vanillaswitch/platform/store_rows.py
+++ b/src/vanillaswitch/platform/store_rows.py
@@ -18,8 +18,8 @@
 import zlib
 
 from vanillaswitch.internal import logs
-from vanillaswitch.platform import checked
-from vanillaswitch.protocol import feeds
+from vanillaswitch.platform import validation
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import platform
 from vanillaswitch.protocol import unusable
 
@@ -75,7 +75,9 @@
 ) -> tuple[Mapping[str, Any], str] | unusable.Unusable:
     """Decodes a row's document and the token of its transaction."""
     try:
-        document = checked.decode_json(base64.b64decode(encoded, validate=True))
+        document = validation.decode_json(
+            base64.b64decode(encoded, validate=True)
+        )
     except ValueError as error:
         return unusable.Unusable(f"the value is not base64 of JSON: {error}")
     if not isinstance(document, dict):
@@ -140,13 +142,13 @@
     )
 
 
-def decode_change(table: str, raw: Mapping[str, Any]) -> feeds.Change:
+def decode_change(table: str, raw: Mapping[str, Any]) -> change_feeds.RowChange:
     """Decodes a changed row, or the marker of a removed one."""
     version = int(raw.get("row_version", 0))
     key = str(raw["key"])
     if raw.get("removed"):
-        return feeds.Change(key, None, version)
+        return change_feeds.RowChange(key, None, version)
     decoded = _decode_value(table, str(raw.get("value") or ""))
     if isinstance(decoded, unusable.Unusable):
-        return feeds.Change(key, None, version, decoded.reason)
-    return feeds.Change(key, decoded[0], version)
+        return change_feeds.RowChange(key, None, version, decoded.reason)
+    return change_feeds.RowChange(key, decoded[0], version)
--- a/src/vanillaswitch/platform/upstreams.py
+++ b/src/vanillaswitch/platform/upstreams.py
@@ -7,14 +7,14 @@
 from typing import Any
 
 from vanillaswitch.internal import logs
-from vanillaswitch.platform import calls
-from vanillaswitch.platform import checked
+from vanillaswitch.platform import http_calls
+from vanillaswitch.platform import validation
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import unusable
 from vanillaswitch.transport import plain_http
 
-TABLE = "servers"
+INSTANCE_TABLE = "servers"
 """The platform's name of the table of instances."""
 
 PORT_LIMIT = 65_536
@@ -83,11 +83,11 @@
     seq_no: int = 0
 
 
-def registration(
+def decode_registration(
     instance: str, document: Mapping[str, Any]
 ) -> fleet.Registration | unusable.Unusable:
     """Decodes a row of the table of instances."""
-    row = checked.parse_document(_InstanceRow, document)
+    row = validation.parse_document(_InstanceRow, document)
     if isinstance(row, unusable.Unusable):
         return row
     capacity = row.capacity.resources()
@@ -104,7 +104,7 @@
         service=row.service,
         address=row.address,
         zone=row.zone,
-        draining=row.state == _DRAINING,
+        is_draining=row.state == _DRAINING,
         capacity=capacity,
         labels=row.labels,
         born_ms=None if row.born == _NO_BORN else row.born,
@@ -144,7 +144,7 @@
     def start(
         self,
         target: fleet.Registration,
-        order: fleet.Start,
+        order: fleet.StartRequest,
         timeout_s: float,
         fresh: bool,
     ) -> fleet.OrderOutcome:
@@ -156,9 +156,9 @@
             "deadline_ms": order.deadline_ms,
             "fence_token": order.token,
         }
-        if order.saved:
+        if order.checkpoint:
             # The checkpoint to resume from.
-            body["checkpointed"] = order.saved
+            body["checkpointed"] = order.checkpoint
         if order.ticket:
             body["ticket"] = order.ticket
         return _order_outcome(
@@ -179,7 +179,7 @@
             self._post(target, "/-/run-stop", body, timeout_s, False)
         )
 
-    def hold(
+    def renew_lease(
         self,
         target: fleet.Registration,
         token: int,
@@ -188,7 +188,7 @@
         wait_s: float,
         timeout_s: float,
         fresh: bool = False,
-    ) -> fleet.HoldOutcome:
+    ) -> fleet.RenewalOutcome:
         """Extends the lease of an instance's runs and gets its status report.
 
         See ``fleet.Upstreams.hold`` for the arguments.
@@ -200,14 +200,17 @@
         if wait_s:
             body["wait_ms"] = int(wait_s * 1000)
         response = self._post(target, "/-/hold", body, timeout_s, fresh)
-        if isinstance(response, calls.JsonResponse) and response.status == _OK:
+        if (
+            isinstance(response, http_calls.JsonResponse)
+            and response.status == _OK
+        ):
             return decode_status_report(response.body)
         outcome = _order_outcome(response)
         if isinstance(outcome, fleet.Accepted):
             return fleet.NoAnswer(True, "the response is empty")
         return outcome
 
-    def pace(
+    def set_pace(
         self,
         target: fleet.Registration,
         task: jobs.TaskName,
@@ -233,8 +236,8 @@
         body: Mapping[str, Any],
         timeout_s: float,
         fresh: bool,
-    ) -> calls.JsonResponse | calls.NoResponse:
-        return calls.call(
+    ) -> http_calls.JsonResponse | http_calls.NoResponse:
+        return http_calls.call(
             self._client,
             target.address,
             "POST",
@@ -247,41 +250,41 @@
 
 
 def _clock_ms(body: Mapping[str, Any]) -> float | None:
-    return checked.finite_float(body.get("clock_ms"))
+    return validation.finite_float(body.get("clock_ms"))
 
 
 def _order_outcome(
-    response: calls.JsonResponse | calls.NoResponse,
+    response: http_calls.JsonResponse | http_calls.NoResponse,
 ) -> fleet.OrderOutcome:
     """Converts the response to an order; other statuses mean unhealthy."""
-    if isinstance(response, calls.NoResponse):
+    if isinstance(response, http_calls.NoResponse):
         return fleet.NoAnswer(response.sent, response.reason)
     clock = _clock_ms(response.body)
     if response.status == _OK:
         return fleet.Accepted(clock)
     if response.status == _MISDIRECTED:
-        return fleet.Replaced()
+        return fleet.InstanceReplaced()
     if response.status == _CONFLICT:
         return fleet.Refused(_decode_reason(response.body.get("reason")), clock)
     if response.status == _BAD_REQUEST:
         logs.error(
             "an instance rejected an order as invalid: {}", dict(response.body)
         )
-        return fleet.Refused(fleet.Reason.INVALID, clock)
-    return fleet.Refused(fleet.Reason.UNHEALTHY, clock)
+        return fleet.Refused(fleet.RefusalReason.INVALID, clock)
+    return fleet.Refused(fleet.RefusalReason.UNHEALTHY, clock)
 
 
-def _decode_reason(raw: Any) -> fleet.Reason:
+def _decode_reason(raw: Any) -> fleet.RefusalReason:
     try:
-        return fleet.Reason(raw)
+        return fleet.RefusalReason(raw)
     except ValueError:
         logs.warning("an instance refused an order, unknown reason: {}", raw)
-        return fleet.Reason.INVALID
+        return fleet.RefusalReason.INVALID
 
 
 def decode_status_report(
     body: Mapping[str, Any],
-) -> fleet.Held | fleet.NoAnswer:
+) -> fleet.StatusReport | fleet.NoAnswer:
     """Decodes an instance's status report.
 
     A report that can't be decoded counts as no answer. Read as an empty
@@ -297,19 +300,19 @@
         )
         return fleet.NoAnswer(True, "the status report is invalid")
     try:
-        return fleet.Held(
+        return fleet.StatusReport(
             clock_ms=clock_ms,
             born_ms=born_ms,
             running=tuple(map(_decode_run, body.get("running") or ())),
-            ended=tuple(map(_decode_end, body.get("ended") or ())),
+            ended_runs=tuple(map(_decode_end, body.get("ended") or ())),
         )
-    except unusable.WRONG_FIELDS as error:
+    except unusable.FIELD_ERRORS as error:
         logs.error("the status report of an instance is invalid: {!r}", error)
         return fleet.NoAnswer(True, "the status report is invalid")
 
 
-def _decode_run(raw: Sequence[Any]) -> fleet.Running:
-    return fleet.Running(
+def _decode_run(raw: Sequence[Any]) -> fleet.RunStatus:
+    return fleet.RunStatus(
         parse_task(raw[0]),
         int(raw[1]),
         str(raw[2] or ""),
@@ -323,18 +326,18 @@
 
     A wrong figure is no reason to reject the report: the run exists anyway.
     """
-    number = checked.finite_float(raw)
+    number = validation.finite_float(raw)
     if number is None:
         logs.warning("status report: not a finite number: {!r}", raw)
         return 0.0
     return number
 
 
-def _decode_end(raw: Sequence[Any]) -> fleet.End:
-    return fleet.End(
+def _decode_end(raw: Sequence[Any]) -> fleet.RunEnd:
+    return fleet.RunEnd(
         int(raw[0]),
         parse_task(raw[1]),
         int(raw[2]),
-        fleet.How(raw[3]),
+        fleet.RunOutcome(raw[3]),
         str(raw[4] or ""),
     )
--- a/src/vanillaswitch/protocol/feeds.py
+++ b/src/vanillaswitch/protocol/change_feeds.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Change:
+class RowChange:
     """The current state of a row.
 
     Attributes:
@@ -24,18 +24,18 @@
     key: str
     value: Mapping[str, Any] | None
     version: int
-    damage: str = ""
+    read_error: str = ""
 
 
 @dataclasses.dataclass(frozen=True)
-class Changes:
+class ChangeBatch:
     """The changes after a version, oldest first.
 
     Attributes:
         version: version to pass to the next call.
     """
 
-    changes: tuple[Change, ...]
+    changes: tuple[RowChange, ...]
     version: int
 
 
@@ -52,18 +52,18 @@
         reason: why the first of these parts could not be read.
     """
 
-    rows: tuple[Change, ...]
+    rows: tuple[RowChange, ...]
     version: int
-    missing: tuple[str, ...] = ()
-    reason: str = ""
+    unreadable_partitions: tuple[str, ...] = ()
+    unreadable_reason: str = ""
 
 
 @dataclasses.dataclass(frozen=True)
-class HistoryLost:
+class HistoryTruncated:
     """The store no longer has these changes: take a new snapshot."""
 
 
-class Feed(Protocol):
+class ChangeFeed(Protocol):
     """Reads snapshots of tables and the changes that follow."""
 
     def snapshot(
@@ -77,5 +77,5 @@
 
     def changes(
         self, table: str, after: int, wait_s: float
-    ) -> Changes | HistoryLost | platform.Unavailable:
+    ) -> ChangeBatch | HistoryTruncated | platform.Unavailable:
         """Waits up to ``wait_s`` for changes after a version."""
--- a/src/vanillaswitch/protocol/codec.py
+++ b/src/vanillaswitch/protocol/codec.py
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Malformed:
+class MalformedStream:
     """The stream violates the protocol; nothing after it can be decoded."""
 
     reason: str
@@ -63,8 +63,8 @@
     """
 
     messages: tuple[peers.Message, ...] = ()
-    passed_over: int = 0
-    fault: Malformed | None = None
+    skipped_frames: int = 0
+    error: MalformedStream | None = None
 
 
 class _UnknownValueError(Exception):
@@ -135,7 +135,7 @@
             return TooLarge(len(packed))
         return self._compress_frame(packed)
 
-    def acknowledge(self) -> bytes:
+    def encode_acknowledgement(self) -> bytes:
         """Returns a frame that only shows the peer that the stream works."""
         return self._compress_frame(_ACKNOWLEDGEMENT)
 
@@ -153,7 +153,7 @@
         # A msgpack.Unpacker would use 40 KB per stream. With length-prefixed
         # frames, only an incomplete frame needs a buffer.
         self._buffer = bytearray()
-        self._fault: Malformed | None = None
+        self._fault: MalformedStream | None = None
 
     def feed(self, data: bytes) -> Decoded:
         """Decodes the next bytes; ignores them after an earlier fault."""
@@ -167,7 +167,7 @@
                 elif frame is not None:
                     passed_over += 1
         except (zlib.error, ValueError, msgpack.UnpackException) as error:
-            self._fault = Malformed(repr(error))
+            self._fault = MalformedStream(repr(error))
         return Decoded(tuple(messages), passed_over, self._fault)
 
     def _frames(self, data: bytes) -> typing.Iterator[Any]:
--- a/src/vanillaswitch/protocol/fleet.py
+++ b/src/vanillaswitch/protocol/fleet.py
@@ -35,14 +35,14 @@
     """
 
     cpu: int = 0
-    work: float = 0.0
+    cpu_time: float = 0.0
 
     @property
-    def task_s(self) -> float:
+    def mean_task_s(self) -> float:
         """Mean estimated duration of a task in seconds, weighted by cpu."""
-        return self.work / self.cpu / 1000 if self.cpu > 0 else 0.0
+        return self.cpu_time / self.cpu / 1000 if self.cpu > 0 else 0.0
 
-    def plus(self, step: jobs.Step, count: int) -> "Load":
+    def with_tasks(self, step: jobs.Step, count: int) -> "Load":
         """Returns the load with ``count`` tasks of a step added to it.
 
         A negative ``count`` removes tasks. Tasks that don't end by themselves
@@ -51,15 +51,15 @@
         if step.long_running or step.fills:
             return self
         cpu = step.cpu * count
-        return Load(self.cpu + cpu, self.work + cpu * step.estimate_ms)
+        return Load(self.cpu + cpu, self.cpu_time + cpu * step.estimate_ms)
 
     def __add__(self, other: "Load") -> "Load":
         """Returns the sum of both loads."""
-        return Load(self.cpu + other.cpu, self.work + other.work)
+        return Load(self.cpu + other.cpu, self.cpu_time + other.cpu_time)
 
 
 @dataclasses.dataclass(frozen=True)
-class Advice:
+class AdvisorConfig:
     """The advisor of a queue whose steps may only run on some instances.
 
     Attributes:
@@ -91,14 +91,14 @@
 
     name: str
     host: str
-    prefix: str
+    path_prefix: str
     service: str
     priority: int = 0
     max_attempts: int = 1
     stretch: float = 1.0
-    target_ms: float = 0.0
+    target_duration_ms: float = 0.0
     timeout_ms: float = 0.0
-    advice: Advice | None = None
+    advice: AdvisorConfig | None = None
 
 
 @dataclasses.dataclass(frozen=True)
@@ -111,8 +111,8 @@
     """
 
     name: str
-    guarded: bool
-    standby: bool
+    enforces_capacity: bool
+    is_standby: bool
 
 
 @dataclasses.dataclass(frozen=True)
@@ -160,7 +160,7 @@
     service: str
     address: str
     zone: str
-    draining: bool
+    is_draining: bool
     capacity: Resources
     labels: tuple[str, ...]
     born_ms: int | None = None
@@ -176,7 +176,7 @@
 
     UP = "up"
     MOVING = "moving"
-    UPKEEP = "upkeep"
+    MAINTENANCE = "upkeep"
     DOWN = "down"
     UNKNOWN = "unknown"
 
@@ -197,19 +197,19 @@
     capacity: Resources
 
 
-class How(enum.StrEnum):
+class RunOutcome(enum.StrEnum):
     """How a run ended."""
 
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
+    LEASE_EXPIRED = "lapsed"
     BROKEN = "broken"
     ALONE = "alone"
 
 
 @dataclasses.dataclass(frozen=True)
-class Running:
+class RunStatus:
     """The status of a run on an instance.
 
     Attributes:
@@ -221,13 +221,13 @@
 
     task: jobs.TaskName
     run: int
-    saved: str
+    checkpoint: str
     percent: float
     gauge: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True)
-class End:
+class RunEnd:
     """The end of a run on an instance.
 
     Attributes:
@@ -239,24 +239,24 @@
     number: int
     task: jobs.TaskName
     run: int
-    how: How
-    saved: str
+    outcome: RunOutcome
+    checkpoint: str
 
 
-class Reason(enum.StrEnum):
+class RefusalReason(enum.StrEnum):
     """Why an order was refused."""
 
     FENCED = "fence"
-    OLD = "old"
-    LATE = "late"
-    NO_ROOM = "room"
-    TICKET = "ticket"
+    STALE_RUN = "old"
+    DEADLINE_PASSED = "late"
+    NO_CAPACITY = "room"
+    INVALID_TICKET = "ticket"
     INVALID = "invalid"
     UNHEALTHY = "unhealthy"
 
 
 @dataclasses.dataclass(frozen=True)
-class Held:
+class StatusReport:
     """An instance's status report.
 
     Attributes:
@@ -265,8 +265,8 @@
     """
 
     clock_ms: float
-    running: tuple[Running, ...]
-    ended: tuple[End, ...]
+    running: tuple[RunStatus, ...]
+    ended_runs: tuple[RunEnd, ...]
     born_ms: int | None = None
 
 
@@ -286,12 +286,12 @@
 class Refused:
     """The order had no effect; an earlier copy of it may still have one."""
 
-    reason: Reason
+    reason: RefusalReason
     clock_ms: float | None = None
 
 
 @dataclasses.dataclass(frozen=True)
-class Replaced:
+class InstanceReplaced:
     """A different instance answers at this address."""
 
 
@@ -303,21 +303,23 @@
         sent: whether the order may have taken effect or may still do so.
     """
 
-    sent: bool
+    may_take_effect: bool
     reason: str
 
 
 def is_fenced(outcome: object) -> bool:
     """Whether an order was refused because of a higher fencing token."""
-    return isinstance(outcome, Refused) and outcome.reason is Reason.FENCED
+    return (
+        isinstance(outcome, Refused) and outcome.reason is RefusalReason.FENCED
+    )
 
 
-OrderOutcome = Accepted | Refused | Replaced | NoAnswer
-HoldOutcome = Held | Refused | Replaced | NoAnswer
+OrderOutcome = Accepted | Refused | InstanceReplaced | NoAnswer
+RenewalOutcome = StatusReport | Refused | InstanceReplaced | NoAnswer
 
 
 @dataclasses.dataclass(frozen=True)
-class Start:
+class StartRequest:
     """The order to start a run of a task.
 
     Attributes:
@@ -331,7 +333,7 @@
     task: jobs.TaskName
     run: int
     spec: str
-    saved: str
+    checkpoint: str
     token: int
     deadline_ms: int
     ticket: str = ""
@@ -341,7 +343,11 @@
     """Sends orders to instances, each once."""
 
     def start(
-        self, target: Registration, order: Start, timeout_s: float, fresh: bool
+        self,
+        target: Registration,
+        order: StartRequest,
+        timeout_s: float,
+        fresh: bool,
     ) -> OrderOutcome:
         """Starts a run; idempotent while the run exists."""
 
@@ -355,7 +361,7 @@
     ) -> OrderOutcome:
         """Stops a run; one that has not started can no longer start."""
 
-    def hold(
+    def renew_lease(
         self,
         target: Registration,
         token: int,
@@ -364,7 +370,7 @@
         wait_s: float,
         timeout_s: float,
         fresh: bool = False,
-    ) -> HoldOutcome:
+    ) -> RenewalOutcome:
         """Extends the lease of all runs and returns a status report.
 
         Args:
@@ -378,7 +384,7 @@
             fresh: use a new connection.
         """
 
-    def pace(
+    def set_pace(
         self,
         target: Registration,
         task: jobs.TaskName,
@@ -427,7 +433,7 @@
 class Advisor(Protocol):
     """The service that decides which instances may run a step."""
 
-    def ask(
+    def request_tickets(
         self, step: str, instances: Sequence[str], timeout_s: float
     ) -> Tickets | NoAnswer:
         """Requests tickets for a step on some instances."""
--- a/src/vanillaswitch/protocol/jobs.py
+++ b/src/vanillaswitch/protocol/jobs.py
@@ -5,7 +5,7 @@
 import hashlib
 
 
-def digest(spec: str) -> str:
+def hash_spec(spec: str) -> str:
     """Returns the SHA-256 digest of a spec in hexadecimal."""
     return hashlib.sha256(spec.encode()).hexdigest()
 
@@ -20,7 +20,7 @@
     CANCELLED = "cancelled"
 
     @property
-    def ended(self) -> bool:
+    def is_final(self) -> bool:
         """Whether the state is final."""
         return self in _ENDED
 
@@ -112,7 +112,7 @@
     spec_digest: str = ""
 
     @property
-    def occurrences(self) -> int:
+    def occurrence_count(self) -> int:
         """How often the steps run in total."""
         return max(1, self.repeat_count)
 
@@ -133,6 +133,6 @@
     index: int
 
     @property
-    def label(self) -> str:
+    def path_in_job(self) -> str:
         """The position within the job, "OCCURRENCE.STEP.INDEX"."""
         return f"{self.occurrence}.{self.step}.{self.index}"
--- a/src/vanillaswitch/protocol/peer_transport.py
+++ b/src/vanillaswitch/protocol/peer_transport.py
@@ -8,10 +8,10 @@
 
 from vanillaswitch.protocol import peers
 
-Reply = Callable[[peers.Message], None]
+SendReply = Callable[[peers.Message], None]
 """Answers on the stream of the message; does nothing once it is closed."""
 
-OnMessage = Callable[[str | None, peers.Message, Reply], None]
+MessageHandler = Callable[[str | None, peers.Message, SendReply], None]
 """Handles (peer address of the sender, None if unknown; message; reply)."""
 
 
@@ -33,11 +33,11 @@
             False if the queue was full and the message was dropped.
         """
 
-    def retain(self, addresses: Iterable[str]) -> None:
+    def close_all_except(self, addresses: Iterable[str]) -> None:
         """Closes outgoing streams to all addresses except the given ones."""
 
 
-OpenTransport = Callable[
-    [str, OnMessage], contextlib.AbstractContextManager[PeerTransport]
+TransportFactory = Callable[
+    [str, MessageHandler], contextlib.AbstractContextManager[PeerTransport]
 ]
 """Opens a transport on an address; closes it when the context exits."""
--- a/src/vanillaswitch/protocol/unusable.py
+++ b/src/vanillaswitch/protocol/unusable.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-WRONG_FIELDS = (
+FIELD_ERRORS = (
     AttributeError,
     LookupError,
     OverflowError,
--- a/src/vanillaswitch/transport/stream.py
+++ b/src/vanillaswitch/transport/stream.py
@@ -29,7 +29,7 @@
         self,
         socket: gevent.socket.socket,
         outbox: outboxes.Outbox,
-        on_message: peer_transport.OnMessage,
+        on_message: peer_transport.MessageHandler,
         clock: clocks.Clock,
         counters: collections.Counter[str],
         peer: str | None,
@@ -76,21 +76,21 @@
             self._unanswered_since = None
             decoded = self._decoder.feed(data)
             self._deliver(decoded)
-            if decoded.fault is not None:
+            if decoded.error is not None:
                 self._counters["malformed"] += 1
                 logs.warning(
-                    "stream of {} closed: {}", self._peer, decoded.fault.reason
+                    "stream of {} closed: {}", self._peer, decoded.error.reason
                 )
                 return
 
     def _deliver(self, decoded: codec.Decoded) -> None:
-        self._counters["passed_over"] += decoded.passed_over
+        self._counters["passed_over"] += decoded.skipped_frames
         self._counters["messages_in"] += len(decoded.messages)
         for message in decoded.messages:
             if isinstance(message, peers.Heartbeat) and not self._outgoing:
                 self._peer = message.address
             self._on_message(self._peer, message, self._reply)
-        if decoded.messages or decoded.passed_over:
+        if decoded.messages or decoded.skipped_frames:
             self._acknowledge()
 
     def _acknowledge(self) -> None:
@@ -150,7 +150,7 @@
     def _next(self) -> bytes | None:
         message = self._outbox.pop()
         if message is None:
-            return self._encoder.acknowledge()
+            return self._encoder.encode_acknowledgement()
         encoded = self._encoder.encode(message)
         if isinstance(encoded, codec.TooLarge):
             self._counters["dropped"] += 1
--- a/src/vanillaswitch/transport/streams.py
+++ b/src/vanillaswitch/transport/streams.py
@@ -56,7 +56,7 @@
     def __init__(
         self,
         address: str,
-        on_message: peer_transport.OnMessage,
+        on_message: peer_transport.MessageHandler,
         on_closed: OnClosed,
         clock: clocks.Clock,
         rng: random.Random,
@@ -112,7 +112,7 @@
 
     def __init__(
         self,
-        on_message: peer_transport.OnMessage,
+        on_message: peer_transport.MessageHandler,
         clock: clocks.Clock,
         rng: random.Random,
         on_closed: OnClosed,
@@ -153,7 +153,7 @@
             self._counters["dropped"] += 1
         return queued
 
-    def retain(self, addresses: Iterable[str]) -> None:
+    def close_all_except(self, addresses: Iterable[str]) -> None:
         """Closes the outgoing streams to all other addresses."""
         for address in self._links.keys() - set(addresses):
             self._links.pop(address).close()
@@ -170,7 +170,7 @@
             yield
         finally:
             server.stop(timeout=0)
-            self.retain(())
+            self.close_all_except(())
 
     def _serve(self, socket: gevent.socket.socket, _: object) -> None:
         self._counters["accepts"] += 1
@@ -187,7 +187,7 @@
 @contextlib.contextmanager
 def run(
     address: str,
-    on_message: peer_transport.OnMessage,
+    on_message: peer_transport.MessageHandler,
     clock: clocks.Clock,
     rng: random.Random,
     on_closed: OnClosed = _ignore,
