--- a/src/vanillaswitch/wiring/edge.py
+++ b/src/vanillaswitch/wiring/edge.py
@@ -13,17 +13,19 @@
 
 from vanillaswitch.coordination import prompt_table
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet import follow
-from vanillaswitch.coordination.fleet import operators
-from vanillaswitch.coordination.fleet import shared_time
+from vanillaswitch.coordination.fleet import operator_table
+from vanillaswitch.coordination.fleet import reference_clock
+from vanillaswitch.coordination.fleet import table_follower
 from vanillaswitch.coordination.fleet import telemetry
-from vanillaswitch.coordination.fleet.intake import errands
-from vanillaswitch.coordination.fleet.intake import helped_intake
-from vanillaswitch.coordination.fleet.intake import intake
-from vanillaswitch.coordination.fleet.intake import questions
-from vanillaswitch.coordination.fleet.ownership import member as members
+from vanillaswitch.coordination.fleet.job_requests import job_service
+from vanillaswitch.coordination.fleet.job_requests import job_store
+from vanillaswitch.coordination.fleet.job_requests import peer_calls
+from vanillaswitch.coordination.fleet.job_requests import request_forwarder
 from vanillaswitch.coordination.fleet.ownership import owner as owners
-from vanillaswitch.coordination.fleet.ownership import owner_link
+from vanillaswitch.coordination.fleet.ownership import (
+    owner_candidate as candidates,
+)
+from vanillaswitch.coordination.fleet.ownership import owner_rpc
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import ids
 from vanillaswitch.internal import logs
@@ -31,11 +33,11 @@
 from vanillaswitch.internal import supervision
 from vanillaswitch.internal import usage
 from vanillaswitch.platform import advice
-from vanillaswitch.platform import jobs_http
+from vanillaswitch.platform import http_table
+from vanillaswitch.platform import job_request_handler
 from vanillaswitch.platform import machines
-from vanillaswitch.platform import operator
+from vanillaswitch.platform import operator_rows
 from vanillaswitch.platform import settings as platform_settings
-from vanillaswitch.platform import store as stores
 from vanillaswitch.platform import upstreams
 from vanillaswitch.protocol import peer_transport
 from vanillaswitch.protocol import peers
@@ -111,13 +113,13 @@
     """
 
     server: caller_http.Server
-    member: members.Member
+    member: candidates.OwnerCandidate
     state: "_State"
 
     def stop(self, grace_s: float) -> None:
         """Shuts down gracefully: hands over, then lets clients go."""
         self.state.leaving = True
-        self.member.leave()
+        self.member.shut_down()
         gevent.sleep(min(UNREADY_S, grace_s / 2))
         self.server.drain(min(DRAIN_S, grace_s / 4))
 
@@ -130,12 +132,12 @@
 def _outside(
     settings: deployments.Deployment,
     client: plain_http.PlainClient,
-    store: stores.Store,
+    store: http_table.HttpTable,
     table: platform.Table,
-    operator_view: operators.Operators,
-    shared: shared_time.SharedTime,
-) -> owners.Outside:
-    return owners.Outside(
+    operator_view: operator_table.OperatorTable,
+    shared: reference_clock.ReferenceClock,
+) -> owners.Dependencies:
+    return owners.Dependencies(
         table=table,
         feed=store,
         upstreams=upstreams.HttpUpstreams(client),
@@ -143,8 +145,8 @@
             client, settings.machines_address, settings.process
         ),
         advisor=advice.HttpAdvisor(client, settings.advice_address),
-        registrations=upstreams.TABLE,
-        registration=upstreams.registration,
+        registration_table=upstreams.INSTANCE_TABLE,
+        decode_registration=upstreams.decode_registration,
         waves=operator_view,
         time=shared,
     )
@@ -152,26 +154,26 @@
 
 def _operators(
     table: platform.Table,
-    shared: shared_time.SharedTime,
+    shared: reference_clock.ReferenceClock,
     told: telemetry.Telemetry,
-) -> operators.Operators:
-    form = operators.Format(
-        config_key=operator.CONFIG_KEY,
-        wave_prefix=operator.WAVE_PREFIX,
-        status_table=operator.STATUS_TABLE,
-        config=operator.config,
-        wave=operator.wave,
-        wave_status=operator.wave_status,
+) -> operator_table.OperatorTable:
+    form = operator_table.OperatorFormat(
+        config_key=operator_rows.CONFIG_KEY,
+        wave_prefix=operator_rows.WAVE_PREFIX,
+        status_table=operator_rows.STATUS_TABLE,
+        config=operator_rows.decode_config,
+        wave=operator_rows.decode_wave,
+        wave_status=operator_rows.encode_wave_status,
     )
-    return operators.Operators(table, form, shared, told.emit)
+    return operator_table.OperatorTable(table, form, shared, told.emit)
 
 
 def _warn_of_unknown(settings: deployments.Deployment) -> None:
     """Tells at start what this version does not know of the deployment."""
-    unknown = set(settings.contracts) - platform_settings.KNOWN_CONTRACTS
+    unknown = set(settings.contracts) - platform_settings.SUPPORTED_CONTRACTS
     if unknown:
         logs.error("contracts that are not built: {}", sorted(unknown))
-    if settings.orders != platform_settings.KNOWN_ORDERS:
+    if settings.orders != platform_settings.SUPPORTED_ORDER_MODE:
         logs.error("orders in the form {} are not built", settings.orders)
 
 
@@ -186,24 +188,24 @@
     with contextlib.ExitStack() as stack:
         meter = usage.Meter(clock.monotonic())
         client = stack.enter_context(plain_http.open_client(clock, meter))
-        shared = shared_time.SharedTime(clock)
-        store = stores.Store(
-            client, settings.store_address, clock, shared.heard
+        shared = reference_clock.ReferenceClock(clock)
+        store = http_table.HttpTable(
+            client, settings.store_address, clock, shared.observe_store_clock
         )
         told = telemetry.Telemetry(logs.event)
         table = prompt_table.PromptTable(store, clock)
         view = _operators(table, shared, told)
         outside = _outside(settings, client, store, table, view, shared)
-        asking = questions.Questions(clock, boot)
-        link = owner_link.OwnerLink(
+        asking = peer_calls.PeerCalls(clock, boot)
+        link = owner_rpc.OwnerRpc(
             asking,
             boot,
             settings.internal_address,
             lambda: member.owner,
             lambda: member.owner_address,
-            lambda patience_s: member.yield_term(patience_s),
+            lambda patience_s: member.step_down_if_stale(patience_s),
         )
-        member = members.Member(
+        member = candidates.OwnerCandidate(
             outside,
             view,
             settings,
@@ -211,12 +213,14 @@
             clock,
             rng,
             _probe,
-            link.term_ended,
-            asking.watch,
+            link.ask_term_ended,
+            asking.keep_stream_open,
             told.emit,
         )
-        local = intake.Intake(table, clock, boot, lambda: store.unanswered_s)
-        others = errands.Errands(
+        local = job_store.JobStore(
+            table, clock, boot, lambda: store.unresponsive_s
+        )
+        others = request_forwarder.RequestForwarder(
             asking,
             local,
             settings.internal_address,
@@ -225,25 +229,25 @@
             clock,
             told.emit,
         )
-        asking.attach(
+        asking.set_transport(
             stack.enter_context(
                 streams.run(
                     settings.internal_address,
                     functools.partial(_on_message, link, others),
                     clock,
                     rng,
-                    member.stream_closed,
+                    member.on_stream_closed,
                 )
             )
         )
-        follower = follow.Follower(
+        follower = table_follower.Follower(
             store,
-            operator.TABLE,
+            operator_rows.OPERATOR_TABLE,
             clock,
             view.on_snapshot,
             view.on_changes,
             told.emit,
-            rereads=True,
+            resync_after_failure=True,
         )
         stack.enter_context(
             supervision.running(
@@ -253,8 +257,8 @@
             )
         )
         ready = functools.partial(_ready, state, view, member, clock)
-        handler = jobs_http.JobsHttp(
-            helped_intake.HelpedIntake(local, others, clock),
+        handler = job_request_handler.JobRequestHandler(
+            job_service.JobService(local, others, clock),
             link,
             lambda: view.config,
             clock,
@@ -285,11 +289,11 @@
 
 
 def _on_message(
-    link: owner_link.OwnerLink,
-    others: errands.Errands,
+    link: owner_rpc.OwnerRpc,
+    others: request_forwarder.RequestForwarder,
     sender: str | None,
     message: peers.Message,
-    reply: peer_transport.Reply,
+    reply: peer_transport.SendReply,
 ) -> None:
     """Hands a message to both that may know it."""
     del sender
@@ -328,14 +332,14 @@
     )
 
 
-def _max_body(view: operators.Operators) -> int:
+def _max_body(view: operator_table.OperatorTable) -> int:
     return view.config.max_body_bytes if view.config else _MAX_BODY_BYTES
 
 
 def _ready(
     state: _State,
-    view: operators.Operators,
-    member: members.Member,
+    view: operator_table.OperatorTable,
+    member: candidates.OwnerCandidate,
     clock: clocks.Clock,
 ) -> tuple[bool, str]:
     if state.leaving:
--- a/src/vanillaswitch/wiring/operator_view.py
+++ b/src/vanillaswitch/wiring/operator_view.py
@@ -9,16 +9,16 @@
 from typing import Any
 
 from vanillaswitch import errors
-from vanillaswitch.coordination.fleet import operators
-from vanillaswitch.coordination.fleet import standing
-from vanillaswitch.coordination.fleet.ownership import recorder
-from vanillaswitch.coordination.fleet.queue import book as books
+from vanillaswitch.coordination.fleet import operator_table
+from vanillaswitch.coordination.fleet import status_summaries
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.internal import clock as clocks
+from vanillaswitch.platform import http_table
 from vanillaswitch.platform import machines
-from vanillaswitch.platform import operator
-from vanillaswitch.platform import store as stores
+from vanillaswitch.platform import operator_rows
 from vanillaswitch.platform import upstreams
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import platform
 from vanillaswitch.protocol import unusable
@@ -32,7 +32,7 @@
 class _Jobs:
     """All jobs, and what of their rows can't be used."""
 
-    entries: Sequence[books.Entry]
+    entries: Sequence[job_tracker.JobEntry]
     unusable: Mapping[str, str]
 
 
@@ -43,44 +43,48 @@
     gives no answer.
     """
 
-    def __init__(self, store: stores.Store, listed: machines.HttpMachines):
+    def __init__(
+        self, store: http_table.HttpTable, listed: machines.HttpMachines
+    ):
         self._store = store
         self._machines = listed
 
     def job(
         self, job_id: str
-    ) -> standing.JobStanding | unusable.Unusable | None:
+    ) -> status_summaries.JobSummary | unusable.Unusable | None:
         """Returns how a job stands; None for one without rows."""
-        tables = (recorder.JOB_TABLE, recorder.PROGRESS_TABLE)
+        tables = (fenced_writer.JOB_TABLE, fenced_writer.PROGRESS_TABLE)
         accepted, progress, cancelled = (
             self._row(f"{table}/{job_id}")
-            for table in (*tables, recorder.CANCEL_TABLE)
+            for table in (*tables, fenced_writer.CANCEL_TABLE)
         )
         if accepted is None:
             return None
-        entry = standing.entry_of(accepted, progress)
+        entry = status_summaries.restore_entry(accepted, progress)
         if isinstance(entry, unusable.Unusable):
             return entry
-        return standing.of_job(entry, cancelled is not None)
+        return status_summaries.summarize_job(entry, cancelled is not None)
 
-    def instance(self, name: str) -> standing.InstanceStanding | None:
+    def instance(self, name: str) -> status_summaries.InstanceSummary | None:
         """Returns how an instance stands; None for one without an entry."""
         found = self._registrations().get(name)
         if found is None:
             return None
-        return standing.of_instance(name, found, self._jobs().entries)
+        return status_summaries.summarize_instance(
+            name, found, self._jobs().entries
+        )
 
     def machine(self, name: str) -> fleet.Machine | None:
         """Returns a machine of the platform's list."""
         listed = {machine.name: machine for machine in self._listed()}
         return listed.get(name)
 
-    def waves(self) -> Sequence[standing.WaveStanding]:
+    def waves(self) -> Sequence[status_summaries.WaveSummary]:
         """Returns how all waves stand."""
         orders = [
-            operator.wave(row.key, row.value)
-            for row in self._rows(operator.TABLE)
-            if row.key.startswith(operator.WAVE_PREFIX) and row.value
+            operator_rows.decode_wave(row.key, row.value)
+            for row in self._rows(operator_rows.OPERATOR_TABLE)
+            if row.key.startswith(operator_rows.WAVE_PREFIX) and row.value
         ]
         return tuple(
             self._wave(order)
@@ -88,9 +92,11 @@
             if isinstance(order, fleet.WaveOrder)
         )
 
-    def overview(self) -> standing.FleetStanding:
+    def overview(self) -> status_summaries.FleetSummary:
         """Returns how the fleet stands."""
-        owner = recorder.owner_row(self._row(recorder.OWNER_KEY) or {})
+        owner = fenced_writer.decode_owner_row(
+            self._row(fenced_writer.OWNER_KEY) or {}
+        )
         jobs = self._jobs()
         registrations = self._registrations()
         sound = [
@@ -99,49 +105,53 @@
             if isinstance(found, fleet.Registration)
         ]
         wrong = {
-            f"{upstreams.TABLE}/{name}": found.reason
+            f"{upstreams.INSTANCE_TABLE}/{name}": found.reason
             for name, found in registrations.items()
             if isinstance(found, unusable.Unusable)
         }
-        return standing.FleetStanding(
+        return status_summaries.FleetSummary(
             owner=owner.holder,
             owner_address=owner.address,
-            queues=standing.count_jobs(jobs.entries),
-            services=standing.count_instances(sound),
-            machines=standing.count_machines(self._listed()),
+            queues=status_summaries.count_jobs(jobs.entries),
+            services=status_summaries.count_instances(sound),
+            machines=status_summaries.count_machines(self._listed()),
             waves=tuple(self.waves()),
             unusable={**jobs.unusable, **wrong},
         )
 
-    def _wave(self, order: fleet.WaveOrder) -> standing.WaveStanding:
-        finished = self._row(f"{operators.FINISHED_TABLE}/{order.name}") or {}
-        status = self._row(f"{operator.STATUS_TABLE}/{order.name}") or {}
-        return standing.of_wave(
+    def _wave(self, order: fleet.WaveOrder) -> status_summaries.WaveSummary:
+        finished = (
+            self._row(f"{operator_table.WAVE_PROGRESS_TABLE}/{order.name}")
+            or {}
+        )
+        status = self._row(f"{operator_rows.STATUS_TABLE}/{order.name}") or {}
+        return status_summaries.summarize_wave(
             order,
-            operators.finished_machines(finished),
-            operator.reported_state(status),
+            operator_table.finished_machines(finished),
+            operator_rows.decode_wave_state(status),
         )
 
     def _jobs(self) -> _Jobs:
         progress = {
-            row.key: row.value for row in self._rows(recorder.PROGRESS_TABLE)
+            row.key: row.value
+            for row in self._rows(fenced_writer.PROGRESS_TABLE)
         }
         entries = []
         wrong = {}
-        for row in self._rows(recorder.JOB_TABLE):
+        for row in self._rows(fenced_writer.JOB_TABLE):
             entry = _entry(row, progress.get(row.key))
             if isinstance(entry, unusable.Unusable):
-                wrong[f"{recorder.JOB_TABLE}/{row.key}"] = entry.reason
+                wrong[f"{fenced_writer.JOB_TABLE}/{row.key}"] = entry.reason
             else:
                 entries.append(entry)
         return _Jobs(entries, wrong)
 
     def _registrations(self) -> Registrations:
         return {
-            row.key: unusable.Unusable(row.damage)
+            row.key: unusable.Unusable(row.read_error)
             if row.value is None
-            else upstreams.registration(row.key, row.value)
-            for row in self._rows(upstreams.TABLE)
+            else upstreams.decode_registration(row.key, row.value)
+            for row in self._rows(upstreams.INSTANCE_TABLE)
         }
 
     def _listed(self) -> Iterable[fleet.Machine]:
@@ -158,25 +168,27 @@
             raise errors.PlatformUnavailableError(f"{key}: {read.reason}")
         return read.rows[0].value if read.rows else None
 
-    def _rows(self, table: str) -> Iterable[feeds.Change]:
+    def _rows(self, table: str) -> Iterable[change_feeds.RowChange]:
         read = self._store.snapshot(table)
         if isinstance(read, platform.Unavailable):
             raise errors.PlatformUnavailableError(
                 f"table {table}: {read.reason}"
             )
-        if read.missing:
+        if read.unreadable_partitions:
             raise errors.PlatformUnavailableError(
-                f"table {table}: {len(read.missing)} parts: {read.reason}"
+                f"table {table}: {len(read.unreadable_partitions)} parts: {read.unreadable_reason}"
             )
-        return [row for row in read.rows if row.value is not None or row.damage]
+        return [
+            row for row in read.rows if row.value is not None or row.read_error
+        ]
 
 
 def _entry(
-    row: feeds.Change, progress: Mapping[str, Any] | None
-) -> books.Entry | unusable.Unusable:
+    row: change_feeds.RowChange, progress: Mapping[str, Any] | None
+) -> job_tracker.JobEntry | unusable.Unusable:
     if row.value is None:
-        return unusable.Unusable(row.damage)
-    return standing.entry_of(row.value, progress)
+        return unusable.Unusable(row.read_error)
+    return status_summaries.restore_entry(row.value, progress)
 
 
 @contextlib.contextmanager
@@ -184,7 +196,7 @@
     """Yields a view of the deployment that a process's settings name."""
     clock = clocks.SystemClock()
     with plain_http.open_client(clock) as client:
-        store = stores.Store(
+        store = http_table.HttpTable(
             client, settings.store_address, clock, lambda _: None
         )
         listed = machines.HttpMachines(
--- a/standins/edge_http.py
+++ b/standins/edge_http.py
@@ -49,20 +49,20 @@
 class Observer:
     """Watches the orders that instances carry out; this one ignores them."""
 
-    def need(self, order: fleet.Start) -> fleet.Resources:
+    def need(self, order: fleet.StartRequest) -> fleet.Resources:
         """Returns the room that a task takes."""
         del order
         return fleet.Resources(0, 0)
 
-    def started(self, instance: str, order: fleet.Start) -> None:
+    def started(self, instance: str, order: fleet.StartRequest) -> None:
         """Takes note of a start that took effect."""
 
-    def lasts(self, order: fleet.Start) -> bool:
+    def lasts(self, order: fleet.StartRequest) -> bool:
         """Whether a task runs until it is stopped."""
         del order
         return False
 
-    def crashes(self, order: fleet.Start) -> bool:
+    def crashes(self, order: fleet.StartRequest) -> bool:
         """Whether a task crashes the instance that has just started it."""
         del order
         return False
@@ -183,7 +183,7 @@
         task = upstreams.parse_task(body["task"])
         if path == "/-/run-stop":
             return self._stop(task, body["run"], token)
-        order = fleet.Start(
+        order = fleet.StartRequest(
             task,
             body["run"],
             body["spec"],
@@ -238,7 +238,7 @@
     def _finish(self, task: jobs.TaskName, run: int) -> None:
         current = self.model.running.get(task)
         if current is not None and current.run == run:
-            self.model.end(task, fleet.How.DONE)
+            self.model.end(task, fleet.RunOutcome.DONE)
 
     def _hold(self, body: dict[str, Any]) -> Any:
         left_s = body.get("wait_ms", 0) / 1000
@@ -247,13 +247,17 @@
             if not self.model.up or (
                 self.model.registration.born_ms != born_ms
             ):
-                return fleet.Refused(fleet.Reason.UNHEALTHY)
-            held = self.model.hold(
+                return fleet.Refused(fleet.RefusalReason.UNHEALTHY)
+            held = self.model.renew_lease(
                 body["fence_token"],
                 body["ack_cursor"],
                 body.get("deadline_ms"),
             )
-            if left_s <= 0 or not isinstance(held, fleet.Held) or held.ended:
+            if (
+                left_s <= 0
+                or not isinstance(held, fleet.StatusReport)
+                or held.ended_runs
+            ):
                 return held
             left_s -= POLL_S
             gevent.sleep(POLL_S)
@@ -413,7 +417,7 @@
     if isinstance(outcome, fleet.Accepted):
         return 200, {"clock_ms": outcome.clock_ms}
     running = [
-        [upstreams.format_task(run.task), run.run, run.saved, run.percent]
+        [upstreams.format_task(run.task), run.run, run.checkpoint, run.percent]
         for run in outcome.running
     ]
     ended = [
@@ -421,10 +425,10 @@
             end.number,
             upstreams.format_task(end.task),
             end.run,
-            end.how.value,
-            end.saved,
+            end.outcome.value,
+            end.checkpoint,
         ]
-        for end in outcome.ended
+        for end in outcome.ended_runs
     ]
     held: dict[str, Any] = {
         "clock_ms": outcome.clock_ms,
--- a/standins/leased_instance.py
+++ b/standins/leased_instance.py
@@ -39,13 +39,13 @@
         self.started: list[tuple[jobs.TaskName, int]] = []
         self.running: dict[jobs.TaskName, ModelRun] = {}
         self._max_hold_ms = max_hold_ms
-        self.listed: list[fleet.End] = []
-        self.noted: list[fleet.End] = []
+        self.listed: list[fleet.RunEnd] = []
+        self.noted: list[fleet.RunEnd] = []
         self._begin_anew()
 
     def _begin_anew(self) -> None:
         self._token = 0
-        self._ended: list[fleet.End] = []
+        self._ended: list[fleet.RunEnd] = []
         self._ends = 0
         self._highest: dict[jobs.TaskName, int] = {}
         self._deadline_ms = 0.0
@@ -76,22 +76,24 @@
         self._clock_ms += milliseconds
         if self.running and self._clock_ms >= self._deadline_ms:
             for run in list(self.running.values()):
-                self.end(run.task, fleet.How.LAPSED)
+                self.end(run.task, fleet.RunOutcome.LEASE_EXPIRED)
 
     def start(
-        self, order: fleet.Start, need: fleet.Resources
+        self, order: fleet.StartRequest, need: fleet.Resources
     ) -> fleet.OrderOutcome:
         """Carries out a start."""
         if order.token < self._token:
-            return fleet.Refused(fleet.Reason.FENCED, self._clock_ms)
+            return fleet.Refused(fleet.RefusalReason.FENCED, self._clock_ms)
         self._token = order.token
         current = self.running.get(order.task)
         if current is not None and current.run == order.run:
             return fleet.Accepted(self._clock_ms)
         if order.run <= self._highest.get(order.task, 0):
-            return fleet.Refused(fleet.Reason.OLD, self._clock_ms)
+            return fleet.Refused(fleet.RefusalReason.STALE_RUN, self._clock_ms)
         if order.deadline_ms <= self._clock_ms:
-            return fleet.Refused(fleet.Reason.LATE, self._clock_ms)
+            return fleet.Refused(
+                fleet.RefusalReason.DEADLINE_PASSED, self._clock_ms
+            )
         self._extend(order.deadline_ms)
         self._highest[order.task] = order.run
         self.running[order.task] = ModelRun(order.task, order.run, need)
@@ -103,20 +105,20 @@
     ) -> fleet.OrderOutcome:
         """Carries out a stop."""
         if token < self._token:
-            return fleet.Refused(fleet.Reason.FENCED, self._clock_ms)
+            return fleet.Refused(fleet.RefusalReason.FENCED, self._clock_ms)
         self._token = token
         current = self.running.get(task)
         if current is not None and current.run == run:
-            self.end(task, fleet.How.STOPPED)
+            self.end(task, fleet.RunOutcome.STOPPED)
         self._highest[task] = max(self._highest.get(task, 0), run)
         return fleet.Accepted(self._clock_ms)
 
-    def hold(
+    def renew_lease(
         self, token: int, seen: int, deadline_ms: int | None
-    ) -> fleet.HoldOutcome:
+    ) -> fleet.RenewalOutcome:
         """Extends the lease and lists what runs and ended."""
         if token < self._token:
-            return fleet.Refused(fleet.Reason.FENCED, self._clock_ms)
+            return fleet.Refused(fleet.RefusalReason.FENCED, self._clock_ms)
         self._token = token
         if deadline_ms is not None:
             self._extend(deadline_ms)
@@ -124,21 +126,21 @@
         self.noted.extend(end for end in self._ended if end.number <= seen)
         self._ended = [end for end in self._ended if end.number > seen]
         running = tuple(
-            fleet.Running(run.task, run.run, "", run.percent)
+            fleet.RunStatus(run.task, run.run, "", run.percent)
             for run in self.running.values()
         )
-        return fleet.Held(
+        return fleet.StatusReport(
             self._clock_ms,
             running,
             tuple(self._ended),
             self.registration.born_ms,
         )
 
-    def end(self, task: jobs.TaskName, how: fleet.How) -> None:
+    def end(self, task: jobs.TaskName, how: fleet.RunOutcome) -> None:
         """Ends a run."""
         run = self.running.pop(task)
         self._ends += 1
-        end = fleet.End(self._ends, task, run.run, how, "")
+        end = fleet.RunEnd(self._ends, task, run.run, how, "")
         self._ended.append(end)
         self.listed.append(end)
 
--- a/standins/model/machines.py
+++ b/standins/model/machines.py
@@ -43,7 +43,7 @@
         if self.back_at is None:
             return fleet.MachineState.UP
         if self.upkeep:
-            return fleet.MachineState.UPKEEP
+            return fleet.MachineState.MAINTENANCE
         return fleet.MachineState.MOVING
 
 
--- a/standins/model/outside.py
+++ b/standins/model/outside.py
@@ -6,7 +6,7 @@
 import dataclasses
 
 from standins.model import scenario as scenarios
-from vanillaswitch.coordination.fleet.machines import wave_driver
+from vanillaswitch.coordination.fleet.machines import wave_controller
 from vanillaswitch.protocol import fleet
 from vanillaswitch.state import deployment as deployments
 
@@ -36,23 +36,23 @@
     def __init__(self, token: int, store_answers: Callable[[], bool]):
         self._store_answers = store_answers
         self.token = token
-        self.deposed = False
+        self.is_term_over = False
 
     @property
-    def newest(self) -> int:
+    def newest_version(self) -> int:
         """The newest write; a term has one token here."""
         return self.token
 
-    def may_order(self) -> bool:
+    def may_operate_machines(self) -> bool:
         """Whether machines may be ordered now."""
         return self._store_answers()
 
-    def depose(self) -> None:
+    def end_term(self) -> None:
         """Refuses: nobody else owns a modelled fleet."""
         raise AssertionError("a modelled owner was fenced")
 
 
-class Board:
+class WaveStore:
     """The waves of the day."""
 
     def __init__(self, clock: Clock, ordered: Sequence[fleet.WaveOrder]):
@@ -67,20 +67,22 @@
         self._finished: dict[str, set[str]] = {}
         self.completed_at: dict[str, float] = {}
 
-    def orders(self) -> tuple[fleet.WaveOrder, ...]:
+    def wave_orders(self) -> tuple[fleet.WaveOrder, ...]:
         """Returns the waves that are ordered."""
         return tuple(self._ordered)
 
-    def begin(self, wave: str) -> wave_driver.WaveRecord:
+    def start_wave(self, wave: str) -> wave_controller.WaveProgress:
         """Returns what is recorded of a wave."""
-        return wave_driver.WaveRecord(tuple(self._finished.get(wave, ())), 0.0)
+        return wave_controller.WaveProgress(
+            tuple(self._finished.get(wave, ())), 0.0
+        )
 
     def save_finished(self, wave: str, machines: Collection[str]) -> bool:
         """Records machines as finished."""
         self._finished.setdefault(wave, set()).update(machines)
         return True
 
-    def report(self, wave: str, completed: bool) -> bool:
+    def report_status(self, wave: str, completed: bool) -> bool:
         """Takes note of when a wave was completed."""
         if completed:
             self.completed_at.setdefault(wave, self._clock.now)
--- a/standins/model/scenario.py
+++ b/standins/model/scenario.py
@@ -11,7 +11,7 @@
 import cattrs.gen
 
 from standins.model import errors
-from vanillaswitch.coordination.fleet.machines import capacity
+from vanillaswitch.coordination.fleet.machines import capacity_planner
 from vanillaswitch.coordination.fleet.queue import queue_order
 
 
@@ -162,9 +162,11 @@
     machines: Mapping[str, float] = dataclasses.field(default_factory=dict)
 
     @property
-    def capacity(self) -> capacity.Policy:
+    def capacity(self) -> capacity_planner.ScalingPolicy:
         """The figures by which machines follow the load."""
-        return dataclasses.replace(capacity.DEFAULT_POLICY, **self.machines)
+        return dataclasses.replace(
+            capacity_planner.DEFAULT_POLICY, **self.machines
+        )
 
 
 @dataclasses.dataclass(frozen=True)
@@ -257,7 +259,10 @@
             f"policy {policy.name}: order {policy.order!r} is not one of "
             f"{known}"
         )
-    fields = {field.name for field in dataclasses.fields(capacity.Policy)}
+    fields = {
+        field.name
+        for field in dataclasses.fields(capacity_planner.ScalingPolicy)
+    }
     for name, value in policy.machines.items():
         if name not in fields:
             known = ", ".join(sorted(fields))
--- a/standins/model/world.py
+++ b/standins/model/world.py
@@ -22,13 +22,13 @@
 from standins.model import outside
 from standins.model import scenario as scenarios
 from standins.model import workload
-from vanillaswitch.coordination.fleet.instances import core as cores
 from vanillaswitch.coordination.fleet.instances import lease_times
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
 from vanillaswitch.coordination.fleet.instances import term_state
-from vanillaswitch.coordination.fleet.machines import machine_task
-from vanillaswitch.coordination.fleet.queue import book as books
+from vanillaswitch.coordination.fleet.machines import machine_controller
+from vanillaswitch.coordination.fleet.queue import instance_state
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.coordination.fleet.queue import queue_order
-from vanillaswitch.coordination.fleet.queue import rooms
 from vanillaswitch.internal import registry
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
@@ -88,7 +88,7 @@
             workload.day(scenario, size, seed), scenario.seconds
         )
         self._policy = policy
-        self._board = outside.Board(self.clock, self.waves)
+        self._board = outside.WaveStore(self.clock, self.waves)
         self._made = {made.job.job_id: made for made in self.day.made}
         self._unstarted = set(self._made)
         self._coming = list(reversed(self.day.made))
@@ -98,27 +98,29 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._noted: dict[str, int] = {}
-        self._spans: dict[rooms.RunKey, tuple[float, float]] = {}
+        self._spans: dict[instance_state.RunKey, tuple[float, float]] = {}
         self._token = 0
         self._sampled_at = -SAMPLE_S
         self._stepped_at = 0.0
         self._listed_at = 0.0
         self._held_at = 0.0
         self._planned_at = 0.0
-        self._core, self._tasks = self._new_owner()
+        self._scheduler, self._tasks = self._new_owner()
         for fault in scenario.fault:
             self._at(fault.at, self._begin, fault)
         for number, wave in enumerate(scenario.wave, 1):
             self._at(wave.at, self._order_wave, number, wave)
 
-    def _new_owner(self) -> tuple[cores.Core, machine_task.MachineTask]:
+    def _new_owner(
+        self,
+    ) -> tuple[schedulers.Scheduler, machine_controller.MachineController]:
         self._token += 1
-        core = cores.Core(
+        scheduler = schedulers.Scheduler(
             queue_order.ORDERS.get(self._policy.order), lambda _: None
         )
-        core.configured(self._config())
-        tasks = machine_task.MachineTask(
-            core,
+        scheduler.apply_config(self._config())
+        tasks = machine_controller.MachineController(
+            scheduler,
             self.machines,
             self._board,
             outside.Recorder(self._token, lambda: not self.store_away),  # type: ignore[arg-type]
@@ -128,7 +130,7 @@
             lambda _: None,
             self._policy.capacity,
         )
-        return core, tasks
+        return scheduler, tasks
 
     def _config(self) -> fleet.FleetConfig:
         queues = tuple(
@@ -139,7 +141,7 @@
                 queue.name,
                 priority=queue.priority,
                 stretch=queue.stretch,
-                target_ms=queue.target_ms,
+                target_duration_ms=queue.target_ms,
                 max_attempts=4,
             )
             for queue in self.scenario.queue
@@ -211,7 +213,7 @@
                 self.day.bad.add(made.job.job_id)
                 self._whole[made.job.job_id] = whole
             if not self.owner_lost:
-                self._core.job_added(made.job, now, self._age_s(made.job))
+                self._scheduler.add_job(made.job, now, self._age_s(made.job))
         elif now + TRY_AGAIN_S <= made.at + PATIENCE_S:
             again = (now + TRY_AGAIN_S, next(self._order), made)
             heapq.heappush(self._again, again)
@@ -222,25 +224,25 @@
     # The owner.
 
     def _decide(self, now: float) -> None:
-        core = self._core
+        scheduler = self._scheduler
         if now - self._held_at >= HOLD_EVERY_S:
             self._held_at = now
             for machine in self.machines.machines.values():
                 if machine.instance is not None and not machine.down:
                     self._hold(machine.instance)
-        if core.changed or now - self._planned_at >= PLAN_EVERY_S:
+        if scheduler.needs_plan or now - self._planned_at >= PLAN_EVERY_S:
             self._planned_at = now
-            core.lapse(now)
-            core.stop_again(now)
-            core.stop_stalled(now)
-            core.plan(now, now * 1000)
-        for stop in core.take_stops():
+            scheduler.release_expired_leases(now)
+            scheduler.resend_stops(now)
+            scheduler.stop_stalled_runs(now)
+            scheduler.plan(now, now * 1000)
+        for stop in scheduler.take_stops():
             self._stop(stop)
         if not self.store_away:
             self._record(now)
-        if now - self._listed_at >= machine_task.LIST_S:
+        if now - self._listed_at >= machine_controller.LIST_INTERVAL_S:
             self._listed_at = now
-            self._tasks.look()
+            self._tasks.reconcile()
         if now - self._stepped_at >= MACHINE_STEP_S:
             self._stepped_at = now
             self._tasks.mover.step()
@@ -249,17 +251,20 @@
             gevent.sleep(0)
 
     def _record(self, now: float) -> None:
-        batch = self._core.take_batch(len(self._taken) + 1)
+        batch = self._scheduler.take_batch(len(self._taken) + 1)
         for entry in batch.entries:
-            self._rows[entry.job.job_id] = entry.pack(now * 1000)
-            entry.shown = entry.state
+            self._rows[entry.job.job_id] = entry.to_document(now * 1000)
+            entry.recorded_state = entry.state
             if entry.ended is jobs.JobState.COMPLETED:
                 self.day.ended.setdefault(entry.job.job_id, now)
             elif entry.ended is jobs.JobState.FAILED:
                 self.day.given_up.add(entry.job.job_id)
-        for name, number in batch.seen.items():
-            known = self._core.instances.get(name)
-            if known is not None and known.life == batch.lives[name]:
+        for name, number in batch.recorded_ends.items():
+            known = self._scheduler.instances.get(name)
+            if (
+                known is not None
+                and known.incarnation == batch.incarnations[name]
+            ):
                 self._noted[name] = number
         for start in batch.starts:
             self._start(start, now)
@@ -270,20 +275,26 @@
         if instance is None or machine is None or machine.down:
             self._at(now + DOUBT_S, self._unanswered, order, now)
             return
-        if not self._core.may_send(order):
+        if not self._scheduler.may_send_start(order):
             return
         made = self._made[order.task.job_id]
         step = made.job.steps[order.task.step]
-        known = self._core.instances[order.instance]
-        deadline = known.clock_now_ms(now) + lease_times.HOLD_S * 1000
-        known.lapses_at = max(known.lapses_at, lease_times.lapses_at(now))
-        start = fleet.Start(
+        known = self._scheduler.instances[order.instance]
+        deadline = (
+            known.estimated_clock_ms(now) + lease_times.RUN_LEASE_S * 1000
+        )
+        known.lease_expires_at = max(
+            known.lease_expires_at, lease_times.lease_expiry(now)
+        )
+        start = fleet.StartRequest(
             order.task, order.run, "", "", self._token, int(deadline)
         )
-        outcome = instance.start(start, books.need(step))
+        outcome = instance.start(start, job_tracker.task_demand(step))
         if not isinstance(outcome, fleet.Accepted):
             raise AssertionError(f"a start was refused: {outcome}")
-        self._core.started(order.instance, (order.task, order.run))
+        self._scheduler.handle_start_accepted(
+            order.instance, (order.task, order.run)
+        )
         self._note_start(made, now)
         if not step.long_running:
             self._run(instance, machine, order, made, now)
@@ -337,7 +348,11 @@
         now: float,
     ) -> None:
         seconds = made.durations[order.task.step] * machine.slow
-        how = fleet.How.FAILED if machine.failing else fleet.How.DONE
+        how = (
+            fleet.RunOutcome.FAILED
+            if machine.failing
+            else fleet.RunOutcome.DONE
+        )
         if machine.failing:
             seconds = 0.1
         cpu = made.job.steps[order.task.step].cpu / 1000
@@ -347,7 +362,7 @@
             if not instance.up or run is None or run.run != order.run:
                 self.day.thrown_away += cpu * (self.clock.now - now)
                 return
-            if how is fleet.How.FAILED:
+            if how is fleet.RunOutcome.FAILED:
                 self.day.thrown_away += cpu * seconds
             instance.end(order.task, how)
             if not machine.down:
@@ -357,9 +372,11 @@
         self._at(now + seconds, end)
 
     def _unanswered(self, order: term_state.StartOrder, began: float) -> None:
-        self._core.unanswered(order.instance, began)
+        self._scheduler.handle_unanswered_call(order.instance, began)
         key = (order.task, order.run)
-        self._core.start_unanswered(order.instance, key, True, began + 2.0)
+        self._scheduler.handle_start_unanswered(
+            order.instance, key, True, began + 2.0
+        )
 
     def _stop(self, order: term_state.StopOrder) -> None:
         instance = self._instance(order.instance)
@@ -368,25 +385,33 @@
             return
         instance.stop(order.task, order.run, self._token)
         key = (order.task, order.run)
-        self._core.stopped(order.instance, key, self.clock.now)
+        self._scheduler.handle_stop_accepted(
+            order.instance, key, self.clock.now
+        )
         self._hold(instance)
 
     def _hold(self, instance: leased_instance.LeasedInstance) -> None:
         if self.owner_lost or not instance.up:
             return
         name = instance.registration.instance
-        known = self._core.instances.get(name)
+        known = self._scheduler.instances.get(name)
         if known is None:
             return
         now = self.clock.now
         deadline = None
-        if known.adopted:
-            deadline = int(known.clock_now_ms(now) + lease_times.HOLD_S * 1e3)
-            known.lapses_at = max(known.lapses_at, lease_times.lapses_at(now))
+        if known.is_adopted:
+            deadline = int(
+                known.estimated_clock_ms(now) + lease_times.RUN_LEASE_S * 1e3
+            )
+            known.lease_expires_at = max(
+                known.lease_expires_at, lease_times.lease_expiry(now)
+            )
         self._show_progress(instance, now)
-        held = instance.hold(self._token, self._noted.get(name, 0), deadline)
-        if isinstance(held, fleet.Held):
-            self._core.held(name, held, now, now)
+        held = instance.renew_lease(
+            self._token, self._noted.get(name, 0), deadline
+        )
+        if isinstance(held, fleet.StatusReport):
+            self._scheduler.handle_status_report(name, held, now, now)
 
     def _show_progress(
         self, instance: leased_instance.LeasedInstance, now: float
@@ -399,7 +424,9 @@
 
     def _see(self, instance: leased_instance.LeasedInstance) -> None:
         if instance.up and not self.owner_lost:
-            self._core.registered(instance.registration, self.clock.now)
+            self._scheduler.handle_registration(
+                instance.registration, self.clock.now
+            )
             self._hold(instance)
 
     def _instance(self, name: str) -> leased_instance.LeasedInstance | None:
@@ -462,18 +489,22 @@
         """Has another process own the fleet, from the rows alone."""
         now = self.clock.now
         self.owner_lost = False
-        self._core, self._tasks = self._new_owner()
+        self._scheduler, self._tasks = self._new_owner()
         self._noted = {}
         for machine in self.machines.machines.values():
             if machine.instance is not None:
-                self._core.registered(machine.instance.registration, now)
+                self._scheduler.handle_registration(
+                    machine.instance.registration, now
+                )
         for job_id, job in self._taken.items():
             row = self._rows.get(job_id)
             if row is None:
-                self._core.job_added(job, now, self._age_s(job))
+                self._scheduler.add_job(job, now, self._age_s(job))
             else:
-                self._core.restore(job, row, 1, now, self._age_s(job))
-        self._core.inherit_runs(now, lease_times.inherited_lapse_at(now))
+                self._scheduler.restore(job, row, 1, now, self._age_s(job))
+        self._scheduler.recover_runs(
+            now, lease_times.inherited_lease_expiry(now)
+        )
         for machine in self.machines.machines.values():
             if machine.instance is not None and not machine.down:
                 self._hold(machine.instance)
@@ -482,11 +513,13 @@
         """Has the owner find that a call to an instance got no answer."""
         self._at(
             began + DOUBT_S,
-            lambda: self._core.unanswered(instance, self.clock.now),
+            lambda: self._scheduler.handle_unanswered_call(
+                instance, self.clock.now
+            ),
         )
         self._at(
             began + SILENT_S,
-            lambda: self._core.silent(instance, self.clock.now),
+            lambda: self._scheduler.mark_unresponsive(instance, self.clock.now),
         )
 
     def _order_wave(self, number: int, wave: scenarios.Wave) -> None:
@@ -510,13 +543,14 @@
             for machine in self.machines.machines.values()
             if (instance := machine.instance) is not None
         )
-        waiting_cpu = sum(self._core.waiting_cpu.values())
+        waiting_cpu = sum(self._scheduler.backlog_cpu.values())
         pooled = sum(
             machine.pool != modelled.STANDBY
             for machine in self.machines.machines.values()
         )
         waiting = sum(
-            not entry.started for entry in self._core.book.live.values()
+            not entry.was_assigned
+            for entry in self._scheduler.tracker.unfinished.values()
         )
         wanted = (used + waiting_cpu) / self.scenario.machine_cpu
         self.day.samples.append(days_lib.Sample(now, wanted, pooled, waiting))
--- a/standins/turns.py
+++ b/standins/turns.py
@@ -18,7 +18,7 @@
 
 import click
 
-from vanillaswitch.coordination.fleet.instances import core as cores
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
 from vanillaswitch.coordination.fleet.queue import queue_order
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
@@ -150,8 +150,8 @@
 class _Pool:
     """Instances that run what they are told to."""
 
-    def __init__(self, core: cores.Core):
-        self._core = core
+    def __init__(self, scheduler: schedulers.Scheduler):
+        self._scheduler = scheduler
         self._running: list[tuple[float, int, str, jobs.TaskName, int]] = []
         self._ends = dict[str, int]()
         self._count = 0
@@ -161,11 +161,13 @@
         for index in range(len(self._ends), size):
             name = f"i-{index}"
             room = fleet.Resources(16_000, 65_536)
-            self._core.registered(
+            self._scheduler.handle_registration(
                 fleet.Registration(name, QUEUE, "a", "z", False, room, ("a",)),
                 now,
             )
-            self._core.held(name, fleet.Held(0.0, (), ()), now, now)
+            self._scheduler.handle_status_report(
+                name, fleet.StatusReport(0.0, (), ()), now, now
+            )
             self._ends[name] = 0
 
     def start(
@@ -182,40 +184,46 @@
         while self._running and self._running[0][0] <= now:
             _, _, instance, task, run = heapq.heappop(self._running)
             self._ends[instance] += 1
-            end = fleet.End(self._ends[instance], task, run, fleet.How.DONE, "")
-            self._core.held(instance, fleet.Held(0.0, (), (end,)), now, now)
+            end = fleet.RunEnd(
+                self._ends[instance], task, run, fleet.RunOutcome.DONE, ""
+            )
+            self._scheduler.handle_status_report(
+                instance, fleet.StatusReport(0.0, (), (end,)), now, now
+            )
 
 
-def _core(order: str) -> cores.Core:
-    core = cores.Core(queue_order.ORDERS.get(order), lambda _: None)
+def _scheduler(order: str) -> schedulers.Scheduler:
+    scheduler = schedulers.Scheduler(
+        queue_order.ORDERS.get(order), lambda _: None
+    )
     queue = fleet.Queue(
-        QUEUE, "", "/", QUEUE, stretch=STRETCH, target_ms=TARGET_MS
+        QUEUE, "", "/", QUEUE, stretch=STRETCH, target_duration_ms=TARGET_MS
     )
-    pool = fleet.Pool(QUEUE, guarded=False, standby=False)
-    core.configured(fleet.FleetConfig(1, (queue,), {QUEUE: pool}, 0))
-    return core
+    pool = fleet.Pool(QUEUE, enforces_capacity=False, is_standby=False)
+    scheduler.apply_config(fleet.FleetConfig(1, (queue,), {QUEUE: pool}, 0))
+    return scheduler
 
 
 def replay(order: str, turn: Turn, seed: int) -> Outcome:
     """Plays one turn with one order of the queue."""
-    core = _core(order)
-    pool = _Pool(core)
+    scheduler = _scheduler(order)
+    pool = _Pool(scheduler)
     made = list(_jobs(turn, random.Random(seed)))
     by_id = {item.job.job_id: item for item in made}
     waiting = list(reversed(made))
     ended: dict[str, float] = {}
     now = 0.0
-    while waiting or core.book.live:
+    while waiting or scheduler.tracker.unfinished:
         now += TICK_S
         pool.grow(turn.more if now >= turn.more_at_s else turn.instances, now)
         pool.end(now)
         while waiting and waiting[-1].at <= now:
             due = waiting.pop()
-            core.job_added(due.job, now, now - due.at)
-        core.plan(now, now * 1000)
-        batch = core.take_batch(len(made))
+            scheduler.add_job(due.job, now, now - due.at)
+        scheduler.plan(now, now * 1000)
+        batch = scheduler.take_batch(len(made))
         for start in batch.starts:
-            core.may_send(start)
+            scheduler.may_send_start(start)
             duration = by_id[start.task.job_id].durations[start.task.step]
             pool.start(start.instance, start.task, start.run, now + duration)
         for entry in batch.entries:
--- a/tests/common/crashing_days.py
+++ b/tests/common/crash_simulation.py
@@ -11,11 +11,11 @@
 from typing import Any
 
 from standins import leased_instance
-from tests.common import fleets
-from vanillaswitch.coordination.fleet.instances import core as cores
+from tests.common import fleet_builders
 from vanillaswitch.coordination.fleet.instances import lease_times
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
 from vanillaswitch.coordination.fleet.instances import term_state
-from vanillaswitch.coordination.fleet.queue import book as books
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.coordination.fleet.queue import queue_order
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
@@ -53,7 +53,7 @@
         self.starts_afterwards += self.crashes >= MAX_CRASHES
 
 
-class Day:
+class Simulation:
     """Simulates a pool of instances, its jobs and its owners.
 
     Attributes:
@@ -99,19 +99,20 @@
         self._unsent_starts: list[term_state.StartOrder] = []
         for _ in range(instances):
             self._boot(f"i-{self._boots + 1}")
-        self.core = self._new_owner()
+        self.scheduler = self._new_owner()
 
-    def hand_in(
-        self, job: jobs.Job, bad: Collection[tuple[int, int]] = ()
+    def submit(
+        self, job: jobs.Job, crashing: Collection[tuple[int, int]] = ()
     ) -> None:
         """Submits a job; its tasks (step, index) in ``bad`` crash instances."""
         self._jobs[job.job_id] = job
         self._crashing_tasks.update(
-            jobs.TaskName(job.job_id, 0, step, index) for step, index in bad
+            jobs.TaskName(job.job_id, 0, step, index)
+            for step, index in crashing
         )
-        self.core.job_added(job, self.now)
+        self.scheduler.add_job(job, self.now)
 
-    def run(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Advances the simulation by this time."""
         until = self.now + seconds
         while self.now < until:
@@ -119,13 +120,13 @@
 
     def take_over(self) -> None:
         """Replaces the owner by one that knows only the stored rows."""
-        self.core = self._new_owner()
+        self.scheduler = self._new_owner()
 
     def state(self, job: jobs.Job) -> jobs.JobState:
         """Returns the state of a job that clients see."""
-        entry = self.core.book.get(job.job_id)
+        entry = self.scheduler.tracker.get(job.job_id)
         assert entry is not None
-        return entry.shown
+        return entry.recorded_state
 
     def tally(self, job: jobs.Job, step: int = 0, index: int = 0) -> Tally:
         """Returns the starts and crashes of a task."""
@@ -155,7 +156,7 @@
     def _boot(self, name: str) -> None:
         self._boots += 1
         registration = dataclasses.replace(
-            fleets.registration(
+            fleet_builders.registration(
                 name, rack=f"r{self._boots % 3}", cpu=self._cpu
             ),
             born_ms=self._boots,
@@ -176,105 +177,122 @@
             if self.now >= at:
                 del self._ends_at[name, task]
                 if self.models[name].up and task in self.models[name].running:
-                    self.models[name].end(task, fleet.How.DONE)
+                    self.models[name].end(task, fleet.RunOutcome.DONE)
         for at, name in list(self._restart_at):
             if self.now >= at:
                 self._restart_at.remove((at, name))
                 again = name if self._same_id else f"i-{self._boots + 1}"
                 self._boot(again)
-                self.core.registered(self.models[again].registration, self.now)
+                self.scheduler.handle_registration(
+                    self.models[again].registration, self.now
+                )
         for model in self.models.values():
             if model.up:
                 model.advance(TICK_S * 1000)
 
-    def _new_owner(self) -> cores.Core:
+    def _new_owner(self) -> schedulers.Scheduler:
         self.token += 1
         self._unsent_starts.clear()
-        core = cores.Core(
+        scheduler = schedulers.Scheduler(
             queue_order.ORDERS.get(queue_order.DEFAULT_ORDER),
             self.emitted.append,
         )
-        core.configured(fleets.config())
+        scheduler.apply_config(fleet_builders.config())
         for model in self.models.values():
             if model.up:
-                core.registered(model.registration, self.now)
+                scheduler.handle_registration(model.registration, self.now)
         for job in self._jobs.values():
             row = self._rows.get(job.job_id)
             if row is None:
-                core.job_added(job, self.now)
+                scheduler.add_job(job, self.now)
             else:
-                core.restore(job, row, 1, self.now)
-        core.inherit_runs(self.now, lease_times.inherited_lapse_at(self.now))
+                scheduler.restore(job, row, 1, self.now)
+        scheduler.recover_runs(
+            self.now, lease_times.inherited_lease_expiry(self.now)
+        )
         self._recorded_ends.clear()
-        return core
+        return scheduler
 
     def _report_to_owner(self) -> None:
-        for name in list(self.core.instances):
+        for name in list(self.scheduler.instances):
             model = self.models.get(name)
             if model is not None and model.up:
                 self._poll_instance(name, model)
             else:
-                self.core.unanswered(name, self.now)
+                self.scheduler.handle_unanswered_call(name, self.now)
         for name, at in list(self._detect_at.items()):
             if self.now >= at:
                 del self._detect_at[name]
                 if not self._same_id:
-                    self.core.gone(name, self.now, "no machine runs it")
-        for name in list(self.core.instances):
+                    self.scheduler.remove_instance(
+                        name, self.now, "no machine runs it"
+                    )
+        for name in list(self.scheduler.instances):
             if name not in self.models:
-                self.core.gone(name, self.now, "no machine runs it")
+                self.scheduler.remove_instance(
+                    name, self.now, "no machine runs it"
+                )
 
     def _poll_instance(
         self, name: str, model: leased_instance.LeasedInstance
     ) -> None:
-        known = self.core.instances[name]
+        known = self.scheduler.instances[name]
         deadline = None
-        if known.adopted:
+        if known.is_adopted:
             deadline = int(
-                known.clock_now_ms(self.now) + lease_times.HOLD_S * 1000
+                known.estimated_clock_ms(self.now)
+                + lease_times.RUN_LEASE_S * 1000
             )
         incarnation, seen = self._recorded_ends.get(name, (0, 0))
-        outcome = model.hold(
-            self.token, seen if incarnation == known.life else 0, deadline
+        outcome = model.renew_lease(
+            self.token,
+            seen if incarnation == known.incarnation else 0,
+            deadline,
         )
-        if isinstance(outcome, fleet.Held):
-            self.core.held(name, outcome, self.now, self.now)
+        if isinstance(outcome, fleet.StatusReport):
+            self.scheduler.handle_status_report(
+                name, outcome, self.now, self.now
+            )
 
     def _plan(self) -> None:
-        core = self.core
-        core.lapse(self.now)
-        core.stop_again(self.now)
-        core.plan(self.now, fleets.WALL_MS + self.now * 1000)
-        for stop in core.take_stops():
+        scheduler = self.scheduler
+        scheduler.release_expired_leases(self.now)
+        scheduler.resend_stops(self.now)
+        scheduler.plan(self.now, fleet_builders.WALL_MS + self.now * 1000)
+        for stop in scheduler.take_stops():
             model = self.models.get(stop.instance)
             if model is not None and model.up:
                 model.stop(stop.task, stop.run, self.token)
                 key = (stop.task, stop.run)
-                core.stopped(stop.instance, key, self.now)
-        batch = core.take_batch(1000)
+                scheduler.handle_stop_accepted(stop.instance, key, self.now)
+        batch = scheduler.take_batch(1000)
         for entry in batch.entries:
-            self._rows[entry.job.job_id] = entry.pack()
-            entry.shown = entry.state
-        for name, number in batch.seen.items():
-            self._recorded_ends[name] = batch.lives[name], number
+            self._rows[entry.job.job_id] = entry.to_document()
+            entry.recorded_state = entry.state
+        for name, number in batch.recorded_ends.items():
+            self._recorded_ends[name] = batch.incarnations[name], number
         for order in batch.starts:
             self._start(order)
 
     def _start(self, order: term_state.StartOrder) -> None:
         model = self.models.get(order.instance)
-        if not self.core.may_send(order) or model is None:
+        if not self.scheduler.may_send_start(order) or model is None:
             return
         if not model.up:
-            self.core.unanswered(order.instance, self.now)
+            self.scheduler.handle_unanswered_call(order.instance, self.now)
             return
         job = self._jobs[order.task.job_id]
         step = job.steps[order.task.step]
-        known = self.core.instances[order.instance]
-        deadline = int(known.clock_now_ms(self.now) + lease_times.HOLD_S * 1000)
-        start = fleet.Start(order.task, order.run, "", "", self.token, deadline)
-        outcome = model.start(start, books.need(step))
+        known = self.scheduler.instances[order.instance]
+        deadline = int(
+            known.estimated_clock_ms(self.now) + lease_times.RUN_LEASE_S * 1000
+        )
+        start = fleet.StartRequest(
+            order.task, order.run, "", "", self.token, deadline
+        )
+        outcome = model.start(start, job_tracker.task_demand(step))
         assert isinstance(outcome, fleet.Accepted), outcome
-        self.core.started(
+        self.scheduler.handle_start_accepted(
             order.instance,
             (order.task, order.run),
             outcome.clock_ms,
@@ -321,7 +339,7 @@
         crashing: jobs with a task that crashes instances.
     """
 
-    simulation: Day
+    simulation: Simulation
     healthy: list[jobs.Job] = dataclasses.field(default_factory=list)
     crashing: list[jobs.Job] = dataclasses.field(default_factory=list)
 
@@ -361,12 +379,12 @@
         fields: arguments of the ``Day``.
     """
     rng = random.Random(seed)
-    scenario = Scenario(Day(9, cpu=16_000, **fields))
+    scenario = Scenario(Simulation(9, cpu=16_000, **fields))
     long_running_step = jobs.Step(
         count=5, cpu=1300, long_running=True, may_miss=1, anti_affinity=1
     )
-    scenario.healthy.append(fleets.job(1000, (long_running_step,)))
-    scenario.simulation.hand_in(scenario.healthy[0])
+    scenario.healthy.append(fleet_builders.job(1000, (long_running_step,)))
+    scenario.simulation.submit(scenario.healthy[0])
     for tick in range(round(DURATION_S / TICK_S)):
         if tick * TICK_S < DURATION_S - QUIET_END_S and rng.random() < 0.2:
             _submit_random_job(scenario, tick + 1, faults, rng)
@@ -374,7 +392,7 @@
             scenario.simulation.take_over()
         if rng.random() < faults.rack_loss_rate:
             scenario.simulation.crash_rack(f"r{rng.randrange(3)}")
-        scenario.simulation.run(TICK_S)
+        scenario.simulation.advance(TICK_S)
     return scenario
 
 
@@ -384,13 +402,13 @@
     count = rng.randint(1, 12)
     cpu = rng.choice((600, 1100, 2500))
     step = jobs.Step(count=count, cpu=cpu, estimate_ms=600)
-    job = fleets.job(number, (step,))
+    job = fleet_builders.job(number, (step,))
     indices = [rng.randrange(count)]
     if faults.entire_steps:
         indices = list(range(count))
     if rng.random() < faults.crashing_share:
         scenario.crashing.append(job)
-        scenario.simulation.hand_in(job, [(0, index) for index in indices])
+        scenario.simulation.submit(job, [(0, index) for index in indices])
     else:
         scenario.healthy.append(job)
-        scenario.simulation.hand_in(job)
+        scenario.simulation.submit(job)
--- a/tests/common/lasting_days.py
+++ b/tests/common/disruption_simulation.py
@@ -9,15 +9,15 @@
 import random
 
 from standins import leased_instance
-from tests.common import fleets
+from tests.common import fleet_builders
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet.instances import core as cores
-from vanillaswitch.coordination.fleet.instances import instance_task
+from vanillaswitch.coordination.fleet.instances import disruption_budget
+from vanillaswitch.coordination.fleet.instances import instance_client
 from vanillaswitch.coordination.fleet.instances import lease_times
-from vanillaswitch.coordination.fleet.instances import sparing
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
 from vanillaswitch.coordination.fleet.instances import term_state
 from vanillaswitch.coordination.fleet.machines import evacuation
-from vanillaswitch.coordination.fleet.queue import book as books
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.coordination.fleet.queue import queue_order
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
@@ -77,8 +77,8 @@
         ends_at: time at which the process notices that its term is over.
     """
 
-    def __init__(self, core: cores.Core, token: int):
-        self.core = core
+    def __init__(self, scheduler: schedulers.Scheduler, token: int):
+        self.scheduler = scheduler
         self.token = token
         self.calls: dict[str, _Call] = {}
         self.pending_starts: list[_PendingStart] = []
@@ -122,12 +122,12 @@
         self.began_at: dict[tuple[str, jobs.TaskName, int], float] = {}
         self.not_serving_since: dict[jobs.TaskName, float] = {}
         self.ended_by_order: set[jobs.TaskName] = set()
-        self.delayed_starts: list[tuple[float, str, fleet.Start]] = []
+        self.delayed_starts: list[tuple[float, str, fleet.StartRequest]] = []
         self.terms: list[Term] = []
         for _ in range(INSTANCES):
             self._boot()
         for number, step in enumerate(STEPS, 1):
-            job = fleets.job(number, (step,))
+            job = fleet_builders.job(number, (step,))
             self.jobs[job.job_id] = job
         self._take_over()
 
@@ -153,7 +153,7 @@
             for model in self.instances.values()
             if model.up
             for run in model.running.values()
-            if run.percent >= sparing.AT_WORK
+            if run.percent >= disruption_budget.SERVING_PERCENT
         }
 
     def _tick(self) -> None:
@@ -180,12 +180,16 @@
         name = f"i-{self.incarnations}"
         self.instances[name] = leased_instance.LeasedInstance(
             dataclasses.replace(
-                fleets.registration(name, rack=f"r{self.incarnations % 3}"),
+                fleet_builders.registration(
+                    name, rack=f"r{self.incarnations % 3}"
+                ),
                 born_ms=self.incarnations,
             )
         )
         for term in self.terms:
-            term.core.registered(self.instances[name].registration, self.now)
+            term.scheduler.handle_registration(
+                self.instances[name].registration, self.now
+            )
 
     def _advance_instances(self) -> None:
         for number, model in enumerate(self.instances.values()):
@@ -197,7 +201,7 @@
                     (name, run.task, run.run), self.now
                 )
                 if self.now - began >= WARM_UP_S:
-                    run.percent = sparing.AT_WORK
+                    run.percent = disruption_budget.SERVING_PERCENT
         self.ended_by_order -= self.serving
         for job in self.jobs.values():
             for index in range(job.steps[0].count):
@@ -224,15 +228,17 @@
         If a delayed start arrives earlier, the owner can't know of the run,
         which may last for the longest lease that the instance grants.
         """
-        known = self.terms[-1].core.instances.get(name)
+        known = self.terms[-1].scheduler.instances.get(name)
         born_ms = self.instances[name].registration.born_ms
-        return known is None or known.lives.current == born_ms
+        return known is None or known.incarnations.current_ms == born_ms
 
     def _execute_start(
-        self, name: str, start: fleet.Start
+        self, name: str, start: fleet.StartRequest
     ) -> fleet.OrderOutcome:
         step = self.jobs[start.task.job_id].steps[0]
-        outcome = self.instances[name].start(start, books.need(step))
+        outcome = self.instances[name].start(
+            start, job_tracker.task_demand(step)
+        )
         hosts = [
             other
             for other, model in self.instances.items()
@@ -240,7 +246,7 @@
         ]
         if len(hosts) > 1:
             self.violations.append(
-                f"{self.now} {start.task.label} of {start.task.job_id[-1]} runs"
+                f"{self.now} {start.task.path_in_job} of {start.task.job_id[-1]} runs"
                 f" on {hosts}"
             )
         return outcome
@@ -297,59 +303,61 @@
     def _fail_task(self, name: str) -> None:
         model = self.instances[name]
         for task in sorted(model.running)[:1]:
-            model.end(task, fleet.How.FAILED)
+            model.end(task, fleet.RunOutcome.FAILED)
 
     # Owners.
 
     def _take_over(self) -> None:
         self.token += 1
-        core = cores.Core(
+        scheduler = schedulers.Scheduler(
             queue_order.ORDERS.get(queue_order.DEFAULT_ORDER),
             lambda event: self.emitted.append((self.now, event)),
         )
-        core.configured(fleets.config())
+        scheduler.apply_config(fleet_builders.config())
         for model in self.instances.values():
             if model.up:
-                core.registered(model.registration, self.now)
+                scheduler.handle_registration(model.registration, self.now)
         for job in self.jobs.values():
             row = self.rows.get(job.job_id)
             if row is None:
-                core.job_added(job, self.now)
+                scheduler.add_job(job, self.now)
             else:
-                core.restore(job, row, 1, self.now)
-        core.inherit_runs(self.now, lease_times.inherited_lapse_at(self.now))
+                scheduler.restore(job, row, 1, self.now)
+        scheduler.recover_runs(
+            self.now, lease_times.inherited_lease_expiry(self.now)
+        )
         for term in self.terms:
             # The former owner does not know yet that it lost ownership.
             term.ends_at = min(
                 term.ends_at, self.now + self.rng.uniform(0.0, 1.2)
             )
-        self.terms.append(Term(core, self.token))
+        self.terms.append(Term(scheduler, self.token))
 
     def _run_owner(self, term: Term) -> None:
-        core = term.core
-        for name in list(core.instances):
+        scheduler = term.scheduler
+        for name in list(scheduler.instances):
             self._renew_lease(term, name)
         for name, at in self.gone_at.items():
             if self.now >= at:
-                core.gone(name, self.now, "no machine runs it")
-        core.lapse(self.now)
-        core.stop_again(self.now)
-        for name, instance in core.instances.items():
-            instance.cordoned = name in self.drained_since
-        evacuation.evacuate_all(core, self.now)
+                scheduler.remove_instance(name, self.now, "no machine runs it")
+        scheduler.release_expired_leases(self.now)
+        scheduler.resend_stops(self.now)
+        for name, instance in scheduler.instances.items():
+            instance.is_cordoned = name in self.drained_since
+        evacuation.evacuate_instances(scheduler, self.now)
         self._maintain_machines(term)
-        core.plan(self.now, fleets.WALL_MS + self.now * 1000)
+        scheduler.plan(self.now, fleet_builders.WALL_MS + self.now * 1000)
         self._send_stops(term)
         if term is self.terms[-1]:
             self._write_batch(term)
         self._send_starts(term)
 
     def _write_batch(self, term: Term) -> None:
-        batch = term.core.take_batch(100)
+        batch = term.scheduler.take_batch(100)
         for entry in batch.entries:
-            self.rows[entry.job.job_id] = entry.pack()
-        for name, number in batch.seen.items():
-            term.recorded_ends[name] = (batch.lives[name], number)
+            self.rows[entry.job.job_id] = entry.to_document()
+        for name, number in batch.recorded_ends.items():
+            term.recorded_ends[name] = (batch.incarnations[name], number)
         term.pending_starts.extend(
             _PendingStart(order, self.now, self.now) for order in batch.starts
         )
@@ -358,38 +366,41 @@
         call = term.calls.setdefault(name, _Call())
         if call.times_out_at is not None:
             if self.now >= call.times_out_at:
-                term.core.unanswered(name, call.began_at)
+                term.scheduler.handle_unanswered_call(name, call.began_at)
                 call.failures += 1
-                if call.failures >= instance_task.SILENT_AFTER_CALLS:
-                    term.core.silent(name, self.now)
+                if call.failures >= instance_client.SILENT_AFTER_CALLS:
+                    term.scheduler.mark_unresponsive(name, self.now)
                 call.times_out_at, call.next_at = None, self.now
             return
-        if self.now < call.next_at or not term.core.holds(name):
+        if self.now < call.next_at or not term.scheduler.should_poll(name):
             return
-        known = term.core.instances[name]
+        known = term.scheduler.instances[name]
         # The first call in a partition leaves on the kept connection. Later
         # ones need a new connection, which can't be established.
         is_sent = self._is_reachable(name) or not call.failures
         deadline = None
-        if known.adopted:
+        if known.is_adopted:
             deadline = int(
-                known.clock_now_ms(self.now) + lease_times.HOLD_S * 1000
+                known.estimated_clock_ms(self.now)
+                + lease_times.RUN_LEASE_S * 1000
             )
-            until = lease_times.lapses_at(self.now)
-            known.begin_grant(until)
-            known.end_grant(until, is_sent)
+            until = lease_times.lease_expiry(self.now)
+            known.begin_lease_renewal(until)
+            known.end_lease_renewal(until, is_sent)
         if not self._is_reachable(name):
             wait = RETRY_TIMEOUT_S if call.failures else FIRST_TIMEOUT_S
             call.times_out_at, call.began_at = self.now + wait, self.now
             return
         life, seen = term.recorded_ends.get(name, (0, 0))
-        if call.failures or known.life != life:
+        if call.failures or known.incarnation != life:
             seen = 0
         call.next_at = self.now + RENEWAL_INTERVAL_S
         call.failures = 0
-        outcome = self.instances[name].hold(term.token, seen, deadline)
-        if isinstance(outcome, fleet.Held):
-            term.core.held(name, outcome, self.now, self.now)
+        outcome = self.instances[name].renew_lease(term.token, seen, deadline)
+        if isinstance(outcome, fleet.StatusReport):
+            term.scheduler.handle_status_report(
+                name, outcome, self.now, self.now
+            )
         else:
             term.ends_at = self.now
 
@@ -397,7 +408,7 @@
         return self.instances[name].up and name not in self.partitioned_until
 
     def _send_stops(self, term: Term) -> None:
-        for stop in term.core.take_stops():
+        for stop in term.scheduler.take_stops():
             if not self._is_reachable(stop.instance):
                 continue
             model = self.instances[stop.instance]
@@ -408,7 +419,9 @@
             outcome = model.stop(stop.task, stop.run, term.token)
             if isinstance(outcome, fleet.Accepted):
                 key = (stop.task, stop.run)
-                term.core.stopped(stop.instance, key, self.now)
+                term.scheduler.handle_stop_accepted(
+                    stop.instance, key, self.now
+                )
 
     def _send_starts(self, term: Term) -> None:
         for pending in list(term.pending_starts):
@@ -418,15 +431,21 @@
     def _send_start(self, term: Term, pending: _PendingStart) -> bool:
         """Sends a start; returns whether it need not be sent again."""
         order = pending.order
-        if not term.core.may_send(order):
+        if not term.scheduler.may_send_start(order):
             return True
-        known = term.core.instances[order.instance]
-        deadline = int(known.clock_now_ms(self.now) + lease_times.HOLD_S * 1000)
+        known = term.scheduler.instances[order.instance]
+        deadline = int(
+            known.estimated_clock_ms(self.now) + lease_times.RUN_LEASE_S * 1000
+        )
         roll = self.rng.random()
-        until = lease_times.lapses_at(self.now)
-        known.begin_grant(until)
-        known.end_grant(until, roll < 0.1 or self._is_reachable(order.instance))
-        start = fleet.Start(order.task, order.run, "", "", term.token, deadline)
+        until = lease_times.lease_expiry(self.now)
+        known.begin_lease_renewal(until)
+        known.end_lease_renewal(
+            until, roll < 0.1 or self._is_reachable(order.instance)
+        )
+        start = fleet.StartRequest(
+            order.task, order.run, "", "", term.token, deadline
+        )
         key = (order.task, order.run)
         if roll < 0.1 or not self._is_reachable(order.instance):
             pending.unanswered = pending.unanswered or roll < 0.1
@@ -434,23 +453,27 @@
                 at = self.now + self.rng.uniform(0.0, 4.0)
                 self.delayed_starts.append((at, order.instance, start))
             pending.next_at = self.now + START_RESEND_S
-            return not term.core.start_unanswered(
+            return not term.scheduler.handle_start_unanswered(
                 order.instance,
                 key,
                 pending.unanswered,
                 self.now,
                 pending.first_at,
             )
-        outcome: fleet.OrderOutcome = fleet.Refused(fleet.Reason.UNHEALTHY)
+        outcome: fleet.OrderOutcome = fleet.Refused(
+            fleet.RefusalReason.UNHEALTHY
+        )
         if roll > 0.15:
             outcome = self._execute_start(order.instance, start)
         if isinstance(outcome, fleet.Accepted):
-            term.core.started(order.instance, key, outcome.clock_ms, self.now)
+            term.scheduler.handle_start_accepted(
+                order.instance, key, outcome.clock_ms, self.now
+            )
         elif isinstance(outcome, fleet.Refused) and not fleet.is_fenced(
             outcome
         ):
             pending.next_at = self.now + START_RESEND_S
-            return not term.core.start_refused(
+            return not term.scheduler.handle_start_refused(
                 order.instance,
                 key,
                 outcome.reason,
@@ -461,15 +484,17 @@
 
     def _maintain_machines(self, term: Term) -> None:
         for name, since in list(self.drained_since.items()):
-            instance = term.core.instances.get(name)
+            instance = term.scheduler.instances.get(name)
             model = self.instances[name]
             if instance is None or not model.up or self.now - since < 2.5:
                 continue
-            if not evacuation.may_end_all(term.core, instance, self.now):
+            if not evacuation.allows_disruption_of_all(
+                term.scheduler, instance, self.now
+            ):
                 continue
             for task in sorted(model.running):
                 self._check_budget(task, name, "ended by maintenance")
-            instance.leaving = True
+            instance.is_terminating = True
             self._crash(name)
 
     # Invariants.
@@ -490,10 +515,10 @@
                 (event.why, event.away, event.unheard_ms)
                 for _, event in self.emitted
                 if isinstance(event, events.RunStopped)
-                and (event.job, event.task) == (task.job_id, task.label)
+                and (event.job, event.task) == (task.job_id, task.path_in_job)
             ]
             self.violations.append(
-                f"{self.now} {task.label} of {task.job_id[-1]} on {name} {how},"
+                f"{self.now} {task.path_in_job} of {task.job_id[-1]} on {name} {how},"
                 f" {unavailable} are unavailable, logged {why[-1:]}"
             )
         self.ended_by_order.add(task)
--- a/tests/common/fleets.py
+++ b/tests/common/fleet_builders.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from vanillaswitch.coordination.fleet.instances import core as cores
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
 from vanillaswitch.coordination.fleet.instances import term_state
 from vanillaswitch.coordination.fleet.queue import queue_order
 from vanillaswitch.protocol import fleet
@@ -40,9 +40,9 @@
     )
 
 
-def moment(now: float = 0.0) -> queue_order.Moment:
+def moment(now: float = 0.0) -> queue_order.PlanTime:
     """Returns the moment at some monotonic seconds, with its wall time."""
-    return queue_order.Moment(now, WALL_MS + now * 1000)
+    return queue_order.PlanTime(now, WALL_MS + now * 1000)
 
 
 def job(
@@ -62,14 +62,14 @@
     return jobs.Job(**(values | fields))  # type: ignore[arg-type]
 
 
-def put(key: str, value: Mapping[str, object]) -> platform.Transaction:
+def insertion(key: str, value: Mapping[str, object]) -> platform.Transaction:
     """Returns the transaction that inserts a row."""
     row = platform.Put(key, platform.ABSENT, value)
     return platform.Transaction(f"put-{key}", (row,))
 
 
 def config(
-    attempts: int = 2, advice: fleet.Advice | None = None
+    attempts: int = 2, advice: fleet.AdvisorConfig | None = None
 ) -> fleet.FleetConfig:
     """Returns a configuration with one queue, its pool and a standby pool."""
     queue = fleet.Queue(
@@ -79,12 +79,14 @@
         "berthing",
         max_attempts=attempts,
         stretch=1.6,
-        target_ms=600.0,
+        target_duration_ms=600.0,
         advice=advice,
     )
     pools = {
-        "berthing": fleet.Pool("berthing", guarded=False, standby=False),
-        "spare": fleet.Pool("spare", guarded=False, standby=True),
+        "berthing": fleet.Pool(
+            "berthing", enforces_capacity=False, is_standby=False
+        ),
+        "spare": fleet.Pool("spare", enforces_capacity=False, is_standby=True),
     }
     return fleet.FleetConfig(1, (queue,), pools, 262_144)
 
@@ -104,59 +106,68 @@
     )
 
 
-def new_core(attempts: int = 2) -> cores.Core:
+def new_scheduler(attempts: int = 2) -> schedulers.Scheduler:
     """Returns an owner's decisions without jobs and instances."""
-    core = cores.Core(
+    scheduler = schedulers.Scheduler(
         queue_order.ORDERS.get(queue_order.DEFAULT_ORDER), lambda _: None
     )
-    core.configured(config(attempts))
-    return core
+    scheduler.apply_config(config(attempts))
+    return scheduler
 
 
-def held(
-    ended: tuple[fleet.End, ...] = (),
-    running: tuple[fleet.Running, ...] = (),
+def status_report(
+    ended: tuple[fleet.RunEnd, ...] = (),
+    running: tuple[fleet.RunStatus, ...] = (),
     clock_ms: float = 0.0,
-) -> fleet.Held:
+) -> fleet.StatusReport:
     """Returns an instance's status report."""
-    return fleet.Held(clock_ms, running, ended)
+    return fleet.StatusReport(clock_ms, running, ended)
 
 
-def adopt(
-    core: cores.Core, *names: str, now: float = 0.0, **fields: object
+def add_instances(
+    scheduler: schedulers.Scheduler,
+    *names: str,
+    now: float = 0.0,
+    **fields: object,
 ) -> None:
     """Registers instances and lets each send an empty status report."""
     for name in names:
-        core.registered(registration(name, **fields), now)  # type: ignore[arg-type]
-        core.held(name, held(), now, now)
+        scheduler.handle_registration(registration(name, **fields), now)  # type: ignore[arg-type]
+        scheduler.handle_status_report(name, status_report(), now, now)
 
 
-def plan(core: cores.Core, now: float = 1.0) -> term_state.Batch:
+def plan_batch(
+    scheduler: schedulers.Scheduler, now: float = 1.0
+) -> term_state.WriteBatch:
     """Plans, takes the batch to write and marks its starts as sent."""
-    core.plan(now, WALL_MS + now * 1000)
-    batch = core.take_batch(100)
+    scheduler.plan(now, WALL_MS + now * 1000)
+    batch = scheduler.take_batch(100)
     for start in batch.starts:
-        core.may_send(start)
+        scheduler.may_send_start(start)
     return batch
 
 
-def run_all(
-    core: cores.Core, batch: term_state.Batch, percent: float = 0.0
+def accept_starts(
+    scheduler: schedulers.Scheduler,
+    batch: term_state.WriteBatch,
+    percent: float = 0.0,
 ) -> None:
     """Lets instances accept all starts of a batch and report them."""
-    rows: dict[str, list[fleet.Running]] = {}
+    rows: dict[str, list[fleet.RunStatus]] = {}
     for start in batch.starts:
-        core.started(start.instance, (start.task, start.run))
-        row = fleet.Running(start.task, start.run, "", percent)
+        scheduler.handle_start_accepted(start.instance, (start.task, start.run))
+        row = fleet.RunStatus(start.task, start.run, "", percent)
         rows.setdefault(start.instance, []).append(row)
-    show(core, rows)
+    report_running(scheduler, rows)
 
 
-def show(
-    core: cores.Core,
-    rows: Mapping[str, list[fleet.Running]],
+def report_running(
+    scheduler: schedulers.Scheduler,
+    rows: Mapping[str, list[fleet.RunStatus]],
     now: float = 2.0,
 ) -> None:
     """Lets instances report what they run."""
     for name, listed in rows.items():
-        core.held(name, held(running=tuple(listed)), now, now)
+        scheduler.handle_status_report(
+            name, status_report(running=tuple(listed)), now, now
+        )
--- a/tests/common/outer_names.py
+++ b/tests/common/outer_names.py
@@ -28,8 +28,8 @@
 from vanillaswitch.cli import main
 from vanillaswitch.coordination.configuration import config_task
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet import standing
-from vanillaswitch.coordination.fleet.ownership import recorder
+from vanillaswitch.coordination.fleet import status_summaries
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.internal import histograms
 from vanillaswitch.internal import logs
 from vanillaswitch.protocol import fleet
@@ -64,7 +64,7 @@
         yield "counter", kind.__name__
         yield "log-event", logs._kind(kind.__name__)
         yield from _fields(logs._kind(kind.__name__), kind)
-    for kind in (recorder.OwnerRow, jobs.Job):
+    for kind in (fenced_writer.OwnerRow, jobs.Job):
         yield from _fields("row", kind)
     for kind in _data_classes(rows):
         yield from _fields("row", kind)
@@ -72,7 +72,7 @@
     yield from _fields("configuration", config.Config)
     yield from _fields("counter config", config_task.Counters)
     yield from _fields("histogram", histograms.Summary)
-    for kind in _data_classes(standing):
+    for kind in _data_classes(status_summaries):
         yield from _fields("command-output", kind)
     yield from _fields("command-output", fleet.Machine)
     for kind in (fleet.Accepted, fleet.Refused, fleet.Busy, fleet.NoAnswer):
--- a/tests/common/owner_histories.py
+++ b/tests/common/owner_histories.py
@@ -15,12 +15,12 @@
 from hypothesis import strategies as st
 
 from standins import leased_instance
-from tests.common import fleets
-from vanillaswitch.coordination.fleet.instances import core as cores
+from tests.common import fleet_builders
 from vanillaswitch.coordination.fleet.instances import lease_times
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
 from vanillaswitch.coordination.fleet.instances import term_state
-from vanillaswitch.coordination.fleet.queue import book as books
-from vanillaswitch.coordination.fleet.queue import rooms
+from vanillaswitch.coordination.fleet.queue import instance_state
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 
@@ -45,15 +45,15 @@
 class Term:
     """A process that acts as the owner of the fleet under one token."""
 
-    def __init__(self, core: cores.Core, token: int):
-        self.core = core
+    def __init__(self, scheduler: schedulers.Scheduler, token: int):
+        self.scheduler = scheduler
         self.token = token
         self.orders: list[term_state.StartOrder] = []
         self.stops: list[term_state.StopOrder] = []
         self.recorded: dict[str, tuple[int, int]] = {}
         self.disconnected: set[str] = set()
-        self.send_attempted: set[rooms.RunKey] = set()
-        self.unanswered: set[rooms.RunKey] = set()
+        self.send_attempted: set[instance_state.RunKey] = set()
+        self.unanswered: set[instance_state.RunKey] = set()
         self.unread: set[str] = set()
 
 
@@ -71,7 +71,7 @@
         self.rows: dict[str, dict[str, object]] = {}
         self.instances: dict[str, leased_instance.LeasedInstance] = {}
         self.done: set[jobs.TaskName] = set()
-        self.late_starts: list[tuple[str, fleet.Start]] = []
+        self.late_starts: list[tuple[str, fleet.StartRequest]] = []
         self.restarted_at: dict[str, float] = {}
         self.sent_at: dict[int, float] = {}
         self.reported_to_newest: set[str] = set()
@@ -91,7 +91,7 @@
         name = f"i-{self.boots}"
         self.instances[name] = leased_instance.LeasedInstance(
             dataclasses.replace(
-                fleets.registration(name, rack=f"r{self.boots % 2}"),
+                fleet_builders.registration(name, rack=f"r{self.boots % 2}"),
                 born_ms=self.boots,
             )
         )
@@ -124,11 +124,11 @@
             term.unread.discard(job_id)
             job, row = self.jobs[job_id], self.rows.get(job_id)
             if row is None:
-                term.core.job_added(job, self.now)
+                term.scheduler.add_job(job, self.now)
                 continue
-            term.core.unread = self._unread_with_rows(term)
-            lapses_at = lease_times.inherited_lapse_at(self.now)
-            term.core.restore_late(job, row, 1, self.now, lapses_at)
+            term.scheduler.unreadable_jobs = self._unread_with_rows(term)
+            lapses_at = lease_times.inherited_lease_expiry(self.now)
+            term.scheduler.restore_deferred(job, row, 1, self.now, lapses_at)
 
     def _unread_with_rows(self, term: Term) -> set[str]:
         """Returns unread jobs whose progress row the owner can read."""
@@ -140,23 +140,25 @@
 
     def _take_over(self, unread: set[str]) -> None:
         self.token += 1
-        core = fleets.new_core()
-        term = Term(core, self.token)
+        scheduler = fleet_builders.new_scheduler()
+        term = Term(scheduler, self.token)
         for item in self._up():
-            core.registered(item.registration, self.now)
+            scheduler.handle_registration(item.registration, self.now)
         term.unread = unread
-        core.unread = self._unread_with_rows(term)
+        scheduler.unreadable_jobs = self._unread_with_rows(term)
         for job in self.jobs.values():
             row = self.rows.get(job.job_id)
             if job.job_id in unread:
                 continue
             if row is None:
-                core.job_added(job, self.now)
+                scheduler.add_job(job, self.now)
             else:
-                core.restore(job, row, 1, self.now)
-        core.inherit_runs(self.now, lease_times.inherited_lapse_at(self.now))
+                scheduler.restore(job, row, 1, self.now)
+        scheduler.recover_runs(
+            self.now, lease_times.inherited_lease_expiry(self.now)
+        )
         for job_id in self.cancelled:
-            core.cancelled(job_id, self.now)
+            scheduler.cancel_job(job_id, self.now)
         self.terms = [*self.terms[-(OWNERS - 1) :], term]
 
     @stateful.rule(kind=st.integers(0, len(STEPS) - 1))
@@ -164,9 +166,9 @@
         """A client submits a job; only the newest owner receives it."""
         if len(self.jobs) >= 6:
             return
-        job = fleets.job(len(self.jobs) + 1, STEPS[kind])
+        job = fleet_builders.job(len(self.jobs) + 1, STEPS[kind])
         self.jobs[job.job_id] = job
-        self.terms[-1].core.job_added(job, self.now)
+        self.terms[-1].scheduler.add_job(job, self.now)
 
     # Crashing tasks and changed capacities are no rules, since drawn histories
     # contain too few of them. Random histories with weighted events use them.
@@ -185,7 +187,7 @@
             model.registration, capacity=capacity
         )
         for term in self.terms:
-            term.core.registered(model.registration, self.now)
+            term.scheduler.handle_registration(model.registration, self.now)
 
     @stateful.rule(choice=CHOICE)
     def cancel(self, choice: int) -> None:
@@ -193,24 +195,24 @@
         job_id = self._pick(sorted(self.jobs), choice)
         if job_id is not None:
             self.cancelled.add(job_id)
-            self.terms[-1].core.cancelled(job_id, self.now)
+            self.terms[-1].scheduler.cancel_job(job_id, self.now)
 
     @stateful.rule(choice=CHOICE)
     def plan_and_write(self, choice: int) -> None:
         """A process plans and writes; a former owner can't write and ends."""
         term = self._pick(self.terms, choice)
-        term.core.plan(self.now, fleets.WALL_MS + self.now * 1000)
-        batch = term.core.take_batch(2)
+        term.scheduler.plan(self.now, fleet_builders.WALL_MS + self.now * 1000)
+        batch = term.scheduler.take_batch(2)
         if term is not self.terms[-1]:
             self.terms.remove(term)
             return
         for entry in batch.entries:
-            self.rows[entry.job.job_id] = entry.pack()
-            entry.shown = entry.state
+            self.rows[entry.job.job_id] = entry.to_document()
+            entry.recorded_state = entry.state
         term.orders.extend(batch.starts)
-        for name, number in batch.seen.items():
-            term.recorded[name] = (batch.lives[name], number)
-        term.stops.extend(term.core.take_stops())
+        for name, number in batch.recorded_ends.items():
+            term.recorded[name] = (batch.incarnations[name], number)
+        term.stops.extend(term.scheduler.take_stops())
 
     # Orders.
 
@@ -221,10 +223,10 @@
         order = self._pick(term.orders, choice)
         if order is None:
             return
-        if not term.core.may_send(order):
+        if not term.scheduler.may_send_start(order):
             term.orders.remove(order)
             return
-        known = term.core.instances.get(order.instance)
+        known = term.scheduler.instances.get(order.instance)
         model = self.instances[order.instance]
         if term is not self.terms[-1] and self._is_restart_unhandled(
             order.instance
@@ -233,18 +235,25 @@
             # an instance and the newest owner's first call can't be detected.
             term.orders.remove(order)
             return
-        deadline = known.clock_now_ms(self.now) + lease_times.HOLD_S * 1000
-        known.lapses_at = max(known.lapses_at, lease_times.lapses_at(self.now))
-        start = fleet.Start(
+        deadline = (
+            known.estimated_clock_ms(self.now) + lease_times.RUN_LEASE_S * 1000
+        )
+        known.lease_expires_at = max(
+            known.lease_expires_at, lease_times.lease_expiry(self.now)
+        )
+        start = fleet.StartRequest(
             order.task, order.run, "", "", term.token, int(deadline)
         )
         key = (order.task, order.run)
         # A copy that was sent before may still be executed.
         sent = key in term.unanswered
-        held_back = key in term.send_attempted and term.core.holds_back(order)
+        held_back = (
+            key in term.send_attempted
+            and term.scheduler.must_defer_resend(order)
+        )
         term.send_attempted.add(key)
         if held_back or order.instance in self.unreachable:
-            if not term.core.start_unanswered(
+            if not term.scheduler.handle_start_unanswered(
                 order.instance, key, sent, self.now
             ):
                 term.orders.remove(order)
@@ -254,13 +263,13 @@
             self.late_starts.append((order.instance, start))
             self.sent_at[id(start)] = self.now
             term.unanswered.add(key)
-            if not term.core.start_unanswered(
+            if not term.scheduler.handle_start_unanswered(
                 order.instance, key, True, self.now
             ):
                 term.orders.remove(order)
             return
         if fate == 1:
-            outcome = fleet.Refused(fleet.Reason.UNHEALTHY)
+            outcome = fleet.Refused(fleet.RefusalReason.UNHEALTHY)
         else:
             outcome = self._execute_start(order.instance, start)
             if model.up and model.started[-1:] == [key]:
@@ -274,21 +283,21 @@
     ) -> None:
         key = (order.task, order.run)
         if isinstance(outcome, fleet.Accepted):
-            term.core.started(order.instance, key)
+            term.scheduler.handle_start_accepted(order.instance, key)
             return
         if fleet.is_fenced(outcome):
             if term is not self.terms[-1]:
                 self.terms.remove(term)
             return
         sent = key in term.unanswered
-        term.core.start_refused(
+        term.scheduler.handle_start_refused(
             order.instance, key, outcome.reason, not sent, self.now
         )
 
-    def _execute_start(self, name: str, start: fleet.Start) -> object:
+    def _execute_start(self, name: str, start: fleet.StartRequest) -> object:
         model = self.instances[name]
         job = self.jobs[start.task.job_id]
-        need = books.need(job.steps[start.task.step])
+        need = job_tracker.task_demand(job.steps[start.task.step])
         before = len(model.started)
         outcome = model.start(start, need)
         if len(model.started) > before:
@@ -323,7 +332,7 @@
             return
         name, start = found
         sent_at = self.sent_at[id(start)]
-        if self.now - sent_at > rooms.LATE_S:
+        if self.now - sent_at > instance_state.MAX_ORDER_DELAY_S:
             self.late_starts.remove(found)
             return
         sent_before_restart = sent_at <= self.restarted_at.get(name, 0.0)
@@ -336,8 +345,8 @@
     def send_stops(self, choice: int) -> None:
         """A process sends its stop orders."""
         term = self._pick(self.terms, choice)
-        term.core.stop_again(self.now)
-        term.stops.extend(term.core.take_stops())
+        term.scheduler.resend_stops(self.now)
+        term.stops.extend(term.scheduler.take_stops())
         if term is self.terms[-1]:
             self.restart_handled |= self.reported_to_newest - self.unreachable
         for stop in term.stops:
@@ -351,36 +360,41 @@
             outcome = model.stop(stop.task, stop.run, term.token)
             if isinstance(outcome, fleet.Accepted):
                 key = (stop.task, stop.run)
-                term.core.stopped(stop.instance, key, self.now)
+                term.scheduler.handle_stop_accepted(
+                    stop.instance, key, self.now
+                )
         term.stops.clear()
 
     @stateful.rule(choice=CHOICE, instance=CHOICE)
-    def hold(self, choice: int, instance: int) -> None:
+    def renew_lease(self, choice: int, instance: int) -> None:
         """A process renews the lease of an instance and reads its report."""
         term = self._pick(self.terms, choice)
         name = self._pick(sorted(self.instances), instance)
         model = self.instances[name]
-        known = term.core.instances.get(name)
+        known = term.scheduler.instances.get(name)
         if known is None:
             return
         if not model.up or name in self.unreachable:
-            term.core.silent(name, self.now)
+            term.scheduler.mark_unresponsive(name, self.now)
             return
         deadline = None
-        if known.adopted:
+        if known.is_adopted:
             deadline = int(
-                known.clock_now_ms(self.now) + lease_times.HOLD_S * 1000
+                known.estimated_clock_ms(self.now)
+                + lease_times.RUN_LEASE_S * 1000
             )
-            known.lapses_at = max(
-                known.lapses_at, lease_times.lapses_at(self.now)
+            known.lease_expires_at = max(
+                known.lease_expires_at, lease_times.lease_expiry(self.now)
             )
         life, seen = term.recorded.get(name, (0, 0))
-        if known.life != life or name in term.disconnected:
+        if known.incarnation != life or name in term.disconnected:
             seen = 0
         term.disconnected.discard(name)
-        outcome = model.hold(term.token, seen, deadline)
-        if isinstance(outcome, fleet.Held):
-            term.core.held(name, outcome, self.now, self.now)
+        outcome = model.renew_lease(term.token, seen, deadline)
+        if isinstance(outcome, fleet.StatusReport):
+            term.scheduler.handle_status_report(
+                name, outcome, self.now, self.now
+            )
             if term is self.terms[-1]:
                 self.reported_to_newest.add(name)
         elif term is not self.terms[-1]:
@@ -402,7 +416,7 @@
         model, task = found
         step = self.jobs[task.job_id].steps[task.step]
         if not step.gang:
-            model.end(task, fleet.How(how))
+            model.end(task, fleet.RunOutcome(how))
             return
         self._gang_ends(task, step, how)
 
@@ -421,7 +435,10 @@
             return
         for model, name, _ in members:
             broken = how == "failed" and name != task
-            model.end(name, fleet.How.BROKEN if broken else fleet.How(how))
+            model.end(
+                name,
+                fleet.RunOutcome.BROKEN if broken else fleet.RunOutcome(how),
+            )
 
     @stateful.rule(choice=CHOICE)
     def crash(self, choice: int) -> None:
@@ -436,7 +453,7 @@
         self._boot()
         newest = list(self.instances.values())[-1]
         for term in self.terms:
-            term.core.registered(newest.registration, self.now)
+            term.scheduler.handle_registration(newest.registration, self.now)
 
     # Restarts are no rule, for the same reason as crashing tasks.
 
@@ -459,7 +476,7 @@
         for term in self.terms:
             term.disconnected.add(name)
             if registration_first:
-                term.core.registered(model.registration, self.now)
+                term.scheduler.handle_registration(model.registration, self.now)
 
     def _is_restart_unhandled(self, name: str) -> bool:
         """Whether the newest owner has not handled a restart yet."""
@@ -474,10 +491,10 @@
     @stateful.rule()
     def read_machines(self) -> None:
         """The owner learns from the machine list which instances are gone."""
-        core = self.terms[-1].core
-        for name in list(core.instances):
+        scheduler = self.terms[-1].scheduler
+        for name in list(scheduler.instances):
             if not self.instances[name].up:
-                core.gone(name, self.now, "no machine runs it")
+                scheduler.remove_instance(name, self.now, "no machine runs it")
 
     @stateful.rule(seconds=st.sampled_from([0.05, 0.3, 1.0, 3.0]))
     def time_passes(self, seconds: float) -> None:
@@ -487,7 +504,7 @@
             slow = 0.98 if number % 2 else 1.0
             model.advance(seconds * 1000 * slow)
         for term in self.terms:
-            term.core.lapse(self.now)
+            term.scheduler.release_expired_leases(self.now)
 
     # Overwritten registrations are no rule, for the same reason.
 
@@ -495,18 +512,20 @@
         """Another writer overwrites the registration of an instance."""
         name = self._pick(sorted(self.instances), choice)
         for term in self.terms:
-            term.core.distrusted(name, "its bytes can't be read", self.now)
+            term.scheduler.mark_registration_unreadable(
+                name, "its bytes can't be read", self.now
+            )
 
     def registration_rewritten(self, choice: int) -> None:
         """A running instance writes its own registration again."""
         model = self._pick(self._up(), choice)
         for term in self.terms:
-            term.core.registered(model.registration, self.now)
+            term.scheduler.handle_registration(model.registration, self.now)
 
     # Safety properties.
 
     def _check_start(
-        self, model: leased_instance.LeasedInstance, start: fleet.Start
+        self, model: leased_instance.LeasedInstance, start: fleet.StartRequest
     ) -> None:
         task = start.task
         others = [
@@ -544,7 +563,7 @@
         """Records which tasks were reported as done."""
         for model in self.instances.values():
             for end in model._ended:
-                if end.how is fleet.How.DONE:
+                if end.outcome is fleet.RunOutcome.DONE:
                     self._record_done(end.task)
 
     def _record_done(self, task: jobs.TaskName) -> None:
@@ -588,7 +607,7 @@
             machine.send_start(number(), chooser.choice([2, 2, 2, 0, 1]))
         machine.send_stops(newest)
         for instance in range(len(machine.instances)):
-            machine.hold(newest, instance)
+            machine.renew_lease(newest, instance)
 
     return {
         owner_round: 10,
@@ -596,7 +615,7 @@
         lambda: machine.plan_and_write(number()): 4,
         lambda: machine.send_start(number(), chooser.randrange(4)): 6,
         lambda: machine.send_stops(number()): 2,
-        lambda: machine.hold(number(), number()): 6,
+        lambda: machine.renew_lease(number(), number()): 6,
         lambda: machine.task_ends(
             number(), chooser.choice(["done", "done", "failed"])
         ): 4,
--- a/tests/common/terms.py
+++ b/tests/common/ownership_terms.py
@@ -5,13 +5,15 @@
 import types
 from typing import Any
 
-from tests.common import fleets
-from vanillaswitch.coordination.fleet import shared_time
-from vanillaswitch.coordination.fleet.ownership import member as members
+from tests.common import fleet_builders
+from vanillaswitch.coordination.fleet import reference_clock
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.coordination.fleet.ownership import owner as owners
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
+from vanillaswitch.coordination.fleet.ownership import (
+    owner_candidate as candidates,
+)
 from vanillaswitch.internal import clock as clocks
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import platform
 
@@ -40,19 +42,19 @@
 ) -> fleet.Registration:
     """Decodes any row of the table of instances as a valid one."""
     del document
-    return fleets.registration(name)
+    return fleet_builders.registration(name)
 
 
-def synced_time(clock: clocks.Clock) -> shared_time.SharedTime:
+def synced_time(clock: clocks.Clock) -> reference_clock.ReferenceClock:
     """Returns a shared time that has just been read from the store."""
-    time = shared_time.SharedTime(clock)
-    time.heard(STORE_MS)
+    time = reference_clock.ReferenceClock(clock)
+    time.observe_store_clock(STORE_MS)
     return time
 
 
-def begin(
+def begin_term(
     table: platform.Table,
-    feed: feeds.Feed,
+    feed: change_feeds.ChangeFeed,
     clock: clocks.Clock,
     version: int = platform.ABSENT,
     **outside: Any,
@@ -66,9 +68,9 @@
         version: of the owner's row.
         **outside: fields of ``owners.Outside`` that replace empty ones.
     """
-    me = recorders.OwnerRow("edge-1", "a:1", f"boot-{version}")
-    recorder = recorders.Recorder(table, clock, me)
-    assert recorder.take_over(version, 0.0)
+    me = fenced_writer.OwnerRow("edge-1", "a:1", f"boot-{version}")
+    writer = fenced_writer.FencedWriter(table, clock, me)
+    assert writer.take_over(version, 0.0)
     fields: dict[str, Any] = {
         "upstreams": None,
         "machines": NoMachines(),
@@ -79,10 +81,10 @@
         "time": synced_time(clock),
     }
     return owners.Owner(
-        owners.Outside(table=table, feed=feed, **(fields | outside)),
-        recorder,
-        fleets.deployment(),
-        fleets.config,
+        owners.Dependencies(table=table, feed=feed, **(fields | outside)),
+        writer,
+        fleet_builders.deployment(),
+        fleet_builders.config,
         clock,
         lambda _: None,
     )
@@ -92,9 +94,9 @@
     table: platform.Table,
     clock: clocks.Clock,
     boot: str = "boot-1",
-    ask_term_ended: members.AskTermEnded = lambda *_: False,
-    probe: members.Probe = lambda _: 0,
-) -> members.Member:
+    ask_term_ended: candidates.AskTermEnded = lambda *_: False,
+    probe: candidates.Probe = lambda _: 0,
+) -> candidates.OwnerCandidate:
     """Returns a member of an election without other processes.
 
     Args:
@@ -104,10 +106,10 @@
         ask_term_ended: returns another owner's answer about its term.
         probe: returns the error of a connection to another owner.
     """
-    return members.Member(
+    return candidates.OwnerCandidate(
         types.SimpleNamespace(table=table),  # type: ignore[arg-type]
         types.SimpleNamespace(config=object()),  # type: ignore[arg-type]
-        fleets.deployment(),
+        fleet_builders.deployment(),
         boot,
         clock,
         random.Random(1),
--- a/tests/common/peer_doubles.py
+++ b/tests/common/peer_doubles.py
@@ -11,7 +11,7 @@
 from vanillaswitch.protocol import peer_transport
 from vanillaswitch.protocol import peers
 
-GUARD_S = 20.0
+TIMEOUT_S = 20.0
 """How long a test waits for an expected event; only a failing test does."""
 
 
@@ -62,7 +62,7 @@
         """Waits until a task sleeps."""
         self._asleep.clear()
         if not self._sleepers:
-            assert self._asleep.wait(GUARD_S), "no task called sleep in time"
+            assert self._asleep.wait(TIMEOUT_S), "no task called sleep in time"
 
     def wake_next_sleeper(self):
         """Waits until a task sleeps, then advances the clock until all wake."""
@@ -70,7 +70,7 @@
         self.advance(max(one[0] for one in self._sleepers) - self.monotonic())
 
 
-class Bus:
+class InMemoryNetwork:
     """Delivers messages in memory, except over links that are cut.
 
     Attributes:
@@ -79,27 +79,27 @@
     """
 
     def __init__(self):
-        self.cut = set()
+        self.cut_links = set()
         self.sent = []
         self._receivers = {}
 
     @contextlib.contextmanager
     def open(
-        self, address: str, on_message: peer_transport.OnMessage
+        self, address: str, on_message: peer_transport.MessageHandler
     ) -> Iterator["_BusTransport"]:
         """Opens the transport of a process."""
         self._receivers[address] = on_message
         yield _BusTransport(self, address)
         del self._receivers[address]
 
-    def carry(self, source, target, message):
+    def deliver(self, source, target, message):
         """Delivers a message unless the link is cut or nobody listens."""
         self.sent.append((source, target, message))
         receive = self._receivers.get(target)
-        if receive is not None and (source, target) not in self.cut:
+        if receive is not None and (source, target) not in self.cut_links:
 
             def reply(answer):
-                self.carry(target, source, answer)
+                self.deliver(target, source, answer)
 
             receive(source, message, reply)
 
@@ -112,14 +112,14 @@
 
     def send(self, address, message):
         """Delivers a message immediately."""
-        self._bus.carry(self.address, address, message)
+        self._bus.deliver(self.address, address, message)
         return True
 
-    def retain(self, addresses):
+    def close_all_except(self, addresses):
         """Does nothing: there are no streams to close."""
 
 
-def settle():
+def run_until_idle():
     """Lets all tasks run until they block."""
     for _ in range(20):
         gevent.sleep(0)
--- a/tests/common/upkeep.py
+++ b/tests/common/wave_doubles.py
@@ -4,10 +4,10 @@
 
 import gevent.event
 
-from tests.common import fleets
-from vanillaswitch.coordination.fleet.instances import core as cores
-from vanillaswitch.coordination.fleet.machines import machine_task
-from vanillaswitch.coordination.fleet.machines import wave_driver
+from tests.common import fleet_builders
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
+from vanillaswitch.coordination.fleet.machines import machine_controller
+from vanillaswitch.coordination.fleet.machines import wave_controller
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import fleet
 
@@ -15,15 +15,15 @@
 class Recorder:
     """Recorder of an owner whose term is confirmed."""
 
-    deposed = False
-    newest = 9
+    is_term_over = False
+    newest_version = 9
 
-    def may_order(self) -> bool:
+    def may_operate_machines(self) -> bool:
         """Whether orders for machines may be sent now."""
         return True
 
 
-class Board:
+class WaveStore:
     """Store of one wave with one machine at a time.
 
     Attributes:
@@ -34,21 +34,21 @@
         self._order = fleet.WaveOrder("wave/1", 1, machines, 60.0, 1)
         self.reports: list[tuple[str, bool]] = []
 
-    def orders(self) -> tuple[fleet.WaveOrder, ...]:
+    def wave_orders(self) -> tuple[fleet.WaveOrder, ...]:
         """Returns the waves that operators have ordered."""
         return (self._order,)
 
-    def begin(self, wave: str) -> wave_driver.WaveRecord:
+    def start_wave(self, wave: str) -> wave_controller.WaveProgress:
         """Returns the stored state of a wave: nothing is finished."""
         del wave
-        return wave_driver.WaveRecord((), 0.0)
+        return wave_controller.WaveProgress((), 0.0)
 
     def save_finished(self, wave: str, machines: Iterable[str]) -> bool:
         """Accepts finished machines and drops them."""
         del wave, machines
         return True
 
-    def report(self, wave: str, completed: bool) -> bool:
+    def report_status(self, wave: str, completed: bool) -> bool:
         """Adds a status to ``reports``."""
         self.reports.append((wave, completed))
         return True
@@ -99,15 +99,18 @@
 
 
 def task(
-    core: cores.Core, machines: Machines, board: Board, clock: clocks.Clock
-) -> machine_task.MachineTask:
+    scheduler: schedulers.Scheduler,
+    machines: Machines,
+    board: WaveStore,
+    clock: clocks.Clock,
+) -> machine_controller.MachineController:
     """Returns a machine task with a confirmed term."""
-    return machine_task.MachineTask(
-        core,
+    return machine_controller.MachineController(
+        scheduler,
         machines,
         board,
         Recorder(),  # type: ignore[arg-type]
-        fleets.deployment(),
+        fleet_builders.deployment(),
         clock,
         gevent.event.Event(),
         lambda _: None,
--- a/tests/cover/test_capacity.py
+++ b/tests/cover/test_capacity.py
@@ -2,8 +2,8 @@
 
 import dataclasses
 
-from vanillaswitch.coordination.fleet.machines import capacity
-from vanillaswitch.coordination.fleet.queue import arrivals
+from vanillaswitch.coordination.fleet.machines import capacity_planner
+from vanillaswitch.coordination.fleet.queue import arrival_rate
 
 CORE = 1000
 MACHINE = 16 * CORE
@@ -21,7 +21,7 @@
     task_s=0.0,
     surge_machines=0,
 ):
-    return capacity.PoolLoad(
+    return capacity_planner.PoolLoad(
         name,
         demand,
         min_machines,
@@ -35,7 +35,7 @@
 
 
 def test_a_growing_pool_gets_machines_from_standby():
-    planner = capacity.CapacityPlanner()
+    planner = capacity_planner.CapacityPlanner()
     spare = _load("spare", 0, 3, ["s1", "s2", "s3"], standby=True)
     planner.plan([_load("a", 2 * CORE, 1, []), spare], 0.0)
     moves = planner.plan([_load("a", 20 * CORE, 1, []), spare], 0.5)
@@ -44,13 +44,13 @@
 
 
 def test_an_idle_machine_of_another_pool_is_used_before_one_on_standby():
-    planner = capacity.CapacityPlanner()
+    planner = capacity_planner.CapacityPlanner()
     loads = [
         _load("a", 28 * CORE, 1, []),
         _load("b", 0, 2, ["b2"]),
         _load("spare", 0, 1, ["s1"], standby=True),
     ]
-    assert planner.plan(loads, 0.0) == [capacity.Move("b2", "a")]
+    assert planner.plan(loads, 0.0) == [capacity_planner.Move("b2", "a")]
 
 
 def test_a_large_burst_leaves_other_pools_the_few_machines_they_need():
@@ -60,7 +60,7 @@
     maintenance. The pool "spike" needs more machines than exist and
     gets them all.
     """
-    planner = capacity.CapacityPlanner()
+    planner = capacity_planner.CapacityPlanner()
     loads = [
         _load("reminders", 28 * CORE, 1, []),
         _load("spike", 900 * CORE, 1, []),
@@ -75,7 +75,7 @@
 
 
 def test_a_pool_keeps_the_machines_that_its_long_running_tasks_need():
-    planner = capacity.CapacityPlanner()
+    planner = capacity_planner.CapacityPlanner()
     loads = [
         _load("a", 0, 4, ["a3", "a4"], min_machines=2),
         _load("spare", 0, 0, [], standby=True),
@@ -93,7 +93,7 @@
     If the pool has only as many machines as long-running tasks that need one
     each, none can be drained before the wave is behind schedule.
     """
-    planner = capacity.CapacityPlanner()
+    planner = capacity_planner.CapacityPlanner()
     spare = _load("spare", 0, 5, [f"s{n}" for n in range(5)], standby=True)
     loads = [_load("a", 0, 4, [], min_machines=4, surge_machines=3), spare]
     assert len(planner.plan(loads, 0.0)) == 3
@@ -101,29 +101,30 @@
 
 
 def test_a_machine_goes_to_standby_only_after_a_while_of_surplus():
-    planner = capacity.CapacityPlanner()
+    planner = capacity_planner.CapacityPlanner()
     loads = [
         _load("a", 0, 2, ["a2"]),
         _load("spare", 0, 0, [], standby=True),
     ]
     busy = [_load("a", 28 * CORE, 2, []), loads[1]]
-    planner.plan(busy, -capacity.DEFAULT_POLICY.settle_s)
+    planner.plan(busy, -capacity_planner.DEFAULT_POLICY.settle_s)
     assert not planner.plan(loads, 0.0)
-    assert not planner.plan(loads, capacity.DEFAULT_POLICY.idle_s - 0.1)
-    assert planner.plan(loads, capacity.DEFAULT_POLICY.idle_s + 0.1)
+    assert not planner.plan(loads, capacity_planner.DEFAULT_POLICY.idle_s - 0.1)
+    assert planner.plan(loads, capacity_planner.DEFAULT_POLICY.idle_s + 0.1)
 
 
 def test_a_new_owner_sends_no_machine_to_standby_before_it_knows_the_load():
-    planner = capacity.CapacityPlanner()
+    planner = capacity_planner.CapacityPlanner()
     loads = [
         _load("a", 0, 2, ["a2"]),
         _load("spare", 0, 0, [], standby=True),
     ]
     times = [
-        float(second) for second in range(int(capacity.DEFAULT_POLICY.settle_s))
+        float(second)
+        for second in range(int(capacity_planner.DEFAULT_POLICY.settle_s))
     ]
     assert not any(planner.plan(loads, now) for now in times)
-    assert planner.plan(loads, capacity.DEFAULT_POLICY.settle_s + 1.0)
+    assert planner.plan(loads, capacity_planner.DEFAULT_POLICY.settle_s + 1.0)
 
 
 def _replay(with_moves: bool) -> tuple[float, float]:
@@ -140,8 +141,8 @@
     place.update({f"s{number}": "spare" for number in range(6)})
     arrives: dict[str, float] = {}
     backlog = dict.fromkeys(pools, 0.0)
-    planner = capacity.CapacityPlanner()
-    planner.plan([], -capacity.DEFAULT_POLICY.settle_s)
+    planner = capacity_planner.CapacityPlanner()
+    planner.plan([], -capacity_planner.DEFAULT_POLICY.settle_s)
     waited = seconds = 0.0
     for tick in range(int(32 / STEP_S)):
         now = tick * STEP_S
@@ -183,7 +184,7 @@
     Each runs for ``task_s``; the planner gets ``reported_task_s``. Standby
     has enough machines.
     """
-    planner = capacity.CapacityPlanner()
+    planner = capacity_planner.CapacityPlanner()
     arrives = [0.0, 0.0]
     waiting: list[float] = []
     running: list[float] = []
@@ -221,15 +222,17 @@
     On a day with three owners no machine would go to standby: 32 stay in pools
     all day with a third of them in use.
     """
-    planner = capacity.CapacityPlanner()
+    planner = capacity_planner.CapacityPlanner()
     loads = [
         _load("a", 0, 2, ["a2"]),
         _load("b", 8 * CORE, 1, [], task_s=1.0),
         _load("spare", 0, 0, [], standby=True),
     ]
     assert not planner.plan(loads, 0.0)
-    assert not planner.plan(loads, capacity.DEFAULT_POLICY.familiar_s - 0.1)
-    assert planner.plan(loads, capacity.DEFAULT_POLICY.familiar_s + 0.1)
+    assert not planner.plan(
+        loads, capacity_planner.DEFAULT_POLICY.familiar_s - 0.1
+    )
+    assert planner.plan(loads, capacity_planner.DEFAULT_POLICY.familiar_s + 0.1)
 
 
 def test_one_large_job_is_not_treated_as_a_burst():
@@ -240,7 +243,7 @@
     """
     wanted = []
     for arriving in (None, 30 * CORE):
-        planner = capacity.CapacityPlanner()
+        planner = capacity_planner.CapacityPlanner()
         for now, demand in ((0.0, 124 * CORE), (0.5, 228 * CORE)):
             load = _load("a", demand, 19, [], task_s=2.0)
             planner.plan(
@@ -252,10 +255,10 @@
 
 
 def test_jobs_of_a_burst_count_at_their_usual_size():
-    counted = arrivals.Arrivals()
+    counted = arrival_rate.ArrivalRate()
     for number in range(40):
-        counted.observe(10 * CORE, number * 0.1)
-    counted.observe(200 * CORE, 4.0)
-    growth = counted.growth(0.5, 4.0)
+        counted.record_job(10 * CORE, number * 0.1)
+    counted.record_job(200 * CORE, 4.0)
+    growth = counted.demand_growth(0.5, 4.0)
     assert 5 * 10 * CORE / 0.5 <= growth <= 6 * 30 * CORE / 0.5
-    assert counted.growth(0.5, 5.0) == 0.0
+    assert counted.demand_growth(0.5, 5.0) == 0.0
--- a/tests/cover/test_codec.py
+++ b/tests/cover/test_codec.py
@@ -62,13 +62,13 @@
 def test_messages_decode_from_chunks_of_any_size(messages, data):
     encoder, decoder = codec.Encoder(), codec.Decoder()
     stream = b"".join(encoder.encode(one) for one in messages)
-    stream += encoder.acknowledge()
+    stream += encoder.encode_acknowledgement()
     cuts = data.draw(st.lists(st.integers(0, len(stream)), max_size=6))
     edges = [0, *sorted(cuts), len(stream)]
     received = []
     for start, end in zip(edges, edges[1:], strict=False):
         decoded = decoder.feed(stream[start:end])
-        assert decoded.fault is None
+        assert decoded.error is None
         received.extend(decoded.messages)
     assert received == messages
 
@@ -99,7 +99,7 @@
     decoder = codec.Decoder()
     decoded = decoder.feed(encode_frames(good, frame, good))
     assert decoded.messages == (peers.ConfigOffer(3, "d"),)
-    assert isinstance(decoded.fault, codec.Malformed)
+    assert isinstance(decoded.error, codec.MalformedStream)
     assert decoder.feed(encode_frames(good)).messages == ()
 
 
@@ -117,9 +117,9 @@
         "more",
     ]
     decoded = codec.Decoder().feed(encode_frames(frame, good))
-    assert decoded.passed_over == 1
+    assert decoded.skipped_frames == 1
     assert decoded.messages == (peers.ConfigOffer(3, "d"),)
-    assert decoded.fault is None
+    assert decoded.error is None
 
 
 def test_a_field_that_an_older_version_does_not_send_gets_its_default():
@@ -146,7 +146,7 @@
     bomb = compress(struct.pack(">I", length) + bytes(16 * length))
     decoder = codec.Decoder()
     tracemalloc.start()
-    fault = decoder.feed(bomb).fault
+    fault = decoder.feed(bomb).error
     _, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert "bytes exceeds MAX_MESSAGE_BYTES" in fault.reason
--- a/tests/cover/test_crashes_told.py
+++ b/tests/cover/test_crash_events.py
@@ -2,9 +2,9 @@
 
 import dataclasses
 
-from tests.common import fleets
+from tests.common import fleet_builders
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet.instances import core as cores
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
 from vanillaswitch.coordination.fleet.queue import queue_order
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
@@ -13,25 +13,29 @@
 def _core_with_tasks(count=3):
     """Returns a core with tasks started on one instance, and its events."""
     emitted = []
-    core = cores.Core(
+    scheduler = schedulers.Scheduler(
         queue_order.ORDERS.get(queue_order.DEFAULT_ORDER), emitted.append
     )
-    core.configured(fleets.config())
-    fleets.adopt(core, "i-1")
-    core.job_added(fleets.job(steps=(jobs.Step(count=count, cpu=100),)), 0.0)
-    for start in fleets.plan(core, now=1.0).starts:
-        core.started(start.instance, (start.task, start.run), now=1.1)
-    return core, emitted
+    scheduler.apply_config(fleet_builders.config())
+    fleet_builders.add_instances(scheduler, "i-1")
+    scheduler.add_job(
+        fleet_builders.job(steps=(jobs.Step(count=count, cpu=100),)), 0.0
+    )
+    for start in fleet_builders.plan_batch(scheduler, now=1.0).starts:
+        scheduler.handle_start_accepted(
+            start.instance, (start.task, start.run), now=1.1
+        )
+    return scheduler, emitted
 
 
-def _report(core, now, indices=(0, 1, 2)):
+def _report(scheduler, now, indices=(0, 1, 2)):
     """Sends a status report that lists the tasks with these indices."""
     runs = [
-        fleet.Running(run.task, run.run, "", 10.0)
-        for run in core.instances["i-1"].runs.values()
+        fleet.RunStatus(run.task, run.run, "", 10.0)
+        for run in scheduler.instances["i-1"].runs.values()
         if run.task.index in indices
     ]
-    fleets.show(core, {"i-1": runs}, now)
+    fleet_builders.report_running(scheduler, {"i-1": runs}, now)
 
 
 def _crashes(emitted):
@@ -39,8 +43,8 @@
 
 
 def test_a_crash_event_counts_the_other_runs_on_the_instance():
-    core, emitted = _core_with_tasks()
-    core.gone("i-1", 1.2, "no machine runs it")
+    scheduler, emitted = _core_with_tasks()
+    scheduler.remove_instance("i-1", 1.2, "no machine runs it")
     crashes = _crashes(emitted)
     assert [crash.task for crash in crashes] == ["0.0.0", "0.0.1", "0.0.2"]
     assert crashes[0] == events.RunCrashed(
@@ -61,26 +65,26 @@
 
 
 def test_no_crash_event_for_a_run_that_has_worked_for_a_while():
-    core, emitted = _core_with_tasks()
-    _report(core, 1.2)
-    _report(core, 1.4, indices=(0, 1))
-    core.gone("i-1", 1.5, "no machine runs it")
+    scheduler, emitted = _core_with_tasks()
+    _report(scheduler, 1.2)
+    _report(scheduler, 1.4, indices=(0, 1))
+    scheduler.remove_instance("i-1", 1.5, "no machine runs it")
     (crash,) = _crashes(emitted)
     assert (crash.task, crash.beside, crash.beginning) == ("0.0.2", 2, 0)
 
 
 def test_no_crash_event_for_an_instance_that_the_owner_ended():
-    core, emitted = _core_with_tasks()
-    core.instances["i-1"].leaving = True
-    core.gone("i-1", 1.2, "no machine runs it")
+    scheduler, emitted = _core_with_tasks()
+    scheduler.instances["i-1"].is_terminating = True
+    scheduler.remove_instance("i-1", 1.2, "no machine runs it")
     assert not _crashes(emitted)
 
 
 def test_no_crash_event_for_an_instance_that_was_draining():
-    core, emitted = _core_with_tasks()
+    scheduler, emitted = _core_with_tasks()
     draining = dataclasses.replace(
-        core.instances["i-1"].registration, draining=True
+        scheduler.instances["i-1"].registration, draining=True
     )
-    core.registered(draining, 1.15)
-    core.gone("i-1", 1.2, "no machine runs it")
+    scheduler.handle_registration(draining, 1.15)
+    scheduler.remove_instance("i-1", 1.2, "no machine runs it")
     assert not _crashes(emitted)
--- a/tests/cover/test_deployment_command.py
+++ b/tests/cover/test_deployment_command.py
@@ -7,20 +7,20 @@
 
 from standins import edge_http
 from standins import edge_processes
-from tests.common import crashing_days
-from tests.common import fleets
+from tests.common import crash_simulation
+from tests.common import fleet_builders
 from vanillaswitch.cli import deployment
-from vanillaswitch.coordination.fleet import operators
-from vanillaswitch.coordination.fleet.intake import job_rows
-from vanillaswitch.coordination.fleet.ownership import recorder
+from vanillaswitch.coordination.fleet import operator_table
+from vanillaswitch.coordination.fleet.job_requests import job_rows
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.internal import clock as clocks
-from vanillaswitch.platform import store as stores
+from vanillaswitch.platform import http_table
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import platform
 from vanillaswitch.transport import plain_http
 
-_CRASHING = fleets.job(7, (jobs.Step(count=1, cpu=900),))
-_HEALTHY = fleets.job(
+_CRASHING = fleet_builders.job(7, (jobs.Step(count=1, cpu=900),))
+_HEALTHY = fleet_builders.job(
     8,
     (
         jobs.Step(count=2, cpu=100, long_running=True),
@@ -52,9 +52,14 @@
     def put_day(self, day, *submitted):
         """Writes the rows of jobs as the owner of a test day left them."""
         for job in submitted:
-            self.put(f"{recorder.JOB_TABLE}/{job.job_id}", job_rows.pack(job))
-            entry = day.core.book.get(job.job_id)
-            self.put(f"{recorder.PROGRESS_TABLE}/{job.job_id}", entry.pack())
+            self.put(
+                f"{fenced_writer.JOB_TABLE}/{job.job_id}", job_rows.pack(job)
+            )
+            entry = day.scheduler.tracker.get(job.job_id)
+            self.put(
+                f"{fenced_writer.PROGRESS_TABLE}/{job.job_id}",
+                entry.to_document(),
+            )
 
     def run(self, *args):
         """Returns exit code and output of a command."""
@@ -76,15 +81,17 @@
     )
     clock = clocks.SystemClock()
     with outside.serving(), plain_http.open_client(clock) as client:
-        store = stores.Store(client, outside.address, clock, lambda _: None)
+        store = http_table.HttpTable(
+            client, outside.address, clock, lambda _: None
+        )
         yield _Workstation(outside, store, str(settings))
 
 
 def _day(seconds=10.0):
-    day = crashing_days.Day()
-    day.hand_in(_HEALTHY)
-    day.hand_in(_CRASHING, bad=[(0, 0)])
-    day.run(seconds)
+    day = crash_simulation.Simulation()
+    day.submit(_HEALTHY)
+    day.submit(_CRASHING, crashing=[(0, 0)])
+    day.advance(seconds)
     return day
 
 
@@ -117,7 +124,7 @@
     day = _day()
     with _open_workstation(tmp_path) as workstation:
         workstation.put_day(day, _HEALTHY)
-        workstation.put(f"{recorder.CANCEL_TABLE}/{_HEALTHY.job_id}", {})
+        workstation.put(f"{fenced_writer.CANCEL_TABLE}/{_HEALTHY.job_id}", {})
         code, text = workstation.run("explain", f"job/{_HEALTHY.job_id}")
         lines = text.splitlines()
         assert code == 0
@@ -128,7 +135,7 @@
 
 def test_an_instance_is_shown_with_its_recorded_runs(tmp_path):
     day = _day()
-    task = day.core.book.get(_HEALTHY.job_id).open[0, 0].tasks[0]
+    task = day.scheduler.tracker.get(_HEALTHY.job_id).open_by_key[0, 0].tasks[0]
     with _open_workstation(tmp_path) as workstation:
         workstation.put_day(day, _HEALTHY, _CRASHING)
         entry = {
@@ -150,7 +157,8 @@
         machines = {"wave": 3, "machines": ["m-1", "m-2"], "duration_s": 60}
         workstation.rows.write("op", "wave/3", machines)
         workstation.put(
-            f"{operators.FINISHED_TABLE}/wave/3", {"machines": ["m-1"]}
+            f"{operator_table.WAVE_PROGRESS_TABLE}/wave/3",
+            {"machines": ["m-1"]},
         )
         code, text = workstation.run("explain", "wave/3")
         assert code == 0
@@ -162,8 +170,8 @@
         workstation.rows.write("servers", "x-1", {"service": 7})
         workstation.rows.write("op", "config", edge_processes.config())
         workstation.put_day(_day(), _HEALTHY, _CRASHING)
-        me = recorder.OwnerRow("edge-2", "10.0.0.2:1", "boot")
-        workstation.put(recorder.OWNER_KEY, me.document())
+        me = fenced_writer.OwnerRow("edge-2", "10.0.0.2:1", "boot")
+        workstation.put(fenced_writer.OWNER_KEY, me.document())
         code, text = workstation.run("status")
         assert code == 0
         assert "owner: edge-2 at 10.0.0.2:1" in text
--- a/tests/cover/test_unusable_documents.py
+++ b/tests/cover/test_document_validation.py
@@ -10,16 +10,16 @@
 from hypothesis import strategies as st
 import pytest
 
-from tests.common import fleets
-from vanillaswitch.coordination.fleet.intake import job_rows
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
-from vanillaswitch.coordination.fleet.queue import book as books
-from vanillaswitch.platform import checked
+from tests.common import fleet_builders
+from vanillaswitch.coordination.fleet.job_requests import job_rows
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.platform import machines
-from vanillaswitch.platform import operator
+from vanillaswitch.platform import operator_rows
 from vanillaswitch.platform import store_rows
 from vanillaswitch.platform import upstreams
-from vanillaswitch.protocol import feeds
+from vanillaswitch.platform import validation
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import unusable
@@ -126,7 +126,7 @@
 
 
 def _registration(document):
-    return upstreams.registration("i-1", document)
+    return upstreams.decode_registration("i-1", document)
 
 
 @given(damaged_documents(INSTANCE_ROW))
@@ -215,21 +215,21 @@
 
 @given(damaged_documents(CONFIG))
 def test_any_configuration_is_decoded_or_unusable(document):
-    found = operator.config(document)
+    found = operator_rows.decode_config(document)
     assert isinstance(found, fleet.FleetConfig | unusable.Unusable)
 
 
 def test_valid_configuration_is_decoded():
-    found = operator.config(CONFIG)
-    assert found.queues[0].advice == fleet.Advice(5, 1, 100)
+    found = operator_rows.decode_config(CONFIG)
+    assert found.queues[0].advice == fleet.AdvisorConfig(5, 1, 100)
     assert found.max_body_bytes == 1000
     bare = {"version": 8, "routes": [], "services": [], "limits": None}
-    assert operator.config(bare).version == 8
+    assert operator_rows.decode_config(bare).version == 8
 
 
 @given(damaged_documents(WAVE))
 def test_any_wave_is_decoded_or_unusable(document):
-    found = operator.wave("wave/1", document)
+    found = operator_rows.decode_wave("wave/1", document)
     assert isinstance(found, fleet.WaveOrder | unusable.Unusable)
 
 
@@ -238,7 +238,7 @@
     found = upstreams.decode_status_report(
         body if isinstance(body, dict) else {}
     )
-    assert isinstance(found, fleet.Held | fleet.NoAnswer)
+    assert isinstance(found, fleet.StatusReport | fleet.NoAnswer)
 
 
 @pytest.mark.parametrize("born", [None, "17", 17.5, True, [17]])
@@ -263,10 +263,10 @@
 def test_valid_status_report_is_decoded():
     found = upstreams.decode_status_report(STATUS_REPORT)
     assert found.running[0].percent == 41
-    assert found.ended[0].how is fleet.How.DONE
+    assert found.ended_runs[0].outcome is fleet.RunOutcome.DONE
 
 
-@given(damaged_documents(job_rows.pack(fleets.job(1))))
+@given(damaged_documents(job_rows.pack(fleet_builders.job(1))))
 def test_any_job_row_is_decoded_or_unusable(document):
     found = job_rows.unpack(document if isinstance(document, dict) else {})
     assert isinstance(found, jobs.Job | unusable.Unusable)
@@ -274,14 +274,18 @@
 
 @given(damaged_documents(JOB_PROGRESS))
 def test_any_progress_is_restored_or_rejected(document):
-    entry = books.Entry(fleets.job(1), 0.0)
-    problem = entry.unpack(document if isinstance(document, dict) else {})
+    entry = job_tracker.JobEntry(fleet_builders.job(1), 0.0)
+    problem = entry.load_document(
+        document if isinstance(document, dict) else {}
+    )
     assert problem is None or problem.reason
 
 
 @given(damaged_documents({"holder": "e", "address": "a:1", "boot": "b"}))
 def test_any_owner_row_has_a_holder_of_type_str(document):
-    row = recorders.owner_row(document if isinstance(document, dict) else {})
+    row = fenced_writer.decode_owner_row(
+        document if isinstance(document, dict) else {}
+    )
     assert isinstance(row.holder, str)
 
 
@@ -292,8 +296,8 @@
     nobody owns the fleet, the next owner would order machines at once, although
     the previous owner may order some until its next write fails.
     """
-    assert recorders.owner_row({}).holder
-    assert not recorders.owner_row(
+    assert fenced_writer.decode_owner_row({}).holder
+    assert not fenced_writer.decode_owner_row(
         {"holder": "", "address": "", "boot": "b"}
     ).holder
 
@@ -307,31 +311,31 @@
         "value": base64.b64encode(content).decode(),
     }
     change = store_rows.decode_change("servers", raw)
-    assert isinstance(change, feeds.Change)
-    assert (change.value is None) == bool(change.damage)
+    assert isinstance(change, change_feeds.RowChange)
+    assert (change.value is None) == bool(change.read_error)
 
 
 @given(st.text(max_size=20) | st.none() | st.integers())
 def test_any_value_that_is_not_base64_is_decoded_as_a_change(value):
     raw = {"table": "job", "key": "a", "row_version": 3, "value": value}
     change = store_rows.decode_change("job", raw)
-    assert (change.value is None) == bool(change.damage)
+    assert (change.value is None) == bool(change.read_error)
 
 
 def test_deep_nesting_raises_value_error():
     with pytest.raises(ValueError, match="nested"):
-        checked.decode_json("[" * 100_000)
+        validation.decode_json("[" * 100_000)
 
 
 def test_removed_row_is_not_damaged():
     raw = {"key": "i-1", "row_version": 3, "removed": True}
-    assert store_rows.decode_change("servers", raw) == feeds.Change(
+    assert store_rows.decode_change("servers", raw) == change_feeds.RowChange(
         "i-1", None, 3
     )
 
 
 def test_finite_float_rejects_other_values():
     for value in (float("nan"), float("inf"), "3", None, True):
-        assert checked.finite_float(value) is None
-    assert checked.finite_float(3) == 3.0
+        assert validation.finite_float(value) is None
+    assert validation.finite_float(3) == 3.0
     assert json.loads("1e999") == float("inf")
--- a/tests/cover/test_fleet_waves.py
+++ b/tests/cover/test_fleet_waves.py
@@ -18,7 +18,7 @@
 
 def _wave(count=4, max_count=2):
     names = tuple(f"m-{number}" for number in range(count))
-    return waves.begin(
+    return waves.new_wave(
         fleet.WaveOrder("wave/1", 1, names, 20.0, max_count), 0.0
     )
 
@@ -34,22 +34,22 @@
 def test_a_machine_with_an_unanswered_order_counts_as_down():
     wave = _wave(max_count=1)
     listed = {name: _machine(name) for name in wave.machines}
-    wave.machines["m-0"].phase = waves.Phase.IN_DOUBT
+    wave.machines["m-0"].phase = waves.MachinePhase.OUTCOME_UNKNOWN
     assert not waves.next_machines(wave, listed, lambda _: 0.0, drain_ahead=0)
 
 
 def test_a_removed_machine_needs_no_maintenance():
     wave = _wave(count=1)
-    waves.observe(wave, {}, UPKEEP_S, 1.0)
+    waves.update_progress(wave, {}, UPKEEP_S, 1.0)
     assert wave.completed
 
 
 def test_maintenance_that_others_started_is_counted():
     wave = _wave(count=1)
-    down = _machine("m-0", fleet.MachineState.UPKEEP)
-    waves.observe(wave, {"m-0": down}, UPKEEP_S, 1.0)
-    assert waves.down(wave) == 1
-    waves.observe(wave, {"m-0": _machine("m-0")}, UPKEEP_S, 3.1)
+    down = _machine("m-0", fleet.MachineState.MAINTENANCE)
+    waves.update_progress(wave, {"m-0": down}, UPKEEP_S, 1.0)
+    assert waves.count_in_maintenance(wave) == 1
+    waves.update_progress(wave, {"m-0": _machine("m-0")}, UPKEEP_S, 3.1)
     assert wave.completed
 
 
@@ -71,17 +71,17 @@
         listed = {
             name: _machine(
                 name,
-                fleet.MachineState.UPKEEP
+                fleet.MachineState.MAINTENANCE
                 if down_until.get(name, 0.0) > now
                 else fleet.MachineState.UP,
                 f"{name}-{restarts[name]}",
             )
             for name in wave.machines
         }
-        waves.observe(wave, listed, UPKEEP_S, now)
+        waves.update_progress(wave, listed, UPKEEP_S, now)
         for name in waves.next_machines(wave, listed, lambda _: 0.0, 0):
             progress = wave.machines[name]
-            progress.phase = waves.Phase.ORDERED
+            progress.phase = waves.MachinePhase.IN_MAINTENANCE
             progress.instance = listed[name].instance
             progress.ordered_at = now
             restarts[name] += 1
--- a/tests/cover/test_model.py
+++ b/tests/cover/test_model.py
@@ -56,7 +56,7 @@
         if instance is None or len(instance.started) == before:
             return
         # What was there before a room has shrunk may fill it for good.
-        known = self._core.instances[order.instance].registration.capacity
+        known = self._scheduler.instances[order.instance].registration.capacity
         assert instance.used.cpu <= known.cpu
         assert instance.used.mem_mb <= known.mem_mb
 
--- a/tests/cover/test_mover.py
+++ b/tests/cover/test_mover.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.common import clocks
-from tests.common import fleets
+from tests.common import fleet_builders
 from vanillaswitch.coordination.fleet.machines import mover
 from vanillaswitch.coordination.fleet.machines import waves
 from vanillaswitch.protocol import fleet
@@ -16,15 +16,15 @@
 
 @dataclasses.dataclass
 class _Recorder:
-    deposed = False
-    newest = 7
+    is_term_over = False
+    newest_version = 7
     is_confirmed = True
 
-    def may_order(self):
+    def may_operate_machines(self):
         return self.is_confirmed
 
-    def depose(self):
-        self.deposed = True
+    def end_term(self):
+        self.is_term_over = True
 
 
 class _Machines:
@@ -60,18 +60,18 @@
     """A mover, run step by step, whose pool needs all existing machines."""
 
     def __init__(self, outcome, orders_per_s=1000.0):
-        self.core = core = fleets.new_core()
+        self.scheduler = scheduler = fleet_builders.new_scheduler()
         steps = (jobs.Step(count=64, cpu=16_000),)
-        core.job_added(fleets.job(steps=steps), 0.0)
-        fleets.plan(core)
+        scheduler.add_job(fleet_builders.job(steps=steps), 0.0)
+        fleet_builders.plan_batch(scheduler)
         self.machines = _Machines(outcome)
-        self.recorder = _Recorder()
+        self.writer = _Recorder()
         self.reserved = waves.ReservedMachines()
         self._clock = clocks.ManualClock()
         self._mover = mover.MachineMover(
-            core,
+            scheduler,
             self.machines,
-            self.recorder,
+            self.writer,
             orders_per_s,
             lambda: self.reserved,
             self._clock,
@@ -148,8 +148,8 @@
     setup.step()
     setup.machines.outcome = fleet.NoAnswer(False, "no connection")
     setup.step(2 * mover.RETRY_DELAY_S)
-    setup.core.cancelled(fleets.job().job_id, 0.0)
-    setup.core.plan(0.0, fleets.WALL_MS)
+    setup.scheduler.cancel_job(fleet_builders.job().job_id, 0.0)
+    setup.scheduler.plan(0.0, fleet_builders.WALL_MS)
     setup.step(2 * mover.RETRY_DELAY_S)
     assert len(setup.machines.ordered) == 36
 
@@ -167,10 +167,10 @@
 
 
 def test_a_fenced_order_ends_the_term_of_the_owner():
-    setup = _Setup(fleet.Refused(fleet.Reason.FENCED))
+    setup = _Setup(fleet.Refused(fleet.RefusalReason.FENCED))
     setup.answer()
     setup.step()
-    assert setup.recorder.deposed
+    assert setup.writer.is_term_over
 
 
 def test_a_starting_fleet_takes_no_machine_from_standby():
@@ -180,8 +180,8 @@
     ones do not count, their pool seems empty and takes a machine from standby.
     """
     setup = _Setup(fleet.Accepted(0.0))
-    setup.core.cancelled(fleets.job().job_id, 0.0)
-    setup.core.plan(0.0, fleets.WALL_MS)
+    setup.scheduler.cancel_job(fleet_builders.job().job_id, 0.0)
+    setup.scheduler.plan(0.0, fleet_builders.WALL_MS)
     machine = fleet.Machine(
         "m-9",
         "berthing",
@@ -213,16 +213,18 @@
 def test_a_pool_gets_machines_to_replace_lost_capacity(listed_cpu):
     """Otherwise jobs wait for a machine with 1/8 of its capacity left."""
     setup = _Setup(fleet.Accepted(0.0))
-    setup.core.cancelled(fleets.job().job_id, 0.0)
+    setup.scheduler.cancel_job(fleet_builders.job().job_id, 0.0)
     step = jobs.Step(count=12, cpu=1000, long_running=True)
-    setup.core.job_added(fleets.job(2, (step,)), 0.0)
-    fleets.adopt(setup.core, "i-9", cpu=16_000)
-    fleets.run_all(setup.core, fleets.plan(setup.core))
+    setup.scheduler.add_job(fleet_builders.job(2, (step,)), 0.0)
+    fleet_builders.add_instances(setup.scheduler, "i-9", cpu=16_000)
+    fleet_builders.accept_starts(
+        setup.scheduler, fleet_builders.plan_batch(setup.scheduler)
+    )
     setup.update_machines({"m-9": _pool_machine(16_000)} | _standby(4))
     setup.step()
     assert not setup.machines.ordered
-    smaller = fleets.registration("i-9", cpu=2000)
-    setup.core.registered(smaller, 1.0)
+    smaller = fleet_builders.registration("i-9", cpu=2000)
+    setup.scheduler.handle_registration(smaller, 1.0)
     setup.update_machines({"m-9": _pool_machine(listed_cpu)} | _standby(4))
     setup.step()
     assert len(setup.machines.ordered) == 1
@@ -231,16 +233,16 @@
 def test_machines_idle_during_an_outage_do_not_go_to_standby_as_it_ends():
     """Otherwise clients that return after an outage find the machines off."""
     setup = _Setup(fleet.Accepted(0.0))
-    setup.core.cancelled(fleets.job().job_id, 0.0)
-    fleets.adopt(setup.core, "i-8", "i-9", cpu=16_000)
-    fleets.plan(setup.core)
+    setup.scheduler.cancel_job(fleet_builders.job().job_id, 0.0)
+    fleet_builders.add_instances(setup.scheduler, "i-8", "i-9", cpu=16_000)
+    fleet_builders.plan_batch(setup.scheduler)
     idle = {f"m-{n}": _pool_machine(16_000, n) for n in (8, 9)}
     setup.update_machines(idle | _standby(1))
     setup.step()
-    setup.recorder.is_confirmed = False
+    setup.writer.is_confirmed = False
     for _ in range(20):
         setup.step(1.0)
-    setup.recorder.is_confirmed = True
+    setup.writer.is_confirmed = True
     setup.step()
     assert not setup.machines.ordered
     for _ in range(4):
--- a/tests/cover/test_sharing.py
+++ b/tests/cover/test_pacing.py
@@ -3,10 +3,10 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from tests.common import fleets
+from tests.common import fleet_builders
 from tests.common import properties
-from vanillaswitch.coordination.fleet.queue import rooms
-from vanillaswitch.coordination.fleet.queue import sharing
+from vanillaswitch.coordination.fleet.queue import instance_state
+from vanillaswitch.coordination.fleet.queue import pacing
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 
@@ -15,13 +15,13 @@
 
 
 def _instance():
-    instance = rooms.Instance(fleets.registration("i-1"), 0.0)
+    instance = instance_state.Instance(fleet_builders.registration("i-1"), 0.0)
     runs = []
     for number, step in enumerate((_SERVING, _FILLER)):
         name = jobs.TaskName("ab" * 8, 0, number, 0)
-        run = rooms.Run(name, 1, step, fleet.Resources(0, 0), 0.0)
+        run = instance_state.Run(name, 1, step, fleet.Resources(0, 0), 0.0)
         run.confirmed = True
-        instance.add(run)
+        instance.add_run(run)
         runs.append(run)
     return instance, *runs
 
@@ -29,23 +29,23 @@
 def test_a_filler_is_slowed_down_when_a_tail_latency_nears_its_target():
     instance, serving, filler = _instance()
     serving.gauge = 49.0
-    paces = sharing.plan(instance, 1.0)
-    assert paces == [sharing.Pace(filler, 50)]
-    assert not sharing.plan(instance, 1.1)
+    paces = pacing.plan_paces(instance, 1.0)
+    assert paces == [pacing.PaceOrder(filler, 50)]
+    assert not pacing.plan_paces(instance, 1.1)
 
 
 def test_a_filler_without_serving_tasks_keeps_its_full_pace():
     instance, serving, _ = _instance()
-    instance.remove(serving.key)
-    assert not sharing.plan(instance, 5.0)
+    instance.remove_run(serving.key)
+    assert not pacing.plan_paces(instance, 5.0)
 
 
 def test_a_filler_is_sped_up_only_after_a_while_of_low_latency():
     instance, serving, filler = _instance()
     serving.gauge, filler.pace = 20.0, 50
     instance.below_target_since = 10.0
-    assert not sharing.plan(instance, 11.0)
-    assert sharing.plan(instance, 11.7) == [sharing.Pace(filler, 70)]
+    assert not pacing.plan_paces(instance, 11.0)
+    assert pacing.plan_paces(instance, 11.7) == [pacing.PaceOrder(filler, 70)]
 
 
 @properties.steady
@@ -62,5 +62,5 @@
             assert now - over_since < 4.0
         else:
             over_since = None
-        for pace in sharing.plan(instance, now):
+        for pace in pacing.plan_paces(instance, now):
             pace.run.pace = pace.percent
--- a/tests/cover/test_peer_task.py
+++ b/tests/cover/test_peer_task.py
@@ -23,7 +23,7 @@
     """Networks on one bus, with one clock."""
 
     def __init__(self, stack):
-        self.bus = peer_doubles.Bus()
+        self.bus = peer_doubles.InMemoryNetwork()
         self.clock = peer_doubles.StepClock()
         self.owns = {}
         self._stack = stack
@@ -49,9 +49,9 @@
     def pass_ticks(self, count=1):
         """Lets each network tick so often."""
         for _ in range(count):
-            peer_doubles.settle()
+            peer_doubles.run_until_idle()
             self.clock.advance(1.05 * heartbeat_schedule.TICK_S)
-        peer_doubles.settle()
+        peer_doubles.run_until_idle()
 
 
 @pytest.fixture
@@ -90,10 +90,10 @@
     a = group.start("a")
     b = group.start("b", a)
     group.pass_ticks()
-    group.bus.cut.add((a.address, b.address))
+    group.bus.cut_links.add((a.address, b.address))
     group.pass_ticks(2 * ROUND_TICKS)
     assert (names(a), names(b)) == (["b"], [])
-    group.bus.cut.clear()
+    group.bus.cut_links.clear()
     group.pass_ticks(ROUND_TICKS)
     assert names(b) == ["a"]
 
@@ -107,7 +107,7 @@
         reply(REPLY)
 
     b.subscribe(peers.ClaimQuery, answer)
-    assert a.ask(b.address, QUERY, peer_doubles.GUARD_S) == REPLY
+    assert a.ask(b.address, QUERY, peer_doubles.TIMEOUT_S) == REPLY
     assert b.ask(a.address, QUERY, 0.0) is None
 
 
@@ -131,7 +131,7 @@
     b.subscribe(peers.ConfigOffer, broken)
     with pytest.raises(errors.InvariantError):
         a.send(b.address, peers.ConfigOffer(2, "d"))
-        peer_doubles.settle()
+        peer_doubles.run_until_idle()
 
 
 def test_a_process_sends_a_bounded_number_of_heartbeats(group):
--- a/tests/cover/test_planning_cost.py
+++ b/tests/cover/test_planning_cost.py
@@ -3,9 +3,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.common import fleets
+from tests.common import fleet_builders
+from vanillaswitch.coordination.fleet.queue import instance_state
 from vanillaswitch.coordination.fleet.queue import placement
-from vanillaswitch.coordination.fleet.queue import rooms
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 
@@ -20,22 +20,24 @@
     steps checked every instance of a full pool, a plan with 276 instances and
     300 waiting jobs took 72 ms instead of 6 ms.
     """
-    core = fleets.new_core()
+    scheduler = fleet_builders.new_scheduler()
     names = [f"i-{number}" for number in range(INSTANCES)]
-    fleets.adopt(core, *names, cpu=4000)
+    fleet_builders.add_instances(scheduler, *names, cpu=4000)
     step = jobs.Step(count=4, cpu=2000)
     for number in range(WAITING + INSTANCES // 2):
-        core.job_added(fleets.job(number, (step,)), 0.0)
-    assert len(fleets.plan(core).starts) == 2 * INSTANCES
+        scheduler.add_job(fleet_builders.job(number, (step,)), 0.0)
+    assert len(fleet_builders.plan_batch(scheduler).starts) == 2 * INSTANCES
     checked = []
-    fits = rooms.Instance.fits
+    fits = instance_state.Instance.has_capacity_for
 
     def recording_fits(instance, need):
         checked.append(instance)
         return fits(instance, need)
 
-    monkeypatch.setattr(rooms.Instance, "fits", recording_fits)
-    assert not fleets.plan(core).starts
+    monkeypatch.setattr(
+        instance_state.Instance, "has_capacity_for", recording_fits
+    )
+    assert not fleet_builders.plan_batch(scheduler).starts
     assert not checked
 
 
@@ -49,12 +51,12 @@
 def test_a_need_that_fits_on_some_instance_may_fit(free, need):
     instances = []
     for number, capacity in enumerate(free):
-        registration = fleets.registration(f"i-{number}")
-        instance = rooms.Instance(registration, 0.0)
+        registration = fleet_builders.registration(f"i-{number}")
+        instance = instance_state.Instance(registration, 0.0)
         object.__setattr__(registration, "capacity", fleet.Resources(*capacity))
         instances.append(instance)
     wanted = fleet.Resources(*need)
-    if any(instance.fits(wanted) for instance in instances):
+    if any(instance.has_capacity_for(wanted) for instance in instances):
         assert placement.MaxFree(instances).may_fit(wanted)
 
 
--- a/tests/cover/test_edge_platform.py
+++ b/tests/cover/test_platform_adapters.py
@@ -9,21 +9,21 @@
 
 from standins import edge_http
 from vanillaswitch import errors
-from vanillaswitch.coordination.fleet import follow
+from vanillaswitch.coordination.fleet import table_follower
 from vanillaswitch.internal import clock as clocks
+from vanillaswitch.platform import http_table
 from vanillaswitch.platform import job_body
 from vanillaswitch.platform import machines
-from vanillaswitch.platform import operator
+from vanillaswitch.platform import operator_rows
 from vanillaswitch.platform import settings
-from vanillaswitch.platform import store as stores
 from vanillaswitch.platform import upstreams
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import platform
 from vanillaswitch.transport import plain_http
 
-_SOURCE = pathlib.Path(stores.__file__).parent.parent
+_SOURCE = pathlib.Path(http_table.__file__).parent.parent
 
 
 @contextlib.contextmanager
@@ -34,7 +34,9 @@
         yield (
             standin,
             client,
-            stores.Store(client, standin.address, clock, lambda _: None),
+            http_table.HttpTable(
+                client, standin.address, clock, lambda _: None
+            ),
         )
 
 
@@ -95,10 +97,12 @@
     with _platform() as (standin, _, store):
         store.commit(_put("job/a", 0, {"n": 1}))
         standin.rows.forget()
-        assert isinstance(store.changes("job", 0, 0.0), feeds.HistoryLost)
+        assert isinstance(
+            store.changes("job", 0, 0.0), change_feeds.HistoryTruncated
+        )
         seen = []
         seen_events = []
-        follower = follow.Follower(
+        follower = table_follower.Follower(
             store,
             "job",
             clocks.SystemClock(),
@@ -134,17 +138,19 @@
 def test_instance_accepts_orders_and_reports_ended_runs():
     with _platform() as (standin, client, store):
         gevent.sleep(0.05)
-        row = store.snapshot(upstreams.TABLE).rows[0]
-        target = upstreams.registration(row.key, row.value)
+        row = store.snapshot(upstreams.INSTANCE_TABLE).rows[0]
+        target = upstreams.decode_registration(row.key, row.value)
         assert target.rack == "r0"
         instance_client = upstreams.HttpUpstreams(client)
         task = jobs.TaskName("ab" * 8, 0, 1, 2)
-        start = fleet.Start(task, 1, "text", "", 7, 10_000)
+        start = fleet.StartRequest(task, 1, "text", "", 7, 10_000)
         accepted = instance_client.start(target, start, 1.0, False)
         assert isinstance(accepted, fleet.Accepted)
-        report = instance_client.hold(target, 7, 0, 10_000, 1.0, 2.0)
-        assert [end.how for end in report.ended] == [fleet.How.DONE]
-        assert report.ended[0].task == task
+        report = instance_client.renew_lease(target, 7, 0, 10_000, 1.0, 2.0)
+        assert [end.outcome for end in report.ended_runs] == [
+            fleet.RunOutcome.DONE
+        ]
+        assert report.ended_runs[0].task == task
         stop_with_lower_token = instance_client.stop(target, task, 1, 3, 1.0)
         assert fleet.is_fenced(stop_with_lower_token)
         assert standin.instances[0].model.started == [(task, 1)]
@@ -153,11 +159,11 @@
 def test_order_to_a_replaced_instance_is_detected():
     with _platform() as (_, client, store):
         gevent.sleep(0.05)
-        row = store.snapshot(upstreams.TABLE).rows[0]
-        target = upstreams.registration("i-other", row.value)
+        row = store.snapshot(upstreams.INSTANCE_TABLE).rows[0]
+        target = upstreams.decode_registration("i-other", row.value)
         instance_client = upstreams.HttpUpstreams(client)
-        outcome = instance_client.hold(target, 1, 0, None, 0.0, 1.0)
-        assert outcome == fleet.Replaced()
+        outcome = instance_client.renew_lease(target, 1, 0, None, 0.0, 1.0)
+        assert outcome == fleet.InstanceReplaced()
 
 
 def test_machines_are_listed_with_their_instances():
@@ -167,7 +173,7 @@
 
 
 def test_a_configuration_is_decoded_into_queues_and_pools():
-    config = operator.config(
+    config = operator_rows.decode_config(
         {
             "version": 7,
             "routes": [
@@ -192,20 +198,20 @@
     )
     queue = config.queues[0]
     assert queue.host == "h.example"
-    assert queue.advice == fleet.Advice(20, 2, 3000)
-    assert config.pools["s"].standby
+    assert queue.advice == fleet.AdvisorConfig(20, 2, 3000)
+    assert config.pools["s"].is_standby
     assert config.max_body_bytes == 9
 
 
 def _parse(body):
-    return job_body.parse(body, "ab" * 8, "q", "s", 0)
+    return job_body.parse_job(body, "ab" * 8, "q", "s", 0)
 
 
 def test_job_is_decoded_with_its_defaults():
     job = _parse(b'{"spec":"x","steps":[{"count":2},{"count":1,"after":[0]}]}')
     assert job.steps[0] == jobs.Step(count=2)
     assert job.steps[1].after == (0,)
-    assert job.occurrences == 1
+    assert job.occurrence_count == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/cover/test_spec_table.py
+++ b/tests/cover/test_spec_table.py
@@ -8,13 +8,15 @@
 
 from standins import table as tables
 from tests.common import clocks
-from tests.common import fleets
+from tests.common import fleet_builders
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet import follow
-from vanillaswitch.coordination.fleet.intake import intake as intakes
-from vanillaswitch.coordination.fleet.intake import job_rows
+from vanillaswitch.coordination.fleet import table_follower
+from vanillaswitch.coordination.fleet.job_requests import job_rows
+from vanillaswitch.coordination.fleet.job_requests import (
+    job_store as job_stores,
+)
 from vanillaswitch.coordination.fleet.ownership import spec_table
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import platform
 
@@ -26,7 +28,7 @@
 
 def _submit(table, job):
     boot = f"boot-{next(_boots)}"
-    intake = intakes.Intake(table, clocks.ManualClock(), boot, lambda: 0.0)
+    intake = job_stores.JobStore(table, clocks.ManualClock(), boot, lambda: 0.0)
     return intake.submit(job, 10.0)
 
 
@@ -36,9 +38,9 @@
     return job_rows.unpack(row.value)
 
 
-def _spec_table(core, table, emitted=None):
+def _spec_table(scheduler, table, emitted=None):
     return spec_table.SpecTable(
-        core,
+        scheduler,
         table,
         None,
         clocks.ManualClock(),
@@ -55,7 +57,7 @@
 
 @given(st.text(st.characters(exclude_categories=["Cs"]), max_size=400))
 def test_a_spec_is_stored_in_one_row_and_read_back_unchanged(spec):
-    job = fleets.job(spec=spec)
+    job = fleet_builders.job(spec=spec)
     document, spec_row = job_rows.pack(job), job_rows.pack_spec(job)
     stored = job_rows.unpack(document)
     if spec_row is None:
@@ -63,28 +65,28 @@
     else:
         assert stored.spec == ""
         assert job_rows.unpack_spec(spec_row) == spec
-        assert stored.spec_digest == jobs.digest(spec)
+        assert stored.spec_digest == jobs.hash_spec(spec)
 
 
 def test_a_job_restored_by_a_new_owner_starts_with_its_spec():
-    table, core = tables.MemoryTable(), fleets.new_core()
-    job = fleets.job(spec=_LONG_SPEC)
-    assert _submit(table, job) is intakes.Verdict.ACCEPTED
-    fleets.adopt(core, "i-1")
-    core.job_added(_stored_job(table, job), 0.0)
-    assert not fleets.plan(core).starts
-    _read_next(_spec_table(core, table))
-    starts = fleets.plan(core).starts
+    table, scheduler = tables.MemoryTable(), fleet_builders.new_scheduler()
+    job = fleet_builders.job(spec=_LONG_SPEC)
+    assert _submit(table, job) is job_stores.RequestResult.ACCEPTED
+    fleet_builders.add_instances(scheduler, "i-1")
+    scheduler.add_job(_stored_job(table, job), 0.0)
+    assert not fleet_builders.plan_batch(scheduler).starts
+    _read_next(_spec_table(scheduler, table))
+    starts = fleet_builders.plan_batch(scheduler).starts
     assert [start.spec for start in starts] == [_LONG_SPEC, _LONG_SPEC]
 
 
 def test_a_job_may_be_submitted_twice_but_its_id_not_reused():
     table = tables.MemoryTable()
-    job = fleets.job(spec=_LONG_SPEC)
-    assert _submit(table, job) is intakes.Verdict.ACCEPTED
-    assert _submit(table, job) is intakes.Verdict.ACCEPTED
-    other = fleets.job(spec=_LONG_SPEC + "y")
-    assert _submit(table, other) is intakes.Verdict.DIFFERENT
+    job = fleet_builders.job(spec=_LONG_SPEC)
+    assert _submit(table, job) is job_stores.RequestResult.ACCEPTED
+    assert _submit(table, job) is job_stores.RequestResult.ACCEPTED
+    other = fleet_builders.job(spec=_LONG_SPEC + "y")
+    assert _submit(table, other) is job_stores.RequestResult.ID_CONFLICT
 
 
 def test_an_overwritten_spec_starts_nothing():
@@ -93,30 +95,36 @@
     Another writer overwrites the spec of a waiting job, and the next owner
     reads the new text.
     """
-    table, core, emitted = tables.MemoryTable(), fleets.new_core(), []
-    job = fleets.job(spec=_LONG_SPEC)
+    table, scheduler, emitted = (
+        tables.MemoryTable(),
+        fleet_builders.new_scheduler(),
+        [],
+    )
+    job = fleet_builders.job(spec=_LONG_SPEC)
     _submit(table, job)
-    fleets.adopt(core, "i-1")
-    core.job_added(_stored_job(table, job), 0.0)
-    fleets.plan(core)
-    specs = _spec_table(core, table, emitted)
+    fleet_builders.add_instances(scheduler, "i-1")
+    scheduler.add_job(_stored_job(table, job), 0.0)
+    fleet_builders.plan_batch(scheduler)
+    specs = _spec_table(scheduler, table, emitted)
     for value in ({"spec": _LONG_SPEC + "y"}, {"spec": 7}, {}):
-        specs._on_spec_change(feeds.Change(job.job_id, value, 2))
-    assert not fleets.plan(core).starts
+        specs._on_spec_change(change_feeds.RowChange(job.job_id, value, 2))
+    assert not fleet_builders.plan_batch(scheduler).starts
     assert [type(event) for event in emitted] == [events.RowUnusable] * 3
     assert not specs._next_to_read()
 
 
 def test_a_spec_that_arrives_before_its_job_is_kept():
-    table, core = tables.MemoryTable(), fleets.new_core()
-    job = fleets.job(spec=_LONG_SPEC)
+    table, scheduler = tables.MemoryTable(), fleet_builders.new_scheduler()
+    job = fleet_builders.job(spec=_LONG_SPEC)
     _submit(table, job)
-    fleets.adopt(core, "i-1")
-    specs = _spec_table(core, table)
-    specs._on_spec_change(feeds.Change(job.job_id, job_rows.pack_spec(job), 1))
-    core.job_added(_stored_job(table, job), 0.0)
+    fleet_builders.add_instances(scheduler, "i-1")
+    specs = _spec_table(scheduler, table)
+    specs._on_spec_change(
+        change_feeds.RowChange(job.job_id, job_rows.pack_spec(job), 1)
+    )
+    scheduler.add_job(_stored_job(table, job), 0.0)
     specs.on_job_added(job.job_id)
-    assert fleets.plan(core).starts
+    assert fleet_builders.plan_batch(scheduler).starts
 
 
 def test_only_a_few_specs_are_read_at_once():
@@ -124,14 +132,14 @@
 
     A new owner on a slow link that reads all specs at once loses the fleet.
     """
-    table, core = tables.MemoryTable(), fleets.new_core()
+    table, scheduler = tables.MemoryTable(), fleet_builders.new_scheduler()
     for number in range(100):
-        job = fleets.job(number, spec=_LONG_SPEC)
+        job = fleet_builders.job(number, spec=_LONG_SPEC)
         _submit(table, job)
-        core.job_added(_stored_job(table, job), 0.0)
-    fleets.plan(core)
+        scheduler.add_job(_stored_job(table, job), 0.0)
+    fleet_builders.plan_batch(scheduler)
     assert (
-        len(_spec_table(core, table)._next_to_read())
+        len(_spec_table(scheduler, table)._next_to_read())
         == spec_table.MAX_CONCURRENT_READS
     )
 
@@ -143,39 +151,43 @@
     80 calls per second in total, and every read logged that the table was lost
     and back.
     """
-    table, core, emitted = tables.MemoryTable(), fleets.new_core(), []
-    job = fleets.job(spec=_LONG_SPEC)
+    table, scheduler, emitted = (
+        tables.MemoryTable(),
+        fleet_builders.new_scheduler(),
+        [],
+    )
+    job = fleet_builders.job(spec=_LONG_SPEC)
     _submit(table, job)
-    core.job_added(_stored_job(table, job), 0.0)
-    fleets.plan(core)
-    specs = _spec_table(core, table, emitted)
+    scheduler.add_job(_stored_job(table, job), 0.0)
+    fleet_builders.plan_batch(scheduler)
+    specs = _spec_table(scheduler, table, emitted)
     unavailable = platform.Unavailable("status 503")
     monkeypatch.setattr(table, "read", lambda _: unavailable)
     _read_next(specs)
     assert not specs._next_to_read()
-    specs._clock.advance(follow.RETRY_S)
+    specs._clock.advance(table_follower.RETRY_S)
     assert specs._next_to_read() == [job.job_id]
     _read_next(specs)
     assert [event.state for event in emitted] == ["lost"]
 
 
 def test_specs_are_read_for_the_pools_in_turn():
-    table, core = tables.MemoryTable(), fleets.new_core()
+    table, scheduler = tables.MemoryTable(), fleet_builders.new_scheduler()
     for number, service in enumerate(["one"] * 9 + ["two"] * 9):
-        job = fleets.job(
+        job = fleet_builders.job(
             number, spec=_LONG_SPEC, queue=service, service=service
         )
         _submit(table, job)
-        core.job_added(_stored_job(table, job), 0.0)
-    fleets.plan(core)
-    job_ids = _spec_table(core, table)._next_to_read()
-    queues = [core.book.get(job_id).job.queue for job_id in job_ids]
+        scheduler.add_job(_stored_job(table, job), 0.0)
+    fleet_builders.plan_batch(scheduler)
+    job_ids = _spec_table(scheduler, table)._next_to_read()
+    queues = [scheduler.tracker.get(job_id).job.queue for job_id in job_ids]
     assert sorted(queues) == ["one", "one", "two", "two"]
 
 
 def test_lost_history_resumes_from_the_newest_write():
     """Guards against calls without pauses after the history was lost."""
-    core = fleets.new_core()
+    scheduler = fleet_builders.new_scheduler()
     clock = clocks.ManualClock()
     calls = []
 
@@ -188,13 +200,19 @@
             calls.append((after, clock.monotonic()))
             if len(calls) == 3:
                 raise _Stop
-            return feeds.HistoryLost()
+            return change_feeds.HistoryTruncated()
 
     specs = spec_table.SpecTable(
-        core, None, _Feed(), clock, lambda: 77, lambda _: None, lambda: None
+        scheduler,
+        None,
+        _Feed(),
+        clock,
+        lambda: 77,
+        lambda _: None,
+        lambda: None,
     )
     specs.start_from(5)
     with pytest.raises(_Stop):
         specs.follow()
     assert [after for after, _ in calls] == [5, 77, 77]
-    assert calls[2][1] - calls[1][1] >= follow.RETRY_S
+    assert calls[2][1] - calls[1][1] >= table_follower.RETRY_S
--- a/tests/failures/test_all_processes_lost.py
+++ b/tests/failures/test_all_processes_lost.py
@@ -8,11 +8,13 @@
 import pytest
 
 from tests.common import clocks
-from tests.common import fleets
-from tests.common import terms
-from vanillaswitch.coordination.fleet.ownership import member as members
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
-from vanillaswitch.coordination.fleet.ownership import succession
+from tests.common import fleet_builders
+from tests.common import ownership_terms
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
+from vanillaswitch.coordination.fleet.ownership import (
+    owner_candidate as candidates,
+)
+from vanillaswitch.coordination.fleet.ownership import owner_monitor
 from vanillaswitch.protocol import platform
 
 
@@ -26,14 +28,16 @@
         self.written = None
 
     def read(self, keys):
-        row = recorders.OwnerRow("edge-2", "10.0.0.2:1", "old", self._weakness)
+        row = fenced_writer.OwnerRow(
+            "edge-2", "10.0.0.2:1", "old", self._weakness
+        )
         return platform.Rows((platform.Row(keys[0], 7, row.document(), "t"),))
 
     def scan(self, prefix, after="", limit=0):
         raise NotImplementedError
 
     def commit(self, transaction):
-        self.written = recorders.owner_row(transaction.puts[0].value)
+        self.written = fenced_writer.decode_owner_row(transaction.puts[0].value)
         self.committed_at = self._clock.monotonic()
         raise _TakenOverError
 
@@ -50,16 +54,16 @@
     """Returns the time until a process took over, and the row it wrote."""
     clock = clocks.ManualClock()
     table = make_table(clock)
-    member = members.Member(
+    member = candidates.OwnerCandidate(
         types.SimpleNamespace(table=table),
         types.SimpleNamespace(config=object()),
-        dataclasses.replace(fleets.deployment(), **limits),
+        dataclasses.replace(fleet_builders.deployment(), **limits),
         "new",
         clock,
         random.Random(1),
         probe,
         lambda *_: ended,
-        lambda address: closed and member.stream_closed(address),
+        lambda address: closed and member.on_stream_closed(address),
         lambda _: None,
     )
     started_at = clock.monotonic()
@@ -77,7 +81,7 @@
     to wait for that owner to write.
     """
     elapsed_s = _take_over_time(lambda _: errno.ECONNREFUSED)
-    assert elapsed_s <= members.TAKE_OVER_JITTER_S
+    assert elapsed_s <= candidates.TAKE_OVER_JITTER_S
 
 
 def test_an_unreachable_owner_keeps_its_term():
@@ -107,7 +111,10 @@
     """
     answers = iter([0, errno.ECONNREFUSED])
     elapsed_s = _take_over_time(lambda _: next(answers), closed=True)
-    assert elapsed_s <= members.HINT_POLL_S + members.TAKE_OVER_JITTER_S + 0.01
+    assert (
+        elapsed_s
+        <= candidates.HINT_POLL_S + candidates.TAKE_OVER_JITTER_S + 0.01
+    )
 
 
 class _Unreadable(_TableOfLostOwner):
@@ -133,7 +140,7 @@
     """
     clock = clocks.ManualClock()
     table = _Unreadable(clock)
-    member = terms.member(table, clock, "new")
+    member = ownership_terms.member(table, clock, "new")
     with pytest.raises(_TakenOverError):
         member.run()
     assert table.reads <= 5
@@ -147,7 +154,9 @@
     core and a slow link, a moment before stronger ones. It could not send the
     starts of so many tasks, but kept writing its row and so stayed the owner.
     """
-    latest_discovery_s = succession.READ_INTERVAL_S + members.TAKE_OVER_JITTER_S
+    latest_discovery_s = (
+        owner_monitor.READ_INTERVAL_S + candidates.TAKE_OVER_JITTER_S
+    )
     elapsed_s = _take_over_time(lambda _: errno.ECONNREFUSED, **limits)
     assert elapsed_s >= latest_discovery_s
 
@@ -155,7 +164,8 @@
 def test_machines_that_are_all_weak_have_an_owner_soon():
     elapsed_s = _take_over_time(lambda _: errno.ECONNREFUSED, cores=0.1)
     assert (
-        elapsed_s <= members.WEAK_MACHINE_DELAY_S + members.TAKE_OVER_JITTER_S
+        elapsed_s
+        <= candidates.WEAK_MACHINE_DELAY_S + candidates.TAKE_OVER_JITTER_S
     )
 
 
@@ -167,7 +177,7 @@
         lambda _: errno.ECONNREFUSED,
         cores=1.0 - weakness,
     )
-    assert elapsed_s <= members.TAKE_OVER_JITTER_S
+    assert elapsed_s <= candidates.TAKE_OVER_JITTER_S
     assert row.weakness == weakness
 
 
@@ -182,7 +192,7 @@
         lambda _: errno.ECONNREFUSED,
         cores=0.1,
     )
-    assert elapsed_s >= (0.9 - weakness) * members.WEAK_MACHINE_DELAY_S
+    assert elapsed_s >= (0.9 - weakness) * candidates.WEAK_MACHINE_DELAY_S
     assert row.weakness == weakness
 
 
@@ -208,11 +218,13 @@
     [
         (
             errno.ETIMEDOUT,
-            succession.UNRESPONSIVE_TERM_S + members.TAKE_OVER_JITTER_S + 0.3,
+            owner_monitor.UNRESPONSIVE_TERM_S
+            + candidates.TAKE_OVER_JITTER_S
+            + 0.3,
         ),
         (
             errno.ECONNREFUSED,
-            members.TAKE_OVER_JITTER_S + succession.READ_INTERVAL_S + 0.3,
+            candidates.TAKE_OVER_JITTER_S + owner_monitor.READ_INTERVAL_S + 0.3,
         ),
     ],
 )
@@ -231,7 +243,7 @@
     def ask_term_ended(*_):
         clock.sleep(0.4)
 
-    member = terms.member(table, clock, "new", ask_term_ended, probe)
+    member = ownership_terms.member(table, clock, "new", ask_term_ended, probe)
     with pytest.raises(_TakenOverError):
         member.run()
     assert table.taken_after_s <= limit_s
--- a/tests/failures/test_clock_steps.py
+++ b/tests/failures/test_clock_steps.py
@@ -7,17 +7,17 @@
 
 from standins import table as tables
 from tests.common import clocks as manual
-from tests.common import fleets
-from tests.common import terms
-from vanillaswitch.coordination.fleet import operators
-from vanillaswitch.coordination.fleet import shared_time
-from vanillaswitch.coordination.fleet.intake import job_rows
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
+from tests.common import fleet_builders
+from tests.common import ownership_terms
+from vanillaswitch.coordination.fleet import operator_table
+from vanillaswitch.coordination.fleet import reference_clock
+from vanillaswitch.coordination.fleet.job_requests import job_rows
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.coordination.fleet.ownership import retention
-from vanillaswitch.coordination.fleet.queue import book as books
+from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.coordination.fleet.queue import queue_order
 from vanillaswitch.internal import clock as clocks
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import platform
 
@@ -44,9 +44,11 @@
     def snapshot(self, name, parts=()):
         del parts
         rows = self._table.scan(f"{name}/").rows
-        return feeds.Snapshot(
+        return change_feeds.Snapshot(
             tuple(
-                feeds.Change(row.key.partition("/")[2], row.value, row.version)
+                change_feeds.RowChange(
+                    row.key.partition("/")[2], row.value, row.version
+                )
                 for row in rows
             ),
             1,
@@ -55,22 +57,24 @@
     def changes(self, table, after, wait_s):
         del table
         gevent.sleep(wait_s)
-        return feeds.Changes((), after)
+        return change_feeds.ChangeBatch((), after)
 
 
 def _owner(table, clock, version=platform.ABSENT):
-    return terms.begin(table, _Feed(table), clock, version)
+    return ownership_terms.begin_term(table, _Feed(table), clock, version)
 
 
 def _store_job(table, job):
-    put = fleets.put(f"{recorders.JOB_TABLE}/{job.job_id}", job_rows.pack(job))
+    put = fleet_builders.insertion(
+        f"{fenced_writer.JOB_TABLE}/{job.job_id}", job_rows.pack(job)
+    )
     table.commit(put)
 
 
 def _store_cancelled_job(table, job):
     _store_job(table, job)
-    key = f"{recorders.CANCEL_TABLE}/{job.job_id}"
-    table.commit(fleets.put(key, {"cancelled": True}))
+    key = f"{fenced_writer.CANCEL_TABLE}/{job.job_id}"
+    table.commit(fleet_builders.insertion(key, {"cancelled": True}))
 
 
 def _serve(owner, seconds=0.5):
@@ -80,7 +84,7 @@
 
 
 def _version_of_owner(table):
-    return table.read([recorders.OWNER_KEY]).rows[0].version
+    return table.read([fenced_writer.OWNER_KEY]).rows[0].version
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
@@ -94,7 +98,7 @@
     """
     monkeypatch.setattr(retention, "SCAN_INTERVAL_S", 0.02)
     table = tables.MemoryTable()
-    job = fleets.job(1)
+    job = fleet_builders.job(1)
     _store_cancelled_job(table, job)
     clock = _SteppedClock()
     owner = _owner(table, clock)
@@ -104,7 +108,7 @@
         assert owner.recorded_state(job.job_id) is jobs.JobState.CANCELLED
         clock.offset_s = step_s
         gevent.sleep(0.3)
-    assert table.read([f"{recorders.JOB_TABLE}/{job.job_id}"]).rows
+    assert table.read([f"{fenced_writer.JOB_TABLE}/{job.job_id}"]).rows
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
@@ -118,23 +122,25 @@
     """
     monkeypatch.setattr(retention, "SCAN_INTERVAL_S", 0.02)
     table = tables.MemoryTable()
-    job = fleets.job(1)
+    job = fleet_builders.job(1)
     _store_cancelled_job(table, job)
     _serve(_owner(table, _SteppedClock()))
     _serve(_owner(table, _SteppedClock(step_s), _version_of_owner(table)))
-    assert table.read([f"{recorders.JOB_TABLE}/{job.job_id}"]).rows
+    assert table.read([f"{fenced_writer.JOB_TABLE}/{job.job_id}"]).rows
 
 
 def test_a_job_that_ended_long_ago_is_removed(monkeypatch):
     monkeypatch.setattr(retention, "SCAN_INTERVAL_S", 0.02)
     table = tables.MemoryTable()
-    job = fleets.job(1)
+    job = fleet_builders.job(1)
     _store_cancelled_job(table, job)
     _serve(_owner(table, _SteppedClock()))
     later = _owner(table, _SteppedClock(), _version_of_owner(table))
-    later._outside.time.heard(terms.STORE_MS + HOUR_S * 1000)
+    later._outside.time.observe_store_clock(
+        ownership_terms.STORE_MS + HOUR_S * 1000
+    )
     _serve(later)
-    assert not table.read([f"{recorders.JOB_TABLE}/{job.job_id}"]).rows
+    assert not table.read([f"{fenced_writer.JOB_TABLE}/{job.job_id}"]).rows
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
@@ -145,21 +151,21 @@
     jobs' objective, so the owner took them for too late to be of use.
     """
     clock = manual.ManualClock()
-    time = terms.synced_time(clock)
-    job = fleets.job(
+    time = ownership_terms.synced_time(clock)
+    job = fleet_builders.job(
         1,
-        submitted_ms=int(terms.STORE_MS),
+        submitted_ms=int(ownership_terms.STORE_MS),
         submitted_wall_ms=(clock.wall() + step_s) * 1000,
     )
     clock.advance(0.2)
-    time.handed_in(job.submitted_ms, job.submitted_wall_ms)
-    entry = books.Entry(job, 10.0, time.age_s(job.submitted_ms))
+    time.add_wall_sample(job.submitted_ms, job.submitted_wall_ms)
+    entry = job_tracker.JobEntry(job, 10.0, time.age_of_s(job.submitted_ms))
     rank = queue_order.ORDERS.get(queue_order.DEFAULT_ORDER)
-    moment = queue_order.Moment(10.0, time.wall_ms)
-    step = next(iter(entry.open_steps(moment.wall_ms)))
-    fresh = books.Entry(fleets.job(2), 9.8)
-    other = next(iter(fresh.open_steps(moment.wall_ms)))
-    queue = fleets.config().queues[0]
+    moment = queue_order.PlanTime(10.0, time.wall_now_ms)
+    step = next(iter(entry.open_due_steps(moment.wall_ms)))
+    fresh = job_tracker.JobEntry(fleet_builders.job(2), 9.8)
+    other = next(iter(fresh.open_due_steps(moment.wall_ms)))
+    queue = fleet_builders.config().queues[0]
     assert rank(step, queue, moment) == pytest.approx(
         rank(other, queue, moment)
     )
@@ -173,13 +179,13 @@
     the machines that accept jobs.
     """
     clock = manual.ManualClock()
-    time = terms.synced_time(clock)
+    time = ownership_terms.synced_time(clock)
     true_ms = clock.wall() * 1000
     for number in range(20):
         offset_ms = step_s * 1000 if number % 4 == 0 else number * 10.0
-        time.handed_in(terms.STORE_MS, true_ms + offset_ms)
+        time.add_wall_sample(ownership_terms.STORE_MS, true_ms + offset_ms)
     clock._wall += step_s
-    assert abs(time.wall_ms - true_ms) <= 250.0
+    assert abs(time.wall_now_ms - true_ms) <= 250.0
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
@@ -194,32 +200,32 @@
     first, second = manual.ManualClock(), manual.ManualClock()
     second._wall += step_s
     boards = [
-        operators.Operators(
-            table, form, terms.synced_time(clock), lambda _: None
+        operator_table.OperatorTable(
+            table, form, ownership_terms.synced_time(clock), lambda _: None
         )
         for clock in (first, second)
     ]
-    assert boards[0].begin("wave/1").age_s == 0.0
+    assert boards[0].start_wave("wave/1").age_s == 0.0
     second.advance(4.0)
-    assert boards[1].begin("wave/1").age_s == pytest.approx(4.0)
+    assert boards[1].start_wave("wave/1").age_s == pytest.approx(4.0)
 
 
 def test_a_slow_answer_does_not_set_the_store_clock_back():
     clock = manual.ManualClock()
-    time = terms.synced_time(clock)
+    time = ownership_terms.synced_time(clock)
     clock.advance(1.0)
-    time.heard(terms.STORE_MS + 400.0)
-    assert time.now_ms == pytest.approx(terms.STORE_MS + 1000.0)
-    time.heard(terms.STORE_MS + 1500.0)
-    assert time.now_ms == pytest.approx(terms.STORE_MS + 1500.0)
-    clock.advance(shared_time.TRUST_S)
-    time.heard(terms.STORE_MS)
-    assert time.now_ms == pytest.approx(terms.STORE_MS)
+    time.observe_store_clock(ownership_terms.STORE_MS + 400.0)
+    assert time.store_now_ms == pytest.approx(ownership_terms.STORE_MS + 1000.0)
+    time.observe_store_clock(ownership_terms.STORE_MS + 1500.0)
+    assert time.store_now_ms == pytest.approx(ownership_terms.STORE_MS + 1500.0)
+    clock.advance(reference_clock.MAX_EXTRAPOLATION_S)
+    time.observe_store_clock(ownership_terms.STORE_MS)
+    assert time.store_now_ms == pytest.approx(ownership_terms.STORE_MS)
 
 
 def test_ages_are_unknown_before_the_first_answer_of_the_store():
     clock = manual.ManualClock()
-    time = shared_time.SharedTime(clock)
-    assert time.now_ms is None
-    assert time.age_s(terms.STORE_MS) == 0.0
-    assert time.wall_ms == clock.wall() * 1000
+    time = reference_clock.ReferenceClock(clock)
+    assert time.store_now_ms is None
+    assert time.age_of_s(ownership_terms.STORE_MS) == 0.0
+    assert time.wall_now_ms == clock.wall() * 1000
--- a/tests/failures/test_lasting_tasks_away.py
+++ b/tests/failures/test_disruption_budget.py
@@ -1,7 +1,7 @@
 """Limits on how many long-running tasks of a step are unavailable at once."""
 
-from tests.common import fleets
-from tests.common import lasting_days
+from tests.common import disruption_simulation
+from tests.common import fleet_builders
 from vanillaswitch.coordination.fleet.machines import evacuation
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
@@ -18,36 +18,38 @@
 
     Five more instances are idle.
     """
-    core = fleets.new_core()
-    fleets.adopt(core, *_NAMES)
-    core.job_added(fleets.job(steps=(_LONG_RUNNING,)), 0.0)
-    fleets.run_all(core, fleets.plan(core), percent=100.0)
-    fleets.adopt(core, *_SPARE, now=now)
-    return core
+    scheduler = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(scheduler, *_NAMES)
+    scheduler.add_job(fleet_builders.job(steps=(_LONG_RUNNING,)), 0.0)
+    fleet_builders.accept_starts(
+        scheduler, fleet_builders.plan_batch(scheduler), percent=100.0
+    )
+    fleet_builders.add_instances(scheduler, *_SPARE, now=now)
+    return scheduler
 
 
-def _report(core, names, now):
+def _report(scheduler, names, now):
     """Reports all runs of some instances as serving."""
     rows = {
         name: [
-            fleet.Running(run.task, run.run, "", 100.0)
-            for run in core.instances[name].runs.values()
+            fleet.RunStatus(run.task, run.run, "", 100.0)
+            for run in scheduler.instances[name].runs.values()
         ]
         for name in names
     }
-    fleets.show(core, rows, now)
+    fleet_builders.report_running(scheduler, rows, now)
 
 
-def _drain(core, names, now):
+def _drain(scheduler, names, now):
     """Drains some instances; returns the stops to send."""
     for name in names:
-        core.instances[name].cordoned = True
-    evacuation.evacuate_all(core, now)
-    return core.take_stops()
+        scheduler.instances[name].is_cordoned = True
+    evacuation.evacuate_instances(scheduler, now)
+    return scheduler.take_stops()
 
 
-def _only_run(core, name):
-    (run,) = core.instances[name].runs.values()
+def _only_run(scheduler, name):
+    (run,) = scheduler.instances[name].runs.values()
     return run
 
 
@@ -59,13 +61,13 @@
     the owner stopped two more to drain machines. In randomized simulations,
     the events of such stops had `away` 0 and `unheard_ms` 5100 to 13900.
     """
-    core = _serving()
-    later = 2.0 + lasting_days.NOTICE_S
+    scheduler = _serving()
+    later = 2.0 + disruption_simulation.NOTICE_S
     for name in ("i-1", "i-2"):
-        core.unanswered(name, 2.5)
-        core.silent(name, 4.0)
-    _report(core, ("i-3", "i-4", "i-5", *_SPARE), later)
-    assert not _drain(core, ("i-3", "i-4", "i-5"), later)
+        scheduler.handle_unanswered_call(name, 2.5)
+        scheduler.mark_unresponsive(name, 4.0)
+    _report(scheduler, ("i-3", "i-4", "i-5", *_SPARE), later)
+    assert not _drain(scheduler, ("i-3", "i-4", "i-5"), later)
 
 
 def test_random_faults_never_exceed_the_disruption_budget():
@@ -76,7 +78,7 @@
     """
     violations = []
     for seed in (17, 56, 62, 90, 95, 118, 124, 128, 215):
-        simulation = lasting_days.Simulation(seed)
+        simulation = disruption_simulation.Simulation(seed)
         simulation.run(60.0)
         violations.extend(
             f"seed {seed}: {line}" for line in simulation.violations
@@ -93,13 +95,13 @@
     """
     violations = []
     for seed in (*range(20), 955, 1304, 2341):
-        simulation = lasting_days.Simulation(seed, restarts_per_s=0.2)
+        simulation = disruption_simulation.Simulation(seed, restarts_per_s=0.2)
         simulation.run(60.0)
         simulation.run_without_faults(25.0)
         violations.extend(
             f"seed {seed}: {line}" for line in simulation.violations
         )
-        count = sum(step.count for step in lasting_days.STEPS)
+        count = sum(step.count for step in disruption_simulation.STEPS)
         assert len(simulation.serving) == count, (
             f"seed {seed}: some tasks do not serve again"
         )
@@ -115,37 +117,41 @@
     simulation its event had the cause "again", `away` 2, `spared` 2 and
     `unheard_ms` 0.
     """
-    core = _serving()
-    assert len(_drain(core, ("i-1",), 2.5)) == 1
+    scheduler = _serving()
+    assert len(_drain(scheduler, ("i-1",), 2.5)) == 1
     for name in ("i-2", "i-3"):
-        core.gone(name, 3.0, "no machine runs it")
-    _report(core, ("i-1", "i-4", "i-5"), 3.1)
-    core.stop_again(3.2)
-    assert not core.take_stops()
-    fleets.run_all(core, fleets.plan(core, 4.0), percent=100.0)
-    _report(core, (*_NAMES[3:], *_SPARE, "i-1"), 5.0)
-    core.stop_again(5.1)
-    assert [stop.instance for stop in core.take_stops()] == ["i-1"]
+        scheduler.remove_instance(name, 3.0, "no machine runs it")
+    _report(scheduler, ("i-1", "i-4", "i-5"), 3.1)
+    scheduler.resend_stops(3.2)
+    assert not scheduler.take_stops()
+    fleet_builders.accept_starts(
+        scheduler, fleet_builders.plan_batch(scheduler, 4.0), percent=100.0
+    )
+    _report(scheduler, (*_NAMES[3:], *_SPARE, "i-1"), 5.0)
+    scheduler.resend_stops(5.1)
+    assert [stop.instance for stop in scheduler.take_stops()] == ["i-1"]
 
 
 def test_stops_of_an_ended_job_are_resent_regardless_of_the_budget():
     """Guards against tasks that run on after a confirmed cancellation."""
-    core = _serving()
-    core.cancelled(fleets.job().job_id, 2.5)
-    assert len(core.take_stops()) == len(_NAMES)
-    core.stop_again(3.1)
-    assert len(core.take_stops()) == len(_NAMES)
+    scheduler = _serving()
+    scheduler.cancel_job(fleet_builders.job().job_id, 2.5)
+    assert len(scheduler.take_stops()) == len(_NAMES)
+    scheduler.resend_stops(3.1)
+    assert len(scheduler.take_stops()) == len(_NAMES)
 
 
 def test_a_stop_on_a_draining_instance_is_resent_regardless_of_the_budget():
     """A draining instance takes its tasks with it in any case."""
-    core = _serving()
-    core.registered(fleets.registration("i-1", draining=True), 2.1)
-    assert len(_drain(core, (), 2.5)) == 1
+    scheduler = _serving()
+    scheduler.handle_registration(
+        fleet_builders.registration("i-1", draining=True), 2.1
+    )
+    assert len(_drain(scheduler, (), 2.5)) == 1
     for name in ("i-2", "i-3"):
-        core.gone(name, 3.0, "no machine runs it")
-    core.stop_again(3.2)
-    assert [stop.instance for stop in core.take_stops()] == ["i-1"]
+        scheduler.remove_instance(name, 3.0, "no machine runs it")
+    scheduler.resend_stops(3.2)
+    assert [stop.instance for stop in scheduler.take_stops()] == ["i-1"]
 
 
 def test_the_disruption_budget_is_checked_again_before_a_late_stop_is_sent():
@@ -154,19 +160,21 @@
     The owner was paused for seconds between the decision on a stop and its
     sending, so its information about the other tasks was outdated.
     """
-    core = _serving()
-    (stop,) = _drain(core, ("i-1",), 2.5)
-    assert core.may_send_stop(stop, 2.6)
-    assert not core.may_send_stop(stop, 2.6 + lasting_days.NOTICE_S)
+    scheduler = _serving()
+    (stop,) = _drain(scheduler, ("i-1",), 2.5)
+    assert scheduler.may_send_stop(stop, 2.6)
+    assert not scheduler.may_send_stop(
+        stop, 2.6 + disruption_simulation.NOTICE_S
+    )
 
 
-def _expire_leases(core, now):
+def _expire_leases(scheduler, now):
     """Lets the owner's leases of i-1 to i-3 expire; returns their runs."""
-    runs = {name: _only_run(core, name) for name in ("i-1", "i-2", "i-3")}
+    runs = {name: _only_run(scheduler, name) for name in ("i-1", "i-2", "i-3")}
     for name in runs:
-        core.silent(name, now)
-    core.lapse(now)
-    core.take_batch(100)
+        scheduler.mark_unresponsive(name, now)
+    scheduler.release_expired_leases(now)
+    scheduler.take_batch(100)
     return runs
 
 
@@ -178,22 +186,22 @@
     the runs any more. It stopped all three at once ("listed, not in the
     book"), without a check of the budget and without a log event.
     """
-    core = _serving()
+    scheduler = _serving()
     for name in _SPARE:
-        core.instances[name].cordoned = True
-    runs = _expire_leases(core, 20.0)
-    assert not any(core.instances[name].runs for name in runs)
+        scheduler.instances[name].is_cordoned = True
+    runs = _expire_leases(scheduler, 20.0)
+    assert not any(scheduler.instances[name].runs for name in runs)
     rows = {
-        name: [fleet.Running(run.task, run.run, "", 100.0)]
+        name: [fleet.RunStatus(run.task, run.run, "", 100.0)]
         for name, run in runs.items()
     }
-    fleets.show(core, rows, 21.0)
-    assert not core.take_stops()
-    assert {name: _only_run(core, name).key for name in runs} == {
+    fleet_builders.report_running(scheduler, rows, 21.0)
+    assert not scheduler.take_stops()
+    assert {name: _only_run(scheduler, name).key for name in runs} == {
         name: run.key for name, run in runs.items()
     }
     # Their rows are written again, and no second run starts.
-    batch = fleets.plan(core, 21.1)
+    batch = fleet_builders.plan_batch(scheduler, 21.1)
     assert len(batch.entries) == 1
     assert not batch.starts
 
@@ -204,13 +212,13 @@
     A delayed status report listed the run once more after its end. Later
     reports contain neither the run nor its end.
     """
-    core = _serving()
-    runs = _expire_leases(core, 20.0)
-    row = fleet.Running(runs["i-1"].task, runs["i-1"].run, "", 100.0)
-    fleets.show(core, {"i-1": [row]}, 21.0)
-    fleets.show(core, {"i-1": []}, 21.5)
-    assert not core.instances["i-1"].runs
-    starts = fleets.plan(core, 22.0).starts
+    scheduler = _serving()
+    runs = _expire_leases(scheduler, 20.0)
+    row = fleet.RunStatus(runs["i-1"].task, runs["i-1"].run, "", 100.0)
+    fleet_builders.report_running(scheduler, {"i-1": [row]}, 21.0)
+    fleet_builders.report_running(scheduler, {"i-1": []}, 21.5)
+    assert not scheduler.instances["i-1"].runs
+    starts = fleet_builders.plan_batch(scheduler, 22.0).starts
     assert runs["i-1"].task in {start.task for start in starts}
 
 
@@ -224,40 +232,46 @@
     """
     before = _serving()
     for name in _SPARE:
-        before.instances[name].cordoned = True
+        before.instances[name].is_cordoned = True
     runs = _expire_leases(before, 20.0)
     for name in runs:
-        before.held(name, fleets.held(), 20.1, 20.1)
-    assert fleets.plan(before, 20.5).starts
-    (entry,) = before.book.live.values()
-    core = fleets.new_core()
+        before.handle_status_report(
+            name, fleet_builders.status_report(), 20.1, 20.1
+        )
+    assert fleet_builders.plan_batch(before, 20.5).starts
+    (entry,) = before.tracker.unfinished.values()
+    scheduler = fleet_builders.new_scheduler()
     for name in _NAMES:
-        core.registered(fleets.registration(name), 25.0)
-    assert core.restore(entry.job, entry.pack(), 1, 25.0) is None
-    core.inherit_runs(25.0, 39.0)
+        scheduler.handle_registration(fleet_builders.registration(name), 25.0)
+    assert scheduler.restore(entry.job, entry.to_document(), 1, 25.0) is None
+    scheduler.recover_runs(25.0, 39.0)
     rows = {
-        name: [fleet.Running(run.task, run.run, "", 100.0)]
+        name: [fleet.RunStatus(run.task, run.run, "", 100.0)]
         for name, run in runs.items()
     }
-    fleets.show(core, rows, 25.1)
-    assert not core.take_stops()
+    fleet_builders.report_running(scheduler, rows, 25.1)
+    assert not scheduler.take_stops()
     for name, run in runs.items():
         (task,) = (
             task
-            for task in core.book.get(entry.job.job_id).open[0, 0].tasks
+            for task in scheduler.tracker.get(entry.job.job_id)
+            .open_by_key[0, 0]
+            .tasks
             if task.instance == name
         )
-        assert list(core.instances[name].runs) == [(task.name, task.run)]
+        assert list(scheduler.instances[name].runs) == [(task.name, task.run)]
         assert (task.name, task.run) == run.key
 
 
 def test_a_run_reported_again_is_stopped_if_a_newer_one_exists():
     """Guards against a task that runs on two instances."""
-    core = _serving()
-    runs = _expire_leases(core, 20.0)
-    fleets.run_all(core, fleets.plan(core, 20.5), percent=100.0)
-    row = fleet.Running(runs["i-1"].task, runs["i-1"].run, "", 100.0)
-    fleets.show(core, {"i-1": [row]}, 21.0)
-    assert [(stop.instance, stop.run) for stop in core.take_stops()] == [
+    scheduler = _serving()
+    runs = _expire_leases(scheduler, 20.0)
+    fleet_builders.accept_starts(
+        scheduler, fleet_builders.plan_batch(scheduler, 20.5), percent=100.0
+    )
+    row = fleet.RunStatus(runs["i-1"].task, runs["i-1"].run, "", 100.0)
+    fleet_builders.report_running(scheduler, {"i-1": [row]}, 21.0)
+    assert [(stop.instance, stop.run) for stop in scheduler.take_stops()] == [
         ("i-1", runs["i-1"].run)
     ]
