--- a/tests/failures/test_dark_rack.py
+++ b/tests/failures/test_failed_rack.py
@@ -6,20 +6,20 @@
 import gevent.event
 
 from tests.common import clocks as manual
-from tests.common import fleets
-from vanillaswitch.coordination.fleet.instances import instance_task
-from vanillaswitch.coordination.fleet.machines import machine_task
+from tests.common import fleet_builders
+from vanillaswitch.coordination.fleet.instances import instance_client
+from vanillaswitch.coordination.fleet.machines import machine_controller
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import fleet
 
 
 class _Recorder:
-    deposed = False
+    is_term_over = False
     token = 9
-    newest = 9
+    newest_version = 9
     confirmed_at = 0.0
 
-    def may_order(self):
+    def may_operate_machines(self):
         return True
 
 
@@ -45,13 +45,13 @@
         )
 
 
-def _task(core, machines, clock):
-    return machine_task.MachineTask(
-        core,
+def _task(scheduler, machines, clock):
+    return machine_controller.MachineController(
+        scheduler,
         machines,
         types.SimpleNamespace(orders=lambda: ()),
         _Recorder(),
-        fleets.deployment(),
+        fleet_builders.deployment(),
         clock,
         gevent.event.Event(),
         lambda _: None,
@@ -64,23 +64,27 @@
     The list of machines shows the failure at once. If it is used only for
     instances that two calls have found silent, detection takes 3 s.
     """
-    core = fleets.new_core()
+    scheduler = fleet_builders.new_scheduler()
     clock = manual.ManualClock()
-    fleets.adopt(core, "i-1", now=clock.monotonic())
-    core.job_added(fleets.job(), clock.monotonic())
-    fleets.run_all(core, fleets.plan(core))
+    fleet_builders.add_instances(scheduler, "i-1", now=clock.monotonic())
+    scheduler.add_job(fleet_builders.job(), clock.monotonic())
+    fleet_builders.accept_starts(
+        scheduler, fleet_builders.plan_batch(scheduler)
+    )
     machines = _Machines(2)
-    task = _task(core, machines, clock)
+    task = _task(scheduler, machines, clock)
     clock.advance(0.25)
     assert task._read_list()
-    fleets.adopt(core, "i-2", now=clock.monotonic())
+    fleet_builders.add_instances(scheduler, "i-2", now=clock.monotonic())
     machines.down.add("m-1")
     for _ in range(3):
-        clock.advance(machine_task.LIST_S)
+        clock.advance(machine_controller.LIST_INTERVAL_S)
         assert task._read_list()
-    assert "i-1" not in core.instances
-    assert "i-2" in core.instances
-    placed = {start.instance for start in fleets.plan(core).starts}
+    assert "i-1" not in scheduler.instances
+    assert "i-2" in scheduler.instances
+    placed = {
+        start.instance for start in fleet_builders.plan_batch(scheduler).starts
+    }
     assert placed == {"i-2"}
 
 
@@ -90,33 +94,35 @@
     A new instance registers and gets work shortly before the list of machines
     shows it.
     """
-    core = fleets.new_core()
+    scheduler = fleet_builders.new_scheduler()
     clock = manual.ManualClock()
-    fleets.adopt(core, "i-1", now=clock.monotonic())
+    fleet_builders.add_instances(scheduler, "i-1", now=clock.monotonic())
     machines = _Machines(1)
     machines.down.add("m-1")
-    task = _task(core, machines, clock)
+    task = _task(scheduler, machines, clock)
     for _ in range(5):
-        clock.advance(machine_task.LIST_S)
+        clock.advance(machine_controller.LIST_INTERVAL_S)
         assert task._read_list()
-    assert "i-1" in core.instances
+    assert "i-1" in scheduler.instances
 
 
 def test_an_instance_that_reported_since_is_not_removed():
     """Otherwise tasks run twice because the list of machines is stale."""
-    core = fleets.new_core()
+    scheduler = fleet_builders.new_scheduler()
     clock = manual.ManualClock()
-    fleets.adopt(core, "i-1", now=clock.monotonic())
+    fleet_builders.add_instances(scheduler, "i-1", now=clock.monotonic())
     machines = _Machines(1)
-    task = _task(core, machines, clock)
-    clock.advance(machine_task.LIST_S)
+    task = _task(scheduler, machines, clock)
+    clock.advance(machine_controller.LIST_INTERVAL_S)
     assert task._read_list()
     machines.down.add("m-1")
     for _ in range(5):
-        clock.advance(machine_task.LIST_S)
-        core.held("i-1", fleets.held(), 0.0, clock.monotonic())
+        clock.advance(machine_controller.LIST_INTERVAL_S)
+        scheduler.handle_status_report(
+            "i-1", fleet_builders.status_report(), 0.0, clock.monotonic()
+        )
         assert task._read_list()
-    assert "i-1" in core.instances
+    assert "i-1" in scheduler.instances
 
 
 class _SilentUpstream:
@@ -125,11 +131,13 @@
     def __init__(self):
         self.limits = []
 
-    def hold(self, target, token, ack, deadline, wait_s, timeout_s, fresh):
+    def renew_lease(
+        self, target, token, ack, deadline, wait_s, timeout_s, fresh
+    ):
         del target, token, ack, deadline, wait_s, fresh
         self.limits.append(timeout_s)
         if len(self.limits) == 1:
-            return fleet.Held(0.0, (), ())
+            return fleet.StatusReport(0.0, (), ())
         gevent.sleep(min(timeout_s, 0.05))
         return fleet.NoAnswer(True, "no answer")
 
@@ -141,23 +149,29 @@
     that detects the failure and the one after it have long timeouts, detection
     is late.
     """
-    core = fleets.new_core()
+    scheduler = fleet_builders.new_scheduler()
     clock = clocks.SystemClock()
-    core.registered(fleets.registration("i-1"), clock.monotonic())
+    scheduler.handle_registration(
+        fleet_builders.registration("i-1"), clock.monotonic()
+    )
     upstreams = _SilentUpstream()
-    means = instance_task.Means(
-        core, upstreams, _Recorder(), clock, gevent.event.Event()
+    means = instance_client.CallContext(
+        scheduler, upstreams, _Recorder(), clock, gevent.event.Event()
     )
-    running = gevent.spawn(instance_task.InstanceTask(means, "i-1").run)
-    instance = core.instances["i-1"]
+    running = gevent.spawn(
+        instance_client.InstanceClient(means, "i-1").run_until_gone
+    )
+    instance = scheduler.instances["i-1"]
     with gevent.Timeout(5.0):
-        while not instance.doubtful:
+        while not instance.has_unanswered_call:
             gevent.sleep(0.01)
-        assert not instance.usable(clock.monotonic())
-        assert not instance.silent
-        while not instance.silent:
+        assert not instance.is_schedulable(clock.monotonic())
+        assert not instance.is_unresponsive
+        while not instance.is_unresponsive:
             gevent.sleep(0.01)
     running.kill()
-    assert upstreams.limits[2] == instance_task.AGAIN_S
-    core.held("i-1", fleets.held(), 0.0, clock.monotonic())
-    assert instance.usable(clock.monotonic())
+    assert upstreams.limits[2] == instance_client.RETRY_TIMEOUT_S
+    scheduler.handle_status_report(
+        "i-1", fleet_builders.status_report(), 0.0, clock.monotonic()
+    )
+    assert instance.is_schedulable(clock.monotonic())
--- a/tests/failures/test_fleet_failures.py
+++ b/tests/failures/test_fleet_failures.py
@@ -1,14 +1,14 @@
 """Failures around the owner of a fleet."""
 
 from tests.common import clocks
-from tests.common import fleets
-from vanillaswitch.coordination.fleet.instances import core as cores
-from vanillaswitch.coordination.fleet.instances import orders
+from tests.common import fleet_builders
+from vanillaswitch.coordination.fleet.instances import order_outcomes
+from vanillaswitch.coordination.fleet.instances import scheduler as schedulers
 from vanillaswitch.coordination.fleet.instances import term_state
 from vanillaswitch.coordination.fleet.machines import evacuation
 from vanillaswitch.coordination.fleet.machines import waves
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
-from vanillaswitch.coordination.fleet.ownership import succession
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
+from vanillaswitch.coordination.fleet.ownership import owner_monitor
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import platform
@@ -25,12 +25,12 @@
     cancellations again before the table of jobs. It dropped a cancellation
     whose job it did not know.
     """
-    core = fleets.new_core()
-    fleets.adopt(core, "i-1")
-    core.cancelled(fleets.job().job_id, 1.0)
-    core.job_added(fleets.job(), 1.1)
-    assert not fleets.plan(core).starts
-    entry = core.book.get(fleets.job().job_id)
+    scheduler = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(scheduler, "i-1")
+    scheduler.cancel_job(fleet_builders.job().job_id, 1.0)
+    scheduler.add_job(fleet_builders.job(), 1.1)
+    assert not fleet_builders.plan_batch(scheduler).starts
+    entry = scheduler.tracker.get(fleet_builders.job().job_id)
     assert entry.state is jobs.JobState.CANCELLED
 
 
@@ -42,9 +42,9 @@
     runs on the machine had ended and started their tasks elsewhere.
     """
     order = fleet.WaveOrder("wave/1", 1, ("m-1",), 20.0, 1)
-    wave = waves.begin(order, 0.0)
+    wave = waves.new_wave(order, 0.0)
     item = wave.machines["m-1"]
-    item.phase = waves.Phase.ORDERED
+    item.phase = waves.MachinePhase.IN_MAINTENANCE
     item.instance = "i-1"
     listed = fleet.Machine(
         "m-1",
@@ -54,18 +54,20 @@
         "i-1",
         fleet.Resources(1, 1),
     )
-    waves.observe(wave, {"m-1": listed}, 2.0, 0.1)
-    assert item.phase is waves.Phase.DONE
+    waves.update_progress(wave, {"m-1": listed}, 2.0, 0.1)
+    assert item.phase is waves.MachinePhase.DONE
 
 
-def _two_long_running_tasks() -> tuple[cores.Core, term_state.Batch]:
+def _two_long_running_tasks() -> tuple[
+    schedulers.Scheduler, term_state.WriteBatch
+]:
     """Returns an owner with two serving tasks of a step, and their batch."""
-    core = fleets.new_core()
-    fleets.adopt(core, "i-1", "i-2")
-    core.job_added(fleets.job(steps=_LONG_RUNNING), 0.0)
-    batch = fleets.plan(core)
-    fleets.run_all(core, batch, percent=100.0)
-    return core, batch
+    scheduler = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(scheduler, "i-1", "i-2")
+    scheduler.add_job(fleet_builders.job(steps=_LONG_RUNNING), 0.0)
+    batch = fleet_builders.plan_batch(scheduler)
+    fleet_builders.accept_starts(scheduler, batch, percent=100.0)
+    return scheduler, batch
 
 
 def test_consecutive_machine_orders_do_not_exceed_the_disruption_budget():
@@ -74,11 +76,11 @@
     Orders for two machines follow each other within milliseconds, before the
     first instance has reported the ends of its runs.
     """
-    core, _ = _two_long_running_tasks()
-    first, second = core.instances["i-1"], core.instances["i-2"]
-    assert evacuation.may_end_all(core, first, 2.0)
-    first.leaving = True
-    assert not evacuation.may_end_all(core, second, 2.0)
+    scheduler, _ = _two_long_running_tasks()
+    first, second = scheduler.instances["i-1"], scheduler.instances["i-2"]
+    assert evacuation.allows_disruption_of_all(scheduler, first, 2.0)
+    first.is_terminating = True
+    assert not evacuation.allows_disruption_of_all(scheduler, second, 2.0)
 
 
 def test_a_new_owner_without_status_reports_stops_at_most_one_task():
@@ -88,15 +90,15 @@
     serve. It assumed that they did not, so that each seemed free to stop.
     """
     before, batch = _two_long_running_tasks()
-    entry = before.book.get(fleets.job().job_id)
-    core = fleets.new_core()
+    entry = before.tracker.get(fleet_builders.job().job_id)
+    scheduler = fleet_builders.new_scheduler()
     for name in ("i-1", "i-2"):
-        core.registered(fleets.registration(name), 5.0)
-    core.restore(entry.job, entry.pack(), 1, 5.0)
-    core.inherit_runs(5.0, 20.0)
-    for instance in core.instances.values():
-        evacuation.evacuate(core, instance, 5.0)
-    assert len(core.take_stops()) <= 1
+        scheduler.handle_registration(fleet_builders.registration(name), 5.0)
+    scheduler.restore(entry.job, entry.to_document(), 1, 5.0)
+    scheduler.recover_runs(5.0, 20.0)
+    for instance in scheduler.instances.values():
+        evacuation.evacuate_instance(scheduler, instance, 5.0)
+    assert len(scheduler.take_stops()) <= 1
     assert len(batch.starts) == 2
 
 
@@ -106,18 +108,20 @@
     The task was stopped because its instance was being drained. The rest of
     the pool was full, and nothing may start on a draining instance.
     """
-    core = fleets.new_core()
-    fleets.adopt(core, "i-1", cpu=4000)
+    scheduler = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(scheduler, "i-1", cpu=4000)
     long_running = jobs.Step(count=1, long_running=True, may_miss=1)
-    core.job_added(fleets.job(steps=(long_running,)), 0.0)
-    fleets.run_all(core, fleets.plan(core), percent=100.0)
-    instance = core.instances["i-1"]
-    instance.cordoned = True
-    evacuation.evacuate(core, instance, 3.0)
-    assert not core.take_stops()
-    fleets.adopt(core, "i-2", now=3.0)
-    evacuation.evacuate(core, instance, 3.1)
-    assert len(core.take_stops()) == 1
+    scheduler.add_job(fleet_builders.job(steps=(long_running,)), 0.0)
+    fleet_builders.accept_starts(
+        scheduler, fleet_builders.plan_batch(scheduler), percent=100.0
+    )
+    instance = scheduler.instances["i-1"]
+    instance.is_cordoned = True
+    evacuation.evacuate_instance(scheduler, instance, 3.0)
+    assert not scheduler.take_stops()
+    fleet_builders.add_instances(scheduler, "i-2", now=3.0)
+    evacuation.evacuate_instance(scheduler, instance, 3.1)
+    assert len(scheduler.take_stops()) == 1
 
 
 def test_ends_are_not_acknowledged_before_they_are_written():
@@ -126,18 +130,22 @@
     More jobs changed than fit into one transaction. The ends of jobs left for
     the next transaction were acknowledged with the first.
     """
-    core = fleets.new_core()
-    fleets.adopt(core, "i-1")
+    scheduler = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(scheduler, "i-1")
     for number in (1, 2):
-        core.job_added(fleets.job(number, (jobs.Step(count=1),)), 0.0)
-    starts = fleets.plan(core).starts
+        scheduler.add_job(
+            fleet_builders.job(number, (jobs.Step(count=1),)), 0.0
+        )
+    starts = fleet_builders.plan_batch(scheduler).starts
     ends = tuple(
-        fleet.End(number, start.task, start.run, fleet.How.DONE, "")
+        fleet.RunEnd(number, start.task, start.run, fleet.RunOutcome.DONE, "")
         for number, start in enumerate(starts, 1)
     )
-    core.held("i-1", fleets.held(ends), 2.0, 2.0)
-    assert not core.take_batch(1).seen
-    assert core.take_batch(1).seen == {"i-1": 2}
+    scheduler.handle_status_report(
+        "i-1", fleet_builders.status_report(ends), 2.0, 2.0
+    )
+    assert not scheduler.take_batch(1).recorded_ends
+    assert scheduler.take_batch(1).recorded_ends == {"i-1": 2}
 
 
 def test_a_status_report_older_than_a_start_does_not_release_its_task():
@@ -146,12 +154,14 @@
     A start and a lease renewal are in flight together. The status report was
     made before the start took effect, so it does not list the run.
     """
-    core = fleets.new_core()
-    fleets.adopt(core, "i-1", "i-2")
-    core.job_added(fleets.job(steps=(jobs.Step(count=1),)), 0.0)
-    start = fleets.plan(core).starts[0]
-    core.held(start.instance, fleets.held(), 0.9, 1.1)
-    assert not fleets.plan(core).starts
+    scheduler = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(scheduler, "i-1", "i-2")
+    scheduler.add_job(fleet_builders.job(steps=(jobs.Step(count=1),)), 0.0)
+    start = fleet_builders.plan_batch(scheduler).starts[0]
+    scheduler.handle_status_report(
+        start.instance, fleet_builders.status_report(), 0.9, 1.1
+    )
+    assert not fleet_builders.plan_batch(scheduler).starts
 
 
 def test_an_unanswered_start_blocks_its_task_until_it_can_not_take_effect():
@@ -159,19 +169,23 @@
 
     The start was unanswered, so the task was started elsewhere.
     """
-    core = fleets.new_core()
-    fleets.adopt(core, "i-1", "i-2")
-    core.job_added(fleets.job(steps=(jobs.Step(count=1),)), 0.0)
-    start = fleets.plan(core).starts[0]
+    scheduler = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(scheduler, "i-1", "i-2")
+    scheduler.add_job(fleet_builders.job(steps=(jobs.Step(count=1),)), 0.0)
+    start = fleet_builders.plan_batch(scheduler).starts[0]
     key = (start.task, start.run)
-    late = 1.0 + orders.DOUBT_S
-    assert not core.start_unanswered(start.instance, key, True, late)
-    assert not fleets.plan(core, late).starts
-    assert core.take_stops()
-    core.stopped(start.instance, key, late + 0.1)
-    assert not fleets.plan(core, late + 0.1).starts
-    core.held(start.instance, fleets.held(), late + 0.2, late + 0.3)
-    assert fleets.plan(core, late + 0.3).starts[0].run == 2
+    late = 1.0 + order_outcomes.START_ANSWER_TIMEOUT_S
+    assert not scheduler.handle_start_unanswered(
+        start.instance, key, True, late
+    )
+    assert not fleet_builders.plan_batch(scheduler, late).starts
+    assert scheduler.take_stops()
+    scheduler.handle_stop_accepted(start.instance, key, late + 0.1)
+    assert not fleet_builders.plan_batch(scheduler, late + 0.1).starts
+    scheduler.handle_status_report(
+        start.instance, fleet_builders.status_report(), late + 0.2, late + 0.3
+    )
+    assert fleet_builders.plan_batch(scheduler, late + 0.3).starts[0].run == 2
 
 
 def test_a_task_of_a_crashed_instance_does_not_wait_for_its_lease():
@@ -180,14 +194,14 @@
     The list of machines shows another instance on the machine, so no run of
     the former one is left and its lease need not expire first.
     """
-    core = fleets.new_core()
-    fleets.adopt(core, "i-1", "i-2")
-    core.job_added(fleets.job(steps=(jobs.Step(count=1),)), 0.0)
-    start = fleets.plan(core).starts[0]
-    core.silent(start.instance, 2.0)
-    assert not fleets.plan(core, 2.0).starts
-    core.gone(start.instance, 2.1, "its machine runs another")
-    again = fleets.plan(core, 2.1).starts[0]
+    scheduler = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(scheduler, "i-1", "i-2")
+    scheduler.add_job(fleet_builders.job(steps=(jobs.Step(count=1),)), 0.0)
+    start = fleet_builders.plan_batch(scheduler).starts[0]
+    scheduler.mark_unresponsive(start.instance, 2.0)
+    assert not fleet_builders.plan_batch(scheduler, 2.0).starts
+    scheduler.remove_instance(start.instance, 2.1, "its machine runs another")
+    again = fleet_builders.plan_batch(scheduler, 2.1).starts[0]
     assert again.instance != start.instance
 
 
@@ -209,7 +223,7 @@
         return self._outcomes.pop(0)
 
 
-_OWNER_ROW = recorders.OwnerRow("edge-1", "10.0.0.1:1", "boot-1")
+_OWNER_ROW = fenced_writer.OwnerRow("edge-1", "10.0.0.1:1", "boot-1")
 
 
 def test_a_lost_commit_answer_is_settled_by_the_same_transaction():
@@ -220,22 +234,22 @@
     clock = clocks.ManualClock()
     unknown = platform.OutcomeUnknown("lost")
     table = _ScriptedTable(platform.Committed(7), unknown)
-    recorder = recorders.Recorder(table, clock, _OWNER_ROW)
-    assert recorder.take_over(0, 0.0)
+    writer = fenced_writer.FencedWriter(table, clock, _OWNER_ROW)
+    assert writer.take_over(0, 0.0)
 
     def conflict(transaction):
         if len(table.transactions) < 2:
             table.transactions.append(transaction)
             return unknown
         row = platform.Row(
-            recorders.OWNER_KEY, 9, _OWNER_ROW.document(), transaction.token
+            fenced_writer.OWNER_KEY, 9, _OWNER_ROW.document(), transaction.token
         )
         table.transactions.append(transaction)
         return platform.Conflict((row,))
 
     table.commit = conflict
-    written = recorder.write([])
-    assert written == recorders.Written(9)
+    written = writer.write([])
+    assert written == fenced_writer.Written(9)
     assert table.transactions[1] == table.transactions[2]
 
 
@@ -245,12 +259,12 @@
     A process that lost ownership while it was paused continued as before.
     """
     clock = clocks.ManualClock()
-    other = platform.Row(recorders.OWNER_KEY, 9, {"holder": "edge-2"}, "x")
+    other = platform.Row(fenced_writer.OWNER_KEY, 9, {"holder": "edge-2"}, "x")
     table = _ScriptedTable(platform.Committed(7), platform.Conflict((other,)))
-    recorder = recorders.Recorder(table, clock, _OWNER_ROW)
-    recorder.take_over(0, 0.0)
-    assert recorder.write([]) == recorders.Deposed()
-    assert recorder.write([]) == recorders.Deposed()
+    writer = fenced_writer.FencedWriter(table, clock, _OWNER_ROW)
+    writer.take_over(0, 0.0)
+    assert writer.write([]) == fenced_writer.TermOver()
+    assert writer.write([]) == fenced_writer.TermOver()
     assert len(table.transactions) == 2
 
 
@@ -260,10 +274,10 @@
     The store answered after a quarter of a second and the owner wrote once a
     second. The owner was considered dead, and four owners took over in turn.
     """
-    watch = succession.Succession()
-    row = recorders.OwnerRow("edge-1", "10.0.0.1:1", "boot-1")
-    watch.observed(row, 5, 0.0, 0.25)
-    assert not watch.suspect(1.5)
+    watch = owner_monitor.OwnerMonitor()
+    row = fenced_writer.OwnerRow("edge-1", "10.0.0.1:1", "boot-1")
+    watch.on_row_read(row, 5, 0.0, 0.25)
+    assert not watch.is_suspect(1.5)
     assert not watch.may_take_over(2.5)
     assert watch.may_take_over(3.2)
 
@@ -274,11 +288,11 @@
     No process could write during the outage, so that time must not count
     against the owner.
     """
-    watch = succession.Succession()
-    row = recorders.OwnerRow("edge-1", "10.0.0.1:1", "boot-1")
-    watch.observed(row, 5, 0.0, 0.0)
-    watch.unread()
-    watch.observed(row, 5, 10.0, 10.0)
+    watch = owner_monitor.OwnerMonitor()
+    row = fenced_writer.OwnerRow("edge-1", "10.0.0.1:1", "boot-1")
+    watch.on_row_read(row, 5, 0.0, 0.0)
+    watch.on_read_failed()
+    watch.on_row_read(row, 5, 10.0, 10.0)
     assert not watch.may_take_over(10.5)
     assert watch.may_take_over(11.7)
 
@@ -289,12 +303,12 @@
     The previous owner may only be slow. If its process has ended, it sends no
     more orders, and its successor need not wait.
     """
-    watch = succession.Succession()
-    row = recorders.OwnerRow("edge-1", "10.0.0.1:1", "boot-1")
-    watch.observed(row, 5, 0.0, 0.0)
-    assert watch.orders_from(3.0, 1.6) == 3.0
-    watch.process_ended("boot-1")
-    assert watch.orders_from(3.0, 1.6) == 1.6
+    watch = owner_monitor.OwnerMonitor()
+    row = fenced_writer.OwnerRow("edge-1", "10.0.0.1:1", "boot-1")
+    watch.on_row_read(row, 5, 0.0, 0.0)
+    assert watch.operations_allowed_from(3.0, 1.6) == 3.0
+    watch.on_process_ended("boot-1")
+    assert watch.operations_allowed_from(3.0, 1.6) == 1.6
 
 
 def test_a_new_owner_does_not_consider_inherited_tasks_stalled():
@@ -303,17 +317,17 @@
     The new owner had not yet seen the task's progress change, and treated it
     as if there had been no progress since its monotonic clock began.
     """
-    before = fleets.new_core()
-    fleets.adopt(before, "i-1", "i-2")
-    before.job_added(fleets.job(), 0.0)
-    batch = fleets.plan(before)
-    entry = before.book.get(fleets.job().job_id)
-    core = fleets.new_core()
+    before = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(before, "i-1", "i-2")
+    before.add_job(fleet_builders.job(), 0.0)
+    batch = fleet_builders.plan_batch(before)
+    entry = before.tracker.get(fleet_builders.job().job_id)
+    scheduler = fleet_builders.new_scheduler()
     for name in ("i-1", "i-2"):
-        core.registered(fleets.registration(name), 100.0)
-    core.restore(entry.job, entry.pack(), 1, 100.0)
-    core.inherit_runs(100.0, 120.0)
-    fleets.run_all(core, batch)
-    fleets.show(core, {"i-2": []})
-    core.stop_stalled(101.0)
-    assert not core.take_stops()
+        scheduler.handle_registration(fleet_builders.registration(name), 100.0)
+    scheduler.restore(entry.job, entry.to_document(), 1, 100.0)
+    scheduler.recover_runs(100.0, 120.0)
+    fleet_builders.accept_starts(scheduler, batch)
+    fleet_builders.report_running(scheduler, {"i-2": []})
+    scheduler.stop_stalled_runs(101.0)
+    assert not scheduler.take_stops()
--- a/tests/failures/test_refused_path.py
+++ b/tests/failures/test_forwarded_requests.py
@@ -7,13 +7,15 @@
 import gevent
 import pytest
 
-from tests.common import fleets
+from tests.common import fleet_builders
 from vanillaswitch import errors
-from vanillaswitch.coordination.fleet.intake import errands
-from vanillaswitch.coordination.fleet.intake import helped_intake
-from vanillaswitch.coordination.fleet.intake import intake as intakes
-from vanillaswitch.coordination.fleet.intake import job_rows
-from vanillaswitch.coordination.fleet.intake import questions
+from vanillaswitch.coordination.fleet.job_requests import job_rows
+from vanillaswitch.coordination.fleet.job_requests import job_service
+from vanillaswitch.coordination.fleet.job_requests import (
+    job_store as job_stores,
+)
+from vanillaswitch.coordination.fleet.job_requests import peer_calls
+from vanillaswitch.coordination.fleet.job_requests import request_forwarder
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import peers
@@ -61,8 +63,8 @@
     """One process: its table, its address and the owner it knows."""
 
     table: _Table
-    errands: errands.Errands
-    service: helped_intake.HelpedIntake
+    request_forwarder: request_forwarder.RequestForwarder
+    service: job_service.JobService
     address: str
     owner: str = ""
     silent: bool = False
@@ -72,8 +74,8 @@
 @contextlib.contextmanager
 def _process(name, table):
     clock = clocks.SystemClock()
-    calls = questions.Questions(clock, name)
-    local = intakes.Intake(table, clock, name, lambda: 0.0)
+    calls = peer_calls.PeerCalls(clock, name)
+    local = job_stores.JobStore(table, clock, name, lambda: 0.0)
     process = None
 
     def answered_at():
@@ -87,7 +89,7 @@
     with streams.run(
         "127.0.0.1:0", on_message, clock, random.Random(1)
     ) as transport:
-        forwarder = errands.Errands(
+        forwarder = request_forwarder.RequestForwarder(
             calls,
             local,
             transport.address,
@@ -96,9 +98,9 @@
             clock,
             lambda _: None,
         )
-        service = helped_intake.HelpedIntake(local, forwarder, clock)
+        service = job_service.JobService(local, forwarder, clock)
         process = _Process(table, forwarder, service, transport.address)
-        calls.attach(transport)
+        calls.set_transport(transport)
         yield process
 
 
@@ -126,14 +128,20 @@
     job.
     """
     cut, owner = pair
-    job = fleets.job()
-    assert cut.service.submit(job, _deadline()) is intakes.Verdict.ACCEPTED
-    assert cut.service.submit(job, _deadline()) is intakes.Verdict.ACCEPTED
+    job = fleet_builders.job()
+    assert (
+        cut.service.submit(job, _deadline())
+        is job_stores.RequestResult.ACCEPTED
+    )
+    assert (
+        cut.service.submit(job, _deadline())
+        is job_stores.RequestResult.ACCEPTED
+    )
     assert len(owner.table.rows) == 1
     state = cut.service.state(job.job_id, _deadline())
     assert state is jobs.JobState.QUEUED
     verdict = cut.service.cancel(job.job_id, False, _deadline())
-    assert verdict is intakes.Verdict.ACCEPTED
+    assert verdict is job_stores.RequestResult.ACCEPTED
     assert cut.service.state("f" * 16, _deadline()) is None
 
 
@@ -142,11 +150,11 @@
     cut, owner = pair
     owner.table.refuses = True
     began = clocks.SystemClock().monotonic()
-    verdict = cut.service.submit(fleets.job(), _deadline())
-    assert verdict is intakes.Verdict.NOT_DONE
+    verdict = cut.service.submit(fleet_builders.job(), _deadline())
+    assert verdict is job_stores.RequestResult.NOT_APPLIED
     assert (
         clocks.SystemClock().monotonic() - began
-        < 2 * errands.STORE_STATUS_TIMEOUT_S
+        < 2 * request_forwarder.STORE_STATUS_TIMEOUT_S
     )
     sent = [type(message) for message in owner.received]
     assert peers.Errand not in sent
@@ -156,8 +164,8 @@
     """Otherwise a client gets "unknown" although nothing was sent."""
     cut, _ = pair
     cut.owner = "127.0.0.1:9"
-    verdict = cut.service.submit(fleets.job(), _deadline())
-    assert verdict is intakes.Verdict.NOT_DONE
+    verdict = cut.service.submit(fleet_builders.job(), _deadline())
+    assert verdict is job_stores.RequestResult.NOT_APPLIED
 
 
 def test_a_forwarded_request_without_an_answer_has_an_unknown_outcome(pair):
@@ -169,8 +177,8 @@
     cut, owner = pair
     assert cut.errands._can_help(owner.address)
     owner.silent = True
-    verdict = cut.service.submit(fleets.job(), _deadline())
-    assert verdict is intakes.Verdict.UNKNOWN
+    verdict = cut.service.submit(fleet_builders.job(), _deadline())
+    assert verdict is job_stores.RequestResult.UNKNOWN
 
 
 def test_a_local_write_without_an_answer_stays_unknown_if_forwarding_fails(
@@ -186,8 +194,8 @@
     cut.table.refuses = False
     cut.table.answers = False
     cut.table.read = lambda _: platform.Unavailable("silent")
-    verdict = cut.service.submit(fleets.job(), _deadline())
-    assert verdict is intakes.Verdict.UNKNOWN
+    verdict = cut.service.submit(fleet_builders.job(), _deadline())
+    assert verdict is job_stores.RequestResult.UNKNOWN
 
 
 def test_an_owner_without_the_store_forwards_to_its_successor(pair):
@@ -198,12 +206,15 @@
     """
     cut, owner = pair
     cut.owner = cut.address
-    job = fleets.job()
+    job = fleet_builders.job()
     verdict = cut.service.submit(job, _deadline())
-    assert verdict is intakes.Verdict.NOT_DONE
+    assert verdict is job_stores.RequestResult.NOT_APPLIED
     question = peers.OwnerQuestion("q-1", "boot", 1.0, owner.address)
     cut.errands.on_message(question, lambda _: None)
-    assert cut.service.submit(job, _deadline()) is intakes.Verdict.ACCEPTED
+    assert (
+        cut.service.submit(job, _deadline())
+        is job_stores.RequestResult.ACCEPTED
+    )
 
 
 def test_the_previous_owner_tells_who_owns_the_fleet_now(pair):
@@ -216,8 +227,8 @@
     with _process("next", _Table(owner.table.rows)) as successor:
         owner.table.refuses = True
         owner.owner = successor.address
-        verdict = cut.service.submit(fleets.job(), _deadline())
-        assert verdict is intakes.Verdict.ACCEPTED
+        verdict = cut.service.submit(fleet_builders.job(), _deadline())
+        assert verdict is job_stores.RequestResult.ACCEPTED
 
 
 def test_a_forwarded_job_keeps_its_long_spec(pair):
@@ -227,8 +238,11 @@
     separate row and is lost; the owner polls for that row every 2 s.
     """
     cut, owner = pair
-    job = fleets.job(spec="x" * 1000)
-    assert cut.service.submit(job, _deadline()) is intakes.Verdict.ACCEPTED
+    job = fleet_builders.job(spec="x" * 1000)
+    assert (
+        cut.service.submit(job, _deadline())
+        is job_stores.RequestResult.ACCEPTED
+    )
     specs = [
         row.value["spec"]
         for key, row in owner.table.rows.items()
@@ -240,7 +254,7 @@
 def test_a_job_without_its_spec_is_never_accepted(pair):
     """Otherwise a job is accepted from its row alone and can never run."""
     _, owner = pair
-    stored = job_rows.unpack(job_rows.pack(fleets.job(spec="x" * 1000)))
+    stored = job_rows.unpack(job_rows.pack(fleet_builders.job(spec="x" * 1000)))
     with pytest.raises(errors.InvariantError):
         owner.service.submit(stored, _deadline())
     assert not owner.table.rows
--- a/tests/failures/test_unreached_lease.py
+++ b/tests/failures/test_lease_of_unreachable_instance.py
@@ -5,8 +5,8 @@
 import gevent.event
 
 from tests.common import clocks
-from tests.common import fleets
-from vanillaswitch.coordination.fleet.instances import instance_task
+from tests.common import fleet_builders
+from vanillaswitch.coordination.fleet.instances import instance_client
 from vanillaswitch.coordination.fleet.instances import lease_times
 from vanillaswitch.protocol import fleet
 
@@ -24,7 +24,7 @@
         self._clock = clock
         self.outcome = _NEVER_SENT
 
-    def hold(
+    def renew_lease(
         self, target, token, seen, deadline_ms, wait_s, timeout_s, fresh=False
     ):
         del target, token, seen, deadline_ms, wait_s, fresh
@@ -40,32 +40,36 @@
 def _silent_instance():
     """Returns an owner whose instance became silent with a job's tasks."""
     clock = clocks.ManualClock()
-    core = fleets.new_core()
-    fleets.adopt(core, "i-1", now=clock.monotonic())
-    core.job_added(fleets.job(), clock.monotonic())
-    batch = fleets.plan(core, clock.monotonic())
-    fleets.run_all(core, batch)
-    recorder = types.SimpleNamespace(token=9, deposed=False, confirmed_at=0.0)
-    means = instance_task.Means(
-        core,
+    scheduler = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(scheduler, "i-1", now=clock.monotonic())
+    scheduler.add_job(fleet_builders.job(), clock.monotonic())
+    batch = fleet_builders.plan_batch(scheduler, clock.monotonic())
+    fleet_builders.accept_starts(scheduler, batch)
+    writer = types.SimpleNamespace(
+        token=9, is_term_over=False, confirmed_at=0.0
+    )
+    means = instance_client.CallContext(
+        scheduler,
         _UnreachableUpstreams(clock),
-        recorder,
+        writer,
         clock,
         gevent.event.Event(),
     )
-    task = instance_task.InstanceTask(means, "i-1")
-    core.instances["i-1"].lapses_at = lease_times.lapses_at(clock.monotonic())
-    core.silent("i-1", clock.monotonic())
-    return core, means, task
+    task = instance_client.InstanceClient(means, "i-1")
+    scheduler.instances["i-1"].lease_expires_at = lease_times.lease_expiry(
+        clock.monotonic()
+    )
+    scheduler.mark_unresponsive("i-1", clock.monotonic())
+    return scheduler, means, task
 
 
-def _renew_for(core, means, task, seconds):
+def _renew_for(scheduler, means, task, seconds):
     """Keeps trying to renew the lease for some seconds."""
     until = means.clock.monotonic() + seconds
     while means.clock.monotonic() < until:
-        means.recorder.confirmed_at = means.clock.monotonic()
-        task._hold(core.instances["i-1"], again=True)
-        core.lapse(means.clock.monotonic())
+        means.writer.confirmed_at = means.clock.monotonic()
+        task._renew_lease(scheduler.instances["i-1"], again=True)
+        scheduler.release_expired_leases(means.clock.monotonic())
 
 
 def test_a_lease_expires_while_renewals_are_never_sent():
@@ -75,17 +79,17 @@
     a new lease, even without a connection that could have carried it, so the
     lease never expired for the owner and no task started elsewhere.
     """
-    core, means, task = _silent_instance()
-    _renew_for(core, means, task, lease_times.HOLD_S + 1.0)
-    assert not core.instances["i-1"].runs
+    scheduler, means, task = _silent_instance()
+    _renew_for(scheduler, means, task, lease_times.RUN_LEASE_S + 1.0)
+    assert not scheduler.instances["i-1"].runs
 
 
 def test_a_lease_does_not_expire_while_sent_renewals_are_unanswered():
     """Guards against a second run while the instance only can't answer."""
-    core, means, task = _silent_instance()
+    scheduler, means, task = _silent_instance()
     means.upstreams.outcome = fleet.NoAnswer(True, "no answer")
-    _renew_for(core, means, task, 3 * lease_times.HOLD_S)
-    assert core.instances["i-1"].runs
+    _renew_for(scheduler, means, task, 3 * lease_times.RUN_LEASE_S)
+    assert scheduler.instances["i-1"].runs
 
 
 def test_a_sent_renewal_extends_the_lease_although_later_ones_are_not_sent():
@@ -93,12 +97,12 @@
 
     The instance may have received that renewal without being able to answer.
     """
-    core, means, task = _silent_instance()
-    _renew_for(core, means, task, lease_times.HOLD_S - 1.0)
+    scheduler, means, task = _silent_instance()
+    _renew_for(scheduler, means, task, lease_times.RUN_LEASE_S - 1.0)
     means.upstreams.outcome = fleet.NoAnswer(True, "no answer")
-    task._hold(core.instances["i-1"], again=True)
+    task._renew_lease(scheduler.instances["i-1"], again=True)
     means.upstreams.outcome = _NEVER_SENT
-    _renew_for(core, means, task, lease_times.HOLD_S - 1.0)
-    assert core.instances["i-1"].runs
-    _renew_for(core, means, task, 2.0)
-    assert not core.instances["i-1"].runs
+    _renew_for(scheduler, means, task, lease_times.RUN_LEASE_S - 1.0)
+    assert scheduler.instances["i-1"].runs
+    _renew_for(scheduler, means, task, 2.0)
+    assert not scheduler.instances["i-1"].runs
--- a/tests/failures/test_long_take_over.py
+++ b/tests/failures/test_long_take_over.py
@@ -1,11 +1,11 @@
 """Taking over a fleet with many jobs takes a while."""
 
 from tests.common import clocks
-from tests.common import terms
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
-from vanillaswitch.coordination.fleet.ownership import succession
+from tests.common import ownership_terms
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
+from vanillaswitch.coordination.fleet.ownership import owner_monitor
 from vanillaswitch.internal import clock as system_clock
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import platform
 
 
@@ -28,16 +28,16 @@
     over it said yes, as it did not serve yet. The next owner did so too.
     """
     clock = clocks.ManualClock()
-    member = terms.member(_Table(), clock)
-    recorder = recorders.Recorder(
-        member._outside.table, clock, recorders.OwnerRow("e", "a", "boot-1")
+    member = ownership_terms.member(_Table(), clock)
+    writer = fenced_writer.FencedWriter(
+        member._outside.table, clock, fenced_writer.OwnerRow("e", "a", "boot-1")
     )
-    recorder.take_over(0, 0.0)
-    member._recorder = recorder
-    assert not member.yield_term(1.0)
+    writer.take_over(0, 0.0)
+    member._writer = writer
+    assert not member.step_down_if_stale(1.0)
     clock.advance(1.5)
-    assert member.yield_term(1.0)
-    assert recorder.deposed
+    assert member.step_down_if_stale(1.0)
+    assert writer.is_term_over
 
 
 class _SlowFeed:
@@ -49,19 +49,19 @@
     def snapshot(self, table, parts=()):
         del table, parts
         self._clock.sleep(0.3)
-        return feeds.Snapshot((), 1)
+        return change_feeds.Snapshot((), 1)
 
     def changes(self, table, after, wait_s):
         del table
         self._clock.sleep(wait_s)
-        return feeds.Changes((), after)
+        return change_feeds.ChangeBatch((), after)
 
 
 def test_the_lease_is_renewed_while_rows_are_loaded():
     """Guards against an owner that is replaced while it loads its rows."""
     clock = system_clock.SystemClock()
     table = _Table()
-    owner = terms.begin(table, _SlowFeed(clock), clock)
+    owner = ownership_terms.begin_term(table, _SlowFeed(clock), clock)
     before = table.commits
     assert owner.load()
     assert table.commits - before >= 4
@@ -71,9 +71,9 @@
     """Guards against a slow owner that is replaced during its first plan."""
     clock = system_clock.SystemClock()
     table = _Table()
-    owner = terms.begin(table, _SlowFeed(clock), clock)
+    owner = ownership_terms.begin_term(table, _SlowFeed(clock), clock)
     assert owner.load()
     before = table.commits
     with owner.serving():
-        clock.sleep(succession.RENEW_INTERVAL_S / 2)
+        clock.sleep(owner_monitor.RENEW_INTERVAL_S / 2)
         assert table.commits > before
--- a/tests/failures/test_lost_order_answers.py
+++ b/tests/failures/test_lost_order_responses.py
@@ -6,13 +6,13 @@
 
 from standins import leased_instance
 from tests.common import clocks as manual
-from tests.common import fleets
-from tests.common import upkeep
-from vanillaswitch.coordination.fleet.instances import instance_task
-from vanillaswitch.coordination.fleet.instances import stops
-from vanillaswitch.coordination.fleet.machines import wave_driver
+from tests.common import fleet_builders
+from tests.common import wave_doubles
+from vanillaswitch.coordination.fleet.instances import instance_client
+from vanillaswitch.coordination.fleet.instances import stop_orders
+from vanillaswitch.coordination.fleet.machines import wave_controller
 from vanillaswitch.coordination.fleet.machines import waves
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import platform
@@ -49,12 +49,12 @@
         del target, timeout_s
         return self._answer("stop", self._model.stop(task, run, token), False)
 
-    def hold(
+    def renew_lease(
         self, target, token, seen, deadline_ms, wait_s, timeout_s, fresh=False
     ):
         del target, timeout_s
         gevent.sleep(min(wait_s, 0.02))
-        outcome = self._model.hold(token, seen, deadline_ms)
+        outcome = self._model.renew_lease(token, seen, deadline_ms)
         return self._answer("hold", outcome, fresh)
 
 
@@ -70,36 +70,38 @@
     """One instance, the calls to it and the owner's decisions."""
 
     def __init__(self, *lose):
-        self.core = fleets.new_core()
+        self.scheduler = fleet_builders.new_scheduler()
         self.clock = clocks.SystemClock()
-        registration = fleets.registration("i-1")
-        self.core.registered(registration, self.clock.monotonic())
+        registration = fleet_builders.registration("i-1")
+        self.scheduler.handle_registration(registration, self.clock.monotonic())
         self.model = leased_instance.LeasedInstance(registration)
         self.upstreams = _LossyUpstreams(self.model, *lose)
-        owner = recorders.OwnerRow("edge-1", "a:1", "boot-1")
-        self.recorder = recorders.Recorder(_AcceptingTable(), self.clock, owner)
-        assert self.recorder.take_over(0, 0.0)
-        means = instance_task.Means(
-            self.core,
+        owner = fenced_writer.OwnerRow("edge-1", "a:1", "boot-1")
+        self.writer = fenced_writer.FencedWriter(
+            _AcceptingTable(), self.clock, owner
+        )
+        assert self.writer.take_over(0, 0.0)
+        means = instance_client.CallContext(
+            self.scheduler,
             self.upstreams,
-            self.recorder,
+            self.writer,
             self.clock,
             gevent.event.Event(),
         )
-        self.task = instance_task.InstanceTask(means, "i-1")
-        self.renewals = gevent.spawn(self.task.run)
+        self.task = instance_client.InstanceClient(means, "i-1")
+        self.renewals = gevent.spawn(self.task.run_until_gone)
         gevent.sleep(0.1)
 
     def start_all(self):
         """Starts the tasks of one job."""
-        self.core.job_added(fleets.job(), self.clock.monotonic())
-        self.core.plan(self.clock.monotonic(), fleets.WALL_MS)
-        for order in self.core.take_batch(10).starts:
+        self.scheduler.add_job(fleet_builders.job(), self.clock.monotonic())
+        self.scheduler.plan(self.clock.monotonic(), fleet_builders.WALL_MS)
+        for order in self.scheduler.take_batch(10).starts:
             self.task.send_start(order)
         gevent.sleep(0.4)
 
     def runs(self):
-        return self.core.instances["i-1"].runs
+        return self.scheduler.instances["i-1"].runs
 
     def fresh_flags(self, kind):
         """Returns, for each order of a kind, whether its connection was new."""
@@ -108,7 +110,7 @@
         ]
 
     def close(self):
-        self.recorder.depose()
+        self.writer.end_term()
         self.renewals.kill()
 
 
@@ -143,21 +145,21 @@
     try:
         harness.start_all()
         now = harness.clock.monotonic()
-        harness.core.cancelled(fleets.job().job_id, now)
+        harness.scheduler.cancel_job(fleet_builders.job().job_id, now)
         for _ in range(3):
-            for order in harness.core.take_stops():
+            for order in harness.scheduler.take_stops():
                 harness.task.send_stop(order)
             gevent.sleep(0.05)
-            now += stops.STOP_RESEND_S
-            harness.core.stop_again(now)
+            now += stop_orders.STOP_RESEND_S
+            harness.scheduler.resend_stops(now)
         gevent.sleep(0.1)
         assert not harness.model.running
-        assert [end.how for end in harness.model.listed] == [
-            fleet.How.STOPPED,
-            fleet.How.STOPPED,
+        assert [end.outcome for end in harness.model.listed] == [
+            fleet.RunOutcome.STOPPED,
+            fleet.RunOutcome.STOPPED,
         ]
         assert not harness.runs()
-        assert harness.core.instances["i-1"].used_cpu == 0
+        assert harness.scheduler.instances["i-1"].used_cpu == 0
     finally:
         harness.close()
 
@@ -173,15 +175,17 @@
         harness.start_all()
         harness.upstreams.lose = ["hold"]
         for task in list(harness.model.running):
-            harness.model.end(task, fleet.How.DONE)
+            harness.model.end(task, fleet.RunOutcome.DONE)
         gevent.sleep(0.5)
         assert not harness.upstreams.lose
         assert True in harness.fresh_flags("hold")
-        entry = harness.core.book.get(fleets.job().job_id)
+        entry = harness.scheduler.tracker.get(fleet_builders.job().job_id)
         assert entry.ended is not None
         assert not harness.runs()
         assert harness.model.acknowledged == 0
-        harness.task.recorded(2, harness.core.instances["i-1"].life)
+        harness.task.mark_recorded(
+            2, harness.scheduler.instances["i-1"].incarnation
+        )
         gevent.sleep(0.5)
         assert harness.model.acknowledged == 2
         assert len(harness.model.noted) == 2
@@ -215,11 +219,11 @@
         self._newest = 10
 
     @property
-    def newest(self):
+    def newest_version(self):
         self._newest += 1
         return self._newest
 
-    def may_order(self):
+    def may_operate_machines(self):
         return True
 
 
@@ -235,12 +239,12 @@
     names = ("m-1", "m-2")
     clock = manual.ManualClock()
     machines = _Machines(lost)
-    driver = wave_driver.WaveDriver(
-        fleets.new_core(),
+    driver = wave_controller.WaveController(
+        fleet_builders.new_scheduler(),
         machines,
-        upkeep.Board(*names),
+        wave_doubles.WaveStore(*names),
         _Term(),
-        fleets.deployment().bounds,
+        fleet_builders.deployment().bounds,
         lambda: {"spare": 0},
         frozenset,
         clock,
@@ -266,4 +270,4 @@
     assert len(tokens) == lost + 1
     assert tokens == sorted(set(tokens))
     wave = driver._waves["wave/1"]
-    assert waves.down(wave) == 1
+    assert waves.count_in_maintenance(wave) == 1
--- a/tests/failures/test_lost_store_answers.py
+++ b/tests/failures/test_lost_store_answers.py
@@ -4,12 +4,12 @@
 
 import gevent
 
-from tests.common import fleets
+from tests.common import fleet_builders
 from vanillaswitch.coordination import answer_times
 from vanillaswitch.coordination import prompt_table
-from vanillaswitch.coordination.fleet.intake import intake
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
-from vanillaswitch.coordination.fleet.ownership import succession
+from vanillaswitch.coordination.fleet.job_requests import job_store
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
+from vanillaswitch.coordination.fleet.ownership import owner_monitor
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import platform
 
@@ -61,19 +61,19 @@
         return row.version if row else platform.ABSENT
 
 
-def _recorder(table, clock):
-    recorder = recorders.Recorder(
-        table, clock, recorders.OwnerRow("edge-1", "a:1", "boot-1")
+def _writer(table, clock):
+    writer = fenced_writer.FencedWriter(
+        table, clock, fenced_writer.OwnerRow("edge-1", "a:1", "boot-1")
     )
-    assert recorder.take_over(platform.ABSENT, 0.0)
-    return recorder
+    assert writer.take_over(platform.ABSENT, 0.0)
+    return writer
 
 
-def _longest_write_s(recorder, clock, writes):
+def _longest_write_s(writer, clock, writes):
     longest = 0.0
     for _ in range(writes):
-        before = recorder.confirmed_at
-        recorder.write([])
+        before = writer.confirmed_at
+        writer.write([])
         longest = max(longest, clock.monotonic() - before)
     return longest
 
@@ -89,10 +89,10 @@
     clock = clocks.SystemClock()
     store = _Store(random.Random(5), loss_rate=0.35)
     table = prompt_table.PromptTable(store, clock)
-    recorder = _recorder(table, clock)
-    longest_s = _longest_write_s(recorder, clock, 60)
-    assert longest_s < succession.SUSPECT_AFTER_S
-    assert not recorder.deposed
+    writer = _writer(table, clock)
+    longest_s = _longest_write_s(writer, clock, 60)
+    assert longest_s < owner_monitor.SUSPECT_AFTER_S
+    assert not writer.is_term_over
 
 
 def test_writes_to_a_slow_store_are_rarely_sent_again():
@@ -103,12 +103,12 @@
     """
     clock = clocks.SystemClock()
     store = _Store(random.Random(1), slowdown=60.0)
-    recorder = _recorder(prompt_table.PromptTable(store, clock), clock)
-    _longest_write_s(recorder, clock, 2)
+    writer = _writer(prompt_table.PromptTable(store, clock), clock)
+    _longest_write_s(writer, clock, 2)
     before = store.writes
-    _longest_write_s(recorder, clock, 4)
+    _longest_write_s(writer, clock, 4)
     assert store.writes - before <= 5
-    assert not recorder.deposed
+    assert not writer.is_term_over
 
 
 def test_a_client_soon_learns_that_its_job_was_accepted():
@@ -119,12 +119,12 @@
     """
     clock = clocks.SystemClock()
     store = _Store(random.Random(1), loss_rate=1.0)
-    intake_ = intake.Intake(
+    intake_ = job_store.JobStore(
         prompt_table.PromptTable(store, clock), clock, "boot", lambda: 0.0
     )
     started_at = clock.monotonic()
-    verdict = intake_.submit(fleets.job(), started_at + 3.0)
-    assert verdict is intake.Verdict.ACCEPTED
+    verdict = intake_.submit(fleet_builders.job(), started_at + 3.0)
+    assert verdict is job_store.RequestResult.ACCEPTED
     assert clock.monotonic() - started_at < 2 * answer_times.FIRST_S
 
 
--- a/tests/failures/test_owner_gives_way.py
+++ b/tests/failures/test_owner_steps_down.py
@@ -3,12 +3,12 @@
 import pytest
 
 from tests.common import clocks
-from tests.common import terms
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
-from vanillaswitch.coordination.fleet.ownership import succession
+from tests.common import ownership_terms
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
+from vanillaswitch.coordination.fleet.ownership import owner_monitor
 from vanillaswitch.protocol import platform
 
-_OTHER = recorders.OwnerRow("edge-2", "10.0.0.2:1", "boot-2")
+_OTHER = fenced_writer.OwnerRow("edge-2", "10.0.0.2:1", "boot-2")
 _RUN_S = 20.0
 
 
@@ -56,7 +56,7 @@
     clock = clocks.ManualClock()
     table = _TakenMeanwhile(clock)
     answers = iter([True])
-    member = terms.member(
+    member = ownership_terms.member(
         table, clock, ask_term_ended=lambda *_: next(answers, False)
     )
     with pytest.raises(_EndOfRunError):
@@ -66,9 +66,9 @@
 
 def test_a_term_that_was_ended_delays_no_machine_operations():
     """Guards against idle machine operations after an owner stepped down."""
-    monitor = succession.Succession()
-    monitor.observed(_OTHER, 5, 0.0, 0.0)
+    monitor = owner_monitor.OwnerMonitor()
+    monitor.on_row_read(_OTHER, 5, 0.0, 0.0)
     monitor.on_term_ended()
-    assert monitor.orders_from(3.0, 0.8) == 0.8
-    monitor.observed(_OTHER, 6, 1.0, 1.0)
-    assert monitor.orders_from(3.0, 1.0) == 4.0
+    assert monitor.operations_allowed_from(3.0, 0.8) == 0.8
+    monitor.on_row_read(_OTHER, 6, 1.0, 1.0)
+    assert monitor.operations_allowed_from(3.0, 1.0) == 4.0
--- a/tests/failures/test_part_of_store_away.py
+++ b/tests/failures/test_partly_unavailable_store.py
@@ -1,17 +1,17 @@
 """Change of owner while a part of the store is unavailable."""
 
 from tests.common import clocks as manual
-from tests.common import fleets
-from tests.common import terms
-from vanillaswitch.coordination.fleet import follow
-from vanillaswitch.coordination.fleet.intake import job_rows
+from tests.common import fleet_builders
+from tests.common import ownership_terms
+from vanillaswitch.coordination.fleet import table_follower
+from vanillaswitch.coordination.fleet.job_requests import job_rows
 from vanillaswitch.internal import clock as clocks
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import platform
 
-_TASK = jobs.TaskName(fleets.job(1).job_id, 0, 0, 0)
+_TASK = jobs.TaskName(fleet_builders.job(1).job_id, 0, 0, 0)
 
 
 class _Table:
@@ -37,7 +37,7 @@
         self.failures_left = 0
         self.reads = 0
         self.rows = {
-            "servers": [feeds.Change("i-1", {}, 1)],
+            "servers": [change_feeds.RowChange("i-1", {}, 1)],
             "progress": [],
             "cancel": [],
             "job": [],
@@ -46,42 +46,42 @@
     def snapshot(self, table, parts=()):
         rows = tuple(self.rows[table])
         if table != "job":
-            return feeds.Snapshot(rows, 1)
+            return change_feeds.Snapshot(rows, 1)
         self.reads += 1
         if self.failures_left:
             self.failures_left -= 1
             if parts:
                 return platform.Unavailable("status 503")
-            return feeds.Snapshot(rows[:1], 1, ("second",), "status 503")
-        return feeds.Snapshot(rows[1:] if parts else rows, 1)
+            return change_feeds.Snapshot(rows[:1], 1, ("second",), "status 503")
+        return change_feeds.Snapshot(rows[1:] if parts else rows, 1)
 
     def changes(self, table, after, wait_s):
         del table, wait_s
-        return feeds.Changes((), after)
+        return change_feeds.ChangeBatch((), after)
 
 
 def _assigned(job, instance):
     """Returns the progress row of a job with a task on an instance."""
-    core = fleets.new_core()
-    fleets.adopt(core, instance)
-    core.job_added(job, 0.0)
-    core.plan(0.0, fleets.WALL_MS)
-    return core.take_batch(10).entries[0].pack()
+    scheduler = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(scheduler, instance)
+    scheduler.add_job(job, 0.0)
+    scheduler.plan(0.0, fleet_builders.WALL_MS)
+    return scheduler.take_batch(10).entries[0].to_document()
 
 
 def _owner(feed, clock):
-    return terms.begin(_Table(), feed, clock)
+    return ownership_terms.begin_term(_Table(), feed, clock)
 
 
 def _feed_with_two_jobs():
     feed = _Feed()
-    running, waiting = fleets.job(1), fleets.job(2)
+    running, waiting = fleet_builders.job(1), fleet_builders.job(2)
     feed.rows["job"] = [
-        feeds.Change(job.job_id, job_rows.pack(job), 1)
+        change_feeds.RowChange(job.job_id, job_rows.pack(job), 1)
         for job in (waiting, running)
     ]
     feed.rows["progress"] = [
-        feeds.Change(running.job_id, _assigned(running, "i-1"), 1)
+        change_feeds.RowChange(running.job_id, _assigned(running, "i-1"), 1)
     ]
     return feed
 
@@ -97,13 +97,17 @@
     feed.failures_left = 1
     owner = _owner(feed, clocks.SystemClock())
     assert owner.load()
-    core = owner.core
-    assert [entry.job.job_id for entry in core.book] == [fleets.job(2).job_id]
-    running = fleet.Running(_TASK, 1, "", 40.0)
-    core.held("i-1", fleets.held((), (running,)), 0.0, 0.0)
-    assert not core.take_stops(), "a run of an unread job was stopped"
-    core.plan(0.0, fleets.WALL_MS)
-    assert not core.take_batch(10).starts, (
+    scheduler = owner.scheduler
+    assert [entry.job.job_id for entry in scheduler.tracker] == [
+        fleet_builders.job(2).job_id
+    ]
+    running = fleet.RunStatus(_TASK, 1, "", 40.0)
+    scheduler.handle_status_report(
+        "i-1", fleet_builders.status_report((), (running,)), 0.0, 0.0
+    )
+    assert not scheduler.take_stops(), "a run of an unread job was stopped"
+    scheduler.plan(0.0, fleet_builders.WALL_MS)
+    assert not scheduler.take_batch(10).starts, (
         "a start uses the capacity of an unread job's run"
     )
 
@@ -118,16 +122,18 @@
     feed.failures_left = 1
     owner = _owner(feed, clocks.SystemClock())
     assert owner.load()
-    core = owner.core
-    end = fleet.End(1, _TASK, 1, fleet.How.DONE, "")
-    core.held("i-1", fleets.held((end,)), 0.0, 0.0)
-    assert core.take_batch(10).seen == {"i-1": 0}
-    owner._tables._jobs._step()
-    entry = core.book.get(_TASK.job_id)
+    scheduler = owner.scheduler
+    end = fleet.RunEnd(1, _TASK, 1, fleet.RunOutcome.DONE, "")
+    scheduler.handle_status_report(
+        "i-1", fleet_builders.status_report((end,)), 0.0, 0.0
+    )
+    assert scheduler.take_batch(10).recorded_ends == {"i-1": 0}
+    owner._job_tables._jobs._poll()
+    entry = scheduler.tracker.get(_TASK.job_id)
     assert entry.task(_TASK).state == "d"
-    core.plan(0.0, fleets.WALL_MS)
-    batch = core.take_batch(10)
-    assert batch.seen == {"i-1": 1}
+    scheduler.plan(0.0, fleet_builders.WALL_MS)
+    batch = scheduler.take_batch(10)
+    assert batch.recorded_ends == {"i-1": 1}
     assert _TASK not in [start.task for start in batch.starts]
 
 
@@ -150,7 +156,7 @@
     feed.snapshot = snapshot
     owner = _owner(feed, clocks.SystemClock())
     assert owner.load()
-    assert len(owner.core.book) == 2
+    assert len(owner.scheduler.tracker) == 2
 
 
 def test_a_follower_reads_missing_parts_once_they_are_available():
@@ -158,7 +164,7 @@
     feed = _feed_with_two_jobs()
     feed.failures_left = 2
     seen, emitted = [], []
-    follower = follow.Follower(
+    follower = table_follower.Follower(
         feed,
         "job",
         manual.ManualClock(),
@@ -166,13 +172,13 @@
         lambda rows: seen.extend(row.key for row in rows),
         emitted.append,
     )
-    follower._step()
+    follower._poll()
     assert len(seen) == 1
-    assert not follower.whole
-    follower._step()
-    follower._step()
+    assert not follower.is_complete
+    follower._poll()
+    follower._poll()
     assert len(seen) == 2
-    assert follower.whole
+    assert follower.is_complete
     assert [event.state for event in emitted] == ["lost in part", "back"]
 
 
@@ -184,30 +190,32 @@
     instances list. If it stops them as unknown once it has read the job, it
     ignores the disruption budget.
     """
-    before = fleets.new_core()
+    before = fleet_builders.new_scheduler()
     names = ("i-1", "i-2", "i-3")
-    fleets.adopt(before, *names)
+    fleet_builders.add_instances(before, *names)
     service = jobs.Step(
         count=3, cpu=100, long_running=True, may_miss=1, anti_affinity=1
     )
-    job = fleets.job(steps=(service,))
-    before.job_added(job, 0.0)
-    fleets.run_all(before, fleets.plan(before), percent=100.0)
+    job = fleet_builders.job(steps=(service,))
+    before.add_job(job, 0.0)
+    fleet_builders.accept_starts(
+        before, fleet_builders.plan_batch(before), percent=100.0
+    )
     listed = {name: list(before.instances[name].runs) for name in names}
     for name in names:
-        before.silent(name, 20.0)
-    before.lapse(20.0)
-    row = before.book.get(job.job_id).pack()
-    core = fleets.new_core()
-    core.unread = {job.job_id}
+        before.mark_unresponsive(name, 20.0)
+    before.release_expired_leases(20.0)
+    row = before.tracker.get(job.job_id).to_document()
+    scheduler = fleet_builders.new_scheduler()
+    scheduler.unreadable_jobs = {job.job_id}
     for name in names:
-        core.registered(fleets.registration(name), 21.0)
-    core.inherit_runs(21.0, 35.0)
+        scheduler.handle_registration(fleet_builders.registration(name), 21.0)
+    scheduler.recover_runs(21.0, 35.0)
     for name in names:
-        rows = [fleet.Running(*key, "", 100.0) for key in listed[name]]
-        fleets.show(core, {name: rows}, 21.1)
-    core.unread = set()
-    assert core.restore_late(job, row, 1, 22.0, 36.0) is None
-    assert not core.take_stops()
-    assert {n: list(core.instances[n].runs) for n in names} == listed
-    assert not fleets.plan(core, 22.1).starts
+        rows = [fleet.RunStatus(*key, "", 100.0) for key in listed[name]]
+        fleet_builders.report_running(scheduler, {name: rows}, 21.1)
+    scheduler.unreadable_jobs = set()
+    assert scheduler.restore_deferred(job, row, 1, 22.0, 36.0) is None
+    assert not scheduler.take_stops()
+    assert {n: list(scheduler.instances[n].runs) for n in names} == listed
+    assert not fleet_builders.plan_batch(scheduler, 22.1).starts
--- a/tests/failures/test_silent_store.py
+++ b/tests/failures/test_silent_store.py
@@ -5,15 +5,15 @@
 
 from standins import edge_http
 from tests.common import clocks as manual
-from tests.common import fleets
+from tests.common import fleet_builders
 from vanillaswitch.coordination import prompt_table
-from vanillaswitch.coordination.fleet import follow
-from vanillaswitch.coordination.fleet.intake import intake
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
-from vanillaswitch.coordination.fleet.ownership import succession
+from vanillaswitch.coordination.fleet import table_follower
+from vanillaswitch.coordination.fleet.job_requests import job_store
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
+from vanillaswitch.coordination.fleet.ownership import owner_monitor
 from vanillaswitch.internal import clock as clocks
-from vanillaswitch.platform import store as stores
-from vanillaswitch.protocol import feeds
+from vanillaswitch.platform import http_table
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import minions
 from vanillaswitch.protocol import platform
 from vanillaswitch.protocol import requests
@@ -49,12 +49,18 @@
     """
     table = _Table()
     silent_s = [5.0]
-    intake_ = intake.Intake(
+    intake_ = job_store.JobStore(
         table, manual.ManualClock(), "boot", lambda: silent_s[0]
     )
-    assert intake_.submit(fleets.job(), 2000.0) is intake.Verdict.NOT_DONE
-    assert intake_.cancel("ab", True, 2000.0) is intake.Verdict.NOT_DONE
-    assert isinstance(intake_.state("ab"), intake.Unknown)
+    assert (
+        intake_.submit(fleet_builders.job(), 2000.0)
+        is job_store.RequestResult.NOT_APPLIED
+    )
+    assert (
+        intake_.cancel("ab", True, 2000.0)
+        is job_store.RequestResult.NOT_APPLIED
+    )
+    assert isinstance(intake_.state("ab"), job_store.StateUnknown)
     assert table.commits == 0
 
 
@@ -66,11 +72,11 @@
     time.
     """
     clock = manual.ManualClock()
-    intake_ = intake.Intake(_Table(), clock, "boot", lambda: 0.0)
+    intake_ = job_store.JobStore(_Table(), clock, "boot", lambda: 0.0)
     started_at = clock.monotonic()
-    verdict = intake_.submit(fleets.job(), started_at + 60.0)
-    assert verdict is intake.Verdict.UNKNOWN
-    assert clock.monotonic() - started_at <= intake.ATTEMPT_S + 0.5
+    verdict = intake_.submit(fleet_builders.job(), started_at + 60.0)
+    assert verdict is job_store.RequestResult.UNKNOWN
+    assert clock.monotonic() - started_at <= job_store.COMMIT_TIMEOUT_S + 0.5
 
 
 def test_silence_of_the_store_and_its_end_are_noticed():
@@ -82,15 +88,17 @@
     clock = clocks.SystemClock()
     put = platform.Put("job/a", 0, {})
     with outside.serving(), plain_http.open_client(clock) as client:
-        store = stores.Store(client, outside.address, clock, lambda _: None)
-        assert store.unanswered_s == 0.0
+        store = http_table.HttpTable(
+            client, outside.address, clock, lambda _: None
+        )
+        assert store.unresponsive_s == 0.0
         outside.rows.lose_answers = True
         call = gevent.spawn(store.commit, platform.Transaction("lost", (put,)))
         gevent.sleep(0.3)
-        assert 0.25 < store.unanswered_s < 1.0
+        assert 0.25 < store.unresponsive_s < 1.0
         outside.rows.lose_answers = False
         store.read(["job/a"])
-        assert store.unanswered_s == 0.0
+        assert store.unresponsive_s == 0.0
         call.kill()
 
 
@@ -127,13 +135,13 @@
     """Guards against an idle second and a lost term after an outage."""
     clock = clocks.SystemClock()
     store = _SilentUntil(silent_s)
-    recorder = recorders.Recorder(
+    writer = fenced_writer.FencedWriter(
         prompt_table.PromptTable(store, clock),
         clock,
-        recorders.OwnerRow("edge-1", "a:1", "boot-1"),
+        fenced_writer.OwnerRow("edge-1", "a:1", "boot-1"),
     )
-    assert isinstance(recorder.write([]), recorders.Written)
-    assert clock.monotonic() - store.back_at < succession.SUSPECT_AFTER_S
+    assert isinstance(writer.write([]), fenced_writer.Written)
+    assert clock.monotonic() - store.back_at < owner_monitor.SUSPECT_AFTER_S
 
 
 @pytest.mark.parametrize("silent_s", [0.8, 1.3, 1.6])
@@ -143,8 +151,8 @@
     store = _SilentUntil(silent_s)
     table = prompt_table.PromptTable(store, clock)
     while isinstance(table.read(["owner/fleet"]), platform.Unavailable):
-        clock.sleep(succession.SUSPECT_READ_INTERVAL_S)
-    assert clock.monotonic() - store.back_at < succession.READ_INTERVAL_S
+        clock.sleep(owner_monitor.SUSPECT_READ_INTERVAL_S)
+    assert clock.monotonic() - store.back_at < owner_monitor.READ_INTERVAL_S
 
 
 class _Client:
@@ -173,7 +181,9 @@
 def test_a_call_ends_when_another_shows_that_the_store_is_back(ask):
     """Guards against new jobs that are noticed a second after an outage."""
     client = _Client()
-    store = stores.Store(client, "a:1", clocks.SystemClock(), lambda _: None)
+    store = http_table.HttpTable(
+        client, "a:1", clocks.SystemClock(), lambda _: None
+    )
     lost_read = gevent.spawn(store.read, ["job/a"])
     gevent.sleep(0.8)
     asked = gevent.spawn(ask, store)
@@ -195,12 +205,14 @@
         del table, wait_s
         if after < 50:
             return platform.Unavailable("no whole answer in time")
-        return feeds.Changes((), after)
+        return change_feeds.ChangeBatch((), after)
 
     def snapshot(self, table, parts=()):
         del table, parts
         self.reads += 1
-        return feeds.Snapshot((feeds.Change("config", {}, 60),), 60)
+        return change_feeds.Snapshot(
+            (change_feeds.RowChange("config", {}, 60),), 60
+        )
 
 
 def test_a_table_with_too_many_changes_is_read_as_a_whole():
@@ -210,18 +222,18 @@
     """
     received = []
     feed = _ManyChanges()
-    follower = follow.Follower(
+    follower = table_follower.Follower(
         feed,
         "op",
         manual.ManualClock(),
         lambda snapshot: received.extend(snapshot.rows),
         received.extend,
         lambda _: None,
-        rereads=True,
+        resync_after_failure=True,
     )
-    follower.start_from(feeds.Snapshot((), 1))
+    follower.resume_from(change_feeds.Snapshot((), 1))
     for _ in range(3):
-        follower._step()
+        follower._poll()
     assert [change.version for change in received] == [60]
     assert feed.reads == 1
-    assert not follower.failing
+    assert not follower.is_failing
--- a/tests/failures/test_slow_link.py
+++ b/tests/failures/test_slow_link.py
@@ -4,11 +4,11 @@
 
 from standins import table as tables
 from tests.common import clocks as manual
-from tests.common import fleets
-from tests.common import terms
-from vanillaswitch.coordination.fleet.intake import job_rows
-from vanillaswitch.coordination.fleet.ownership import succession
-from vanillaswitch.protocol import feeds
+from tests.common import fleet_builders
+from tests.common import ownership_terms
+from vanillaswitch.coordination.fleet.job_requests import job_rows
+from vanillaswitch.coordination.fleet.ownership import owner_monitor
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import jobs
 
 ENDED_JOBS = 400
@@ -29,11 +29,11 @@
         rows = tuple(self._rows.get(table, ()))
         size = sum(len(json.dumps(row.value)) for row in rows)
         self.read_s += size / LINK_BYTES_PER_S
-        return feeds.Snapshot(rows, 1)
+        return change_feeds.Snapshot(rows, 1)
 
     def changes(self, table, after, wait_s):
         del table, wait_s
-        return feeds.Changes((), after)
+        return change_feeds.ChangeBatch((), after)
 
 
 def test_ended_jobs_do_not_delay_a_change_of_owner():
@@ -45,11 +45,17 @@
     """
     rows = {"job": [], "progress": []}
     for number in range(ENDED_JOBS):
-        job = fleets.job(number, spec="x" * SPEC_BYTES)
+        job = fleet_builders.job(number, spec="x" * SPEC_BYTES)
         ended = {"ended": jobs.JobState.COMPLETED.value, "started": True}
-        rows["job"].append(feeds.Change(job.job_id, job_rows.pack(job), number))
-        rows["progress"].append(feeds.Change(job.job_id, ended, number))
+        rows["job"].append(
+            change_feeds.RowChange(job.job_id, job_rows.pack(job), number)
+        )
+        rows["progress"].append(
+            change_feeds.RowChange(job.job_id, ended, number)
+        )
     feed = _Feed(rows)
-    owner = terms.begin(tables.MemoryTable(), feed, manual.ManualClock())
-    assert owner._read_all()
-    assert feed.read_s < succession.TERM_S
+    owner = ownership_terms.begin_term(
+        tables.MemoryTable(), feed, manual.ManualClock()
+    )
+    assert owner._load_tables()
+    assert feed.read_s < owner_monitor.TERM_TIMEOUT_S
--- a/tests/failures/test_slow_processor.py
+++ b/tests/failures/test_slow_processor.py
@@ -2,10 +2,10 @@
 
 from standins import table as tables
 from tests.common import clocks as manual
-from tests.common import fleets
-from tests.common import terms
+from tests.common import fleet_builders
+from tests.common import ownership_terms
 from vanillaswitch.coordination.fleet.queue import queue_order
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 
 _PLAN_S = 0.11
 """Duration of a plan with 400 waiting jobs on 0.12 of a core."""
@@ -18,7 +18,7 @@
 
     def snapshot(self, table, parts=()):
         del table, parts
-        return feeds.Snapshot((), 1)
+        return change_feeds.Snapshot((), 1)
 
 
 def test_plans_leave_an_owner_time_for_its_starts_and_renewals():
@@ -30,22 +30,22 @@
     and the next owner fails in the same way.
     """
     clock = manual.ManualClock()
-    owner = terms.begin(tables.MemoryTable(), _Feed(), clock)
+    owner = ownership_terms.begin_term(tables.MemoryTable(), _Feed(), clock)
     planned = []
 
     def plan(now, wall_ms):
         del now, wall_ms
         clock.advance(_PLAN_S)
         planned.append(clock.monotonic())
-        owner.core._changed = True
-        owner._wake.set()
+        owner.scheduler._needs_plan = True
+        owner._replan_event.set()
         if len(planned) == _PLANS:
-            owner._recorder.depose()
+            owner._writer.end_term()
 
-    owner.core.plan = plan
-    owner._wake.set()
+    owner.scheduler.plan = plan
+    owner._replan_event.set()
     began = clock.monotonic()
-    owner._plan_all()
+    owner._run_planning()
     total_s = clock.monotonic() - began
     assert total_s / 4 >= _PLANS * _PLAN_S
 
@@ -57,11 +57,11 @@
     of the job three times for each open step. With 400 jobs that waited for a
     full pool it took 14 ms instead of 4 ms.
     """
-    core = fleets.new_core()
-    fleets.adopt(core, "i-1")
+    scheduler = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(scheduler, "i-1")
     for number in range(50):
-        core.job_added(fleets.job(number), 0.0)
-    fleets.plan(core)
+        scheduler.add_job(fleet_builders.job(number), 0.0)
+    fleet_builders.plan_batch(scheduler)
     computed = []
     critical_path_ms = queue_order.critical_path_ms
 
@@ -70,5 +70,5 @@
         return critical_path_ms(job, done)
 
     monkeypatch.setattr(queue_order, "critical_path_ms", recording)
-    fleets.plan(core)
+    fleet_builders.plan_batch(scheduler)
     assert not computed
--- a/tests/failures/test_slow_writes.py
+++ b/tests/failures/test_slow_writes.py
@@ -1,8 +1,8 @@
 """An owner whose writes are answered late, by a slow store."""
 
 from tests.common import clocks as manual
-from tests.common import terms
-from vanillaswitch.coordination.fleet.ownership import recorder as recorders
+from tests.common import ownership_terms
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.protocol import platform
 
 _WRITE_S = 0.9
@@ -28,12 +28,12 @@
 
 def _owner(clock, table):
     """Returns a process that owns the fleet, and its recorder."""
-    member = terms.member(table, clock)
-    me = recorders.OwnerRow("edge-1", "a:1", "boot-1")
-    recorder = recorders.Recorder(table, clock, me)
-    assert recorder.take_over(platform.ABSENT, 0.0)
-    member._recorder = recorder
-    return member, recorder
+    member = ownership_terms.member(table, clock)
+    me = fenced_writer.OwnerRow("edge-1", "a:1", "boot-1")
+    writer = fenced_writer.FencedWriter(table, clock, me)
+    assert writer.take_over(platform.ABSENT, 0.0)
+    member._writer = writer
+    return member, writer
 
 
 def test_an_owner_that_waits_for_a_slow_write_keeps_the_fleet():
@@ -46,13 +46,13 @@
     """
     clock = manual.ManualClock()
     table = _SlowTable(clock)
-    member, recorder = _owner(clock, table)
-    recorder.write([])
+    member, writer = _owner(clock, table)
+    writer.write([])
     stepped_down = []
     table.on_commit = lambda: stepped_down.append(
-        member.yield_term(_PATIENCE_S)
+        member.step_down_if_stale(_PATIENCE_S)
     )
-    recorder.write([])
+    writer.write([])
     assert stepped_down == [False]
 
 
@@ -60,4 +60,4 @@
     clock = manual.ManualClock()
     member, _ = _owner(clock, _SlowTable(clock))
     clock.advance(_PATIENCE_S)
-    assert member.yield_term(_PATIENCE_S)
+    assert member.step_down_if_stale(_PATIENCE_S)
--- a/tests/failures/test_soak.py
+++ b/tests/failures/test_soak.py
@@ -105,7 +105,7 @@
     """The soak passes over a task that crashes instances without end."""
     world = _World()
     world.record.crashes = True
-    order = fleet.Start(_FIRST, 1, "a", "", 1, 60_000)
+    order = fleet.StartRequest(_FIRST, 1, "a", "", 1, 60_000)
     for number in range(1, 7):
         name = f"i-{number % 2}"
         world.start(name, run_number=number)
@@ -149,13 +149,13 @@
             self.promises.watch(model)
 
     def start(self, name, task=_FIRST, run_number=1, spec="a"):
-        order = fleet.Start(task, run_number, spec, "", 1, 60_000)
+        order = fleet.StartRequest(task, run_number, spec, "", 1, 60_000)
         self.models[name].start(order, self.promises.need(order))
         self.promises.started(name, order)
 
     def end(self, name, task=_FIRST, seen=1):
-        self.models[name].end(task, fleet.How.DONE)
-        self.models[name].hold(1, seen, None)
+        self.models[name].end(task, fleet.RunOutcome.DONE)
+        self.models[name].renew_lease(1, seen, None)
 
     def kinds(self):
         return [line.split()[2].rstrip(":") for line in self.promises.broken]
@@ -263,7 +263,7 @@
     first, second, _ = _service(world)
     world.promises.ends_by_order("i-1", first)
     assert not world.promises.broken
-    world.models["i-1"].end(first, fleet.How.STOPPED)
+    world.models["i-1"].end(first, fleet.RunOutcome.STOPPED)
     world.promises.look()
     world.promises.ends_by_order("i-0", second)
     assert len(world.promises.broken) == 1
@@ -282,4 +282,4 @@
     world.clock.now += promise_lib.NOTICE_S
     world.promises.ends_by_order("i-0", second)
     assert world.promises.broken
-    assert first.label in world.promises.broken[0]
+    assert first.path_in_job in world.promises.broken[0]
--- a/tests/failures/test_specs_of_a_new_owner.py
+++ b/tests/failures/test_specs_of_a_new_owner.py
@@ -4,9 +4,11 @@
 
 from standins import table as tables
 from tests.common import clocks
-from tests.common import fleets
-from vanillaswitch.coordination.fleet.intake import intake as intakes
-from vanillaswitch.coordination.fleet.intake import job_rows
+from tests.common import fleet_builders
+from vanillaswitch.coordination.fleet.job_requests import job_rows
+from vanillaswitch.coordination.fleet.job_requests import (
+    job_store as job_stores,
+)
 from vanillaswitch.coordination.fleet.ownership import spec_table
 
 _LONG_SPEC = "x" * (job_rows.INLINE_SPEC_BYTES + 1)
@@ -20,17 +22,17 @@
 class _PauseCounter(clocks.ManualClock):
     """Counts the pauses during which specs are waiting to be read."""
 
-    def __init__(self, core):
+    def __init__(self, scheduler):
         super().__init__()
-        self._core = core
+        self._scheduler = scheduler
         self.pauses = 0
 
     def sleep(self, seconds):
         super().sleep(seconds)
         missing = [
             job_id
-            for job_id in self._core.without_spec
-            if self._core.book.get(job_id).spec is None
+            for job_id in self._scheduler.jobs_without_spec
+            if self._scheduler.tracker.get(job_id).spec is None
         ]
         if not missing:
             raise _NothingLeftError
@@ -44,22 +46,24 @@
     50 ms after each four. It sent 155 starts in its first second, where 240 had
     been decided, and a quarter of the jobs were late.
     """
-    table, core = tables.MemoryTable(), fleets.new_core()
-    intake = intakes.Intake(table, clocks.ManualClock(), "boot-1", lambda: 0.0)
-    fleets.adopt(core, "i-1", cpu=4000 * _JOBS)
+    table, scheduler = tables.MemoryTable(), fleet_builders.new_scheduler()
+    intake = job_stores.JobStore(
+        table, clocks.ManualClock(), "boot-1", lambda: 0.0
+    )
+    fleet_builders.add_instances(scheduler, "i-1", cpu=4000 * _JOBS)
     for number in range(1, _JOBS + 1):
-        job = fleets.job(number, spec=_LONG_SPEC)
+        job = fleet_builders.job(number, spec=_LONG_SPEC)
         intake.submit(job, 10.0)
         row = table.read([f"job/{job.job_id}"]).rows[0]
-        core.job_added(job_rows.unpack(row.value), 0.0)
-    fleets.plan(core)
-    assert len(core.without_spec) == _JOBS
-    clock = _PauseCounter(core)
+        scheduler.add_job(job_rows.unpack(row.value), 0.0)
+    fleet_builders.plan_batch(scheduler)
+    assert len(scheduler.jobs_without_spec) == _JOBS
+    clock = _PauseCounter(scheduler)
     specs = spec_table.SpecTable(
-        core, table, None, clock, lambda: 1, lambda _: None, lambda: None
+        scheduler, table, None, clock, lambda: 1, lambda _: None, lambda: None
     )
     with pytest.raises(_NothingLeftError):
         specs.read_missing()
     # At most one pause, before the first search.
     assert clock.pauses <= 1
-    assert len(fleets.plan(core).starts) == 2 * _JOBS
+    assert len(fleet_builders.plan_batch(scheduler).starts) == 2 * _JOBS
--- a/tests/failures/test_stop_in_take_over.py
+++ b/tests/failures/test_stop_in_take_over.py
@@ -8,7 +8,7 @@
 from soak import standing
 from standins import edge_http
 from standins import edge_processes
-from tests.common import terms
+from tests.common import ownership_terms
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import minions
 from vanillaswitch.protocol import platform
@@ -41,7 +41,7 @@
 
 
 def _loading_owner():
-    return terms.begin(
+    return ownership_terms.begin_term(
         _SilentAfterTakeOver(), _SilentFeed(), clocks.SystemClock()
     )
 
--- a/tests/failures/test_streams.py
+++ b/tests/failures/test_streams.py
@@ -21,7 +21,7 @@
 from vanillaswitch.transport import stream
 from vanillaswitch.transport import streams
 
-GUARD_S = peer_doubles.GUARD_S
+GUARD_S = peer_doubles.TIMEOUT_S
 LOOPBACK = "127.0.0.1:0"
 OFFER = peers.ConfigOffer(3, "d")
 
--- a/tests/failures/test_unanswered_starts.py
+++ b/tests/failures/test_unanswered_starts.py
@@ -1,7 +1,7 @@
 """Unanswered starts of tasks with a small disruption budget."""
 
-from tests.common import fleets
-from vanillaswitch.coordination.fleet.instances import orders
+from tests.common import fleet_builders
+from vanillaswitch.coordination.fleet.instances import order_outcomes
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 
@@ -10,10 +10,10 @@
 
 def _assigned():
     """Returns an owner and its starts of three long-running tasks."""
-    core = fleets.new_core()
-    fleets.adopt(core, "i-1")
-    core.job_added(fleets.job(steps=(_LONG_RUNNING,)), 0.0)
-    return core, fleets.plan(core, 1.0).starts
+    scheduler = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(scheduler, "i-1")
+    scheduler.add_job(fleet_builders.job(steps=(_LONG_RUNNING,)), 0.0)
+    return scheduler, fleet_builders.plan_batch(scheduler, 1.0).starts
 
 
 def test_unanswered_starts_are_not_stopped_beyond_the_disruption_budget():
@@ -22,22 +22,26 @@
     Their starts arrived and the answers got lost. After 1.5 s the owner gave
     up on both starts and stopped both tasks, which were serving.
     """
-    core, starts = _assigned()
-    late = 1.0 + orders.DOUBT_S
+    scheduler, starts = _assigned()
+    late = 1.0 + order_outcomes.START_ANSWER_TIMEOUT_S
     for start in starts:
         key = (start.task, start.run)
-        assert core.start_unanswered(start.instance, key, True, late)
-    assert not core.take_stops()
+        assert scheduler.handle_start_unanswered(
+            start.instance, key, True, late
+        )
+    assert not scheduler.take_stops()
 
 
 def test_an_unanswered_start_within_the_disruption_budget_is_stopped():
-    core, starts = _assigned()
-    fleets.run_all(core, _batch(starts[1:]), percent=100.0)
+    scheduler, starts = _assigned()
+    fleet_builders.accept_starts(scheduler, _batch(starts[1:]), percent=100.0)
     first = starts[0]
-    late = 1.0 + orders.DOUBT_S
+    late = 1.0 + order_outcomes.START_ANSWER_TIMEOUT_S
     key = (first.task, first.run)
-    assert not core.start_unanswered(first.instance, key, True, late)
-    assert len(core.take_stops()) == 1
+    assert not scheduler.handle_start_unanswered(
+        first.instance, key, True, late
+    )
+    assert len(scheduler.take_stops()) == 1
 
 
 def _batch(starts):
@@ -55,14 +59,16 @@
     A slow owner sent the start over a second after its decision, and counted
     the answer timeout from the decision.
     """
-    core, starts = _assigned()
-    fleets.run_all(core, _batch(starts[1:]), percent=100.0)
+    scheduler, starts = _assigned()
+    fleet_builders.accept_starts(scheduler, _batch(starts[1:]), percent=100.0)
     first = starts[0]
     key = (first.task, first.run)
-    sent_at = 1.0 + orders.DOUBT_S
+    sent_at = 1.0 + order_outcomes.START_ANSWER_TIMEOUT_S
     now = sent_at + 0.7
-    assert core.start_unanswered(first.instance, key, True, now, sent_at)
-    assert not core.take_stops()
+    assert scheduler.handle_start_unanswered(
+        first.instance, key, True, now, sent_at
+    )
+    assert not scheduler.take_stops()
 
 
 def test_refused_copies_of_unanswered_starts_do_not_exceed_the_budget():
@@ -75,35 +81,35 @@
     an earlier copy is unanswered" and as many unavailable tasks as the budget
     allows.
     """
-    core, starts = _assigned()
+    scheduler, starts = _assigned()
     for start in starts:
         key = (start.task, start.run)
-        assert core.start_unanswered(start.instance, key, True, 1.8)
-        again = core.start_refused(
-            start.instance, key, fleet.Reason.UNHEALTHY, False, 2.0
+        assert scheduler.handle_start_unanswered(start.instance, key, True, 1.8)
+        again = scheduler.handle_start_refused(
+            start.instance, key, fleet.RefusalReason.UNHEALTHY, False, 2.0
         )
         assert again, "the next report or answer shows whether it started"
-    assert not core.take_stops()
+    assert not scheduler.take_stops()
 
 
 def test_a_confirmed_run_is_not_stopped_after_a_refused_copy():
     """Guards against restarting a task because a copy was refused."""
-    core, starts = _assigned()
-    fleets.run_all(core, _batch(starts), percent=100.0)
+    scheduler, starts = _assigned()
+    fleet_builders.accept_starts(scheduler, _batch(starts), percent=100.0)
     first = starts[0]
     key = (first.task, first.run)
-    assert not core.start_refused(
-        first.instance, key, fleet.Reason.UNHEALTHY, False, 2.1
+    assert not scheduler.handle_start_refused(
+        first.instance, key, fleet.RefusalReason.UNHEALTHY, False, 2.1
     )
-    assert not core.take_stops()
+    assert not scheduler.take_stops()
 
 
 def test_a_refused_copy_stops_an_unconfirmed_run_within_the_budget():
-    core, starts = _assigned()
-    fleets.run_all(core, _batch(starts[1:]), percent=100.0)
+    scheduler, starts = _assigned()
+    fleet_builders.accept_starts(scheduler, _batch(starts[1:]), percent=100.0)
     first = starts[0]
     key = (first.task, first.run)
-    assert not core.start_refused(
-        first.instance, key, fleet.Reason.UNHEALTHY, False, 2.1
+    assert not scheduler.handle_start_refused(
+        first.instance, key, fleet.RefusalReason.UNHEALTHY, False, 2.1
     )
-    assert len(core.take_stops()) == 1
+    assert len(scheduler.take_stops()) == 1
--- a/tests/failures/test_unlisted_instance.py
+++ b/tests/failures/test_unlisted_instance.py
@@ -3,9 +3,9 @@
 import gevent
 import gevent.event
 
-from tests.common import fleets
-from vanillaswitch.coordination.fleet.instances import instance_task
-from vanillaswitch.coordination.fleet.instances import instance_tasks
+from tests.common import fleet_builders
+from vanillaswitch.coordination.fleet.instances import instance_client
+from vanillaswitch.coordination.fleet.instances import instance_clients
 from vanillaswitch.coordination.fleet.instances import term_state
 from vanillaswitch.coordination.fleet.machines import evacuation
 from vanillaswitch.internal import clock as clocks
@@ -26,12 +26,12 @@
         self._running = running
         self.addresses = []
 
-    def hold(self, target, *_args):
+    def renew_lease(self, target, *_args):
         self.addresses.append(target.address)
         if not target.address:
             raise ValueError("no address")
         gevent.sleep(0.05)
-        return fleet.Held(0.0, self._running, ())
+        return fleet.StatusReport(0.0, self._running, ())
 
     def stop(self, target, *_args):
         raise AssertionError(f"a stop for {target}")
@@ -45,38 +45,38 @@
     ends the greenlet that polls it, the instance is not polled after it
     registers again, and its work is lost.
     """
-    previous = fleets.new_core()
-    fleets.adopt(previous, "i-1")
-    previous.job_added(fleets.job(steps=(jobs.Step(count=1),)), 0.0)
-    start = fleets.plan(previous).starts[0]
-    entry = previous.book.get(fleets.job().job_id)
-    core = fleets.new_core()
-    core.restore(entry.job, entry.pack(), 1, 0.0)
-    assert core.inherit_runs(0.0, 1e9) == ["i-1"]
-    running = (fleet.Running(start.task, start.run, "", 10.0),)
+    previous = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(previous, "i-1")
+    previous.add_job(fleet_builders.job(steps=(jobs.Step(count=1),)), 0.0)
+    start = fleet_builders.plan_batch(previous).starts[0]
+    entry = previous.tracker.get(fleet_builders.job().job_id)
+    scheduler = fleet_builders.new_scheduler()
+    scheduler.restore(entry.job, entry.to_document(), 1, 0.0)
+    assert scheduler.recover_runs(0.0, 1e9) == ["i-1"]
+    running = (fleet.RunStatus(start.task, start.run, "", 10.0),)
     upstreams = _Upstreams(running)
-    means = instance_task.Means(
-        core,
+    means = instance_client.CallContext(
+        scheduler,
         upstreams,
         _Recorder(),
         clocks.SystemClock(),
         gevent.event.Event(),
     )
-    task = instance_task.InstanceTask(means, "i-1")
-    greenlet = gevent.spawn(task.run)
+    task = instance_client.InstanceClient(means, "i-1")
+    greenlet = gevent.spawn(task.run_until_gone)
     task.send_stop(term_state.StopOrder("i-1", start.task, start.run))
     gevent.sleep(0.05)
-    core.registered(fleets.registration("i-1"), 0.0)
-    gevent.sleep(2 * instance_task.RETRY_S + 0.1)
+    scheduler.handle_registration(fleet_builders.registration("i-1"), 0.0)
+    gevent.sleep(2 * instance_client.RETRY_PAUSE_S + 0.1)
     greenlet.kill()
     assert "" not in upstreams.addresses
-    assert core.instances["i-1"].adopted
-    assert core.instances["i-1"].runs[start.task, start.run].confirmed
+    assert scheduler.instances["i-1"].is_adopted
+    assert scheduler.instances["i-1"].runs[start.task, start.run].confirmed
 
 
-def _means(core, upstreams):
-    return instance_task.Means(
-        core,
+def _means(scheduler, upstreams):
+    return instance_client.CallContext(
+        scheduler,
         upstreams,
         _Recorder(),
         clocks.SystemClock(),
@@ -90,37 +90,39 @@
     Its registration and its lease expire, so the owner removes it and the
     greenlet that polls it ends. It then registers again under the same id.
     """
-    core = fleets.new_core()
+    scheduler = fleet_builders.new_scheduler()
     upstreams = _Upstreams(())
-    tasks = instance_tasks.InstanceTasks(_means(core, upstreams))
-    core.registered(fleets.registration("i-1"), 0.0)
-    tasks.ensure()
+    tasks = instance_clients.InstanceClients(_means(scheduler, upstreams))
+    scheduler.handle_registration(fleet_builders.registration("i-1"), 0.0)
+    tasks.start_missing()
     gevent.sleep(0.1)
-    core.gone("i-1", 1.0, "no longer registered and unresponsive")
+    scheduler.remove_instance(
+        "i-1", 1.0, "no longer registered and unresponsive"
+    )
     gevent.sleep(0.2)
-    core.registered(fleets.registration("i-1"), 2.0)
-    tasks.ensure()
+    scheduler.handle_registration(fleet_builders.registration("i-1"), 2.0)
+    tasks.start_missing()
     gevent.sleep(0.2)
-    assert core.instances["i-1"].adopted
-    core.gone("i-1", 3.0, "the test ends")
+    assert scheduler.instances["i-1"].is_adopted
+    scheduler.remove_instance("i-1", 3.0, "the test ends")
 
 
 def test_an_instance_task_that_died_of_an_exception_is_restarted():
     """Otherwise an instance stays idle after one call raised an exception."""
-    core = fleets.new_core()
+    scheduler = fleet_builders.new_scheduler()
     upstreams = _Upstreams(())
-    working = upstreams.hold
-    upstreams.hold = lambda *_: 1 / 0
-    tasks = instance_tasks.InstanceTasks(_means(core, upstreams))
-    core.registered(fleets.registration("i-1"), 0.0)
-    tasks.ensure()
+    working = upstreams.renew_lease
+    upstreams.renew_lease = lambda *_: 1 / 0
+    tasks = instance_clients.InstanceClients(_means(scheduler, upstreams))
+    scheduler.handle_registration(fleet_builders.registration("i-1"), 0.0)
+    tasks.start_missing()
     gevent.sleep(0.05)
     assert tasks.get("i-1") is None
-    upstreams.hold = working
-    tasks.ensure()
+    upstreams.renew_lease = working
+    tasks.start_missing()
     gevent.sleep(0.2)
-    assert core.instances["i-1"].adopted
-    core.gone("i-1", 3.0, "the test ends")
+    assert scheduler.instances["i-1"].is_adopted
+    scheduler.remove_instance("i-1", 3.0, "the test ends")
 
 
 def test_an_instance_of_unknown_address_is_not_drained():
@@ -131,16 +133,18 @@
     tasks could be stopped. The stops would be sent once it registers again.
     """
     long_running = jobs.Step(count=2, long_running=True, may_miss=1)
-    previous = fleets.new_core()
-    fleets.adopt(previous, "i-1")
-    previous.job_added(fleets.job(steps=(long_running,)), 0.0)
-    fleets.run_all(previous, fleets.plan(previous), percent=100.0)
-    entry = previous.book.get(fleets.job().job_id)
-    core = fleets.new_core()
-    core.restore(entry.job, entry.pack(), 1, 0.0)
-    assert core.inherit_runs(0.0, 1e9) == ["i-1"]
-    evacuation.evacuate_all(core, 0.1)
-    assert not core.take_stops()
-    core.registered(fleets.registration("i-1"), 0.2)
-    evacuation.evacuate_all(core, 0.3)
-    assert not core.take_stops()
+    previous = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(previous, "i-1")
+    previous.add_job(fleet_builders.job(steps=(long_running,)), 0.0)
+    fleet_builders.accept_starts(
+        previous, fleet_builders.plan_batch(previous), percent=100.0
+    )
+    entry = previous.tracker.get(fleet_builders.job().job_id)
+    scheduler = fleet_builders.new_scheduler()
+    scheduler.restore(entry.job, entry.to_document(), 1, 0.0)
+    assert scheduler.recover_runs(0.0, 1e9) == ["i-1"]
+    evacuation.evacuate_instances(scheduler, 0.1)
+    assert not scheduler.take_stops()
+    scheduler.handle_registration(fleet_builders.registration("i-1"), 0.2)
+    evacuation.evacuate_instances(scheduler, 0.3)
+    assert not scheduler.take_stops()
--- a/tests/failures/test_entries_of_others.py
+++ b/tests/failures/test_unusable_rows.py
@@ -9,14 +9,14 @@
 from standins import edge_http
 from standins import edge_processes
 from standins import table as tables
-from tests.common import fleets
-from tests.common import terms
+from tests.common import fleet_builders
+from tests.common import ownership_terms
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet.instances import listing
-from vanillaswitch.coordination.fleet.intake import job_rows
+from vanillaswitch.coordination.fleet.instances import registration_watcher
+from vanillaswitch.coordination.fleet.job_requests import job_rows
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.platform import upstreams
-from vanillaswitch.protocol import feeds
+from vanillaswitch.protocol import change_feeds
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import minions
 from vanillaswitch.transport import plain_http
@@ -48,41 +48,41 @@
 
     def snapshot(self, table, parts=()):
         del parts
-        return feeds.Snapshot(tuple(self.rows[table]), 1)
+        return change_feeds.Snapshot(tuple(self.rows[table]), 1)
 
     def changes(self, table, after, wait_s):
         if table == "servers" and self.changed:
             changes, self.changed = tuple(self.changed), []
-            return feeds.Changes(changes, after + 1)
+            return change_feeds.ChangeBatch(changes, after + 1)
         gevent.sleep(wait_s)
-        return feeds.Changes((), after)
+        return change_feeds.ChangeBatch((), after)
 
 
 class _Instances:
     """Instances that run nothing and accept everything."""
 
-    def hold(self, *_):
+    def renew_lease(self, *_):
         gevent.sleep(0.05)
-        return fleets.held()
+        return fleet_builders.status_report()
 
 
 def _rows(documents, first=0):
     return [
-        feeds.Change(f"i-{number}", document, number)
+        change_feeds.RowChange(f"i-{number}", document, number)
         for number, document in enumerate(documents, first)
     ]
 
 
 def _damaged(name):
-    return feeds.Change(name, None, 99, "its bytes can't be read")
+    return change_feeds.RowChange(name, None, 99, "its bytes can't be read")
 
 
 def _begin_term(feed):
-    return terms.begin(
+    return ownership_terms.begin_term(
         tables.MemoryTable(),
         feed,
         clocks.SystemClock(),
-        registration=upstreams.registration,
+        registration=upstreams.decode_registration,
         upstreams=_Instances(),
     )
 
@@ -102,27 +102,29 @@
     assert owner.load()
     with owner.serving():
         gevent.sleep(0.6)
-        instances = owner.core.instances
+        instances = owner.scheduler.instances
         assert instances.keys() == {
             f"i-{number}" for number in range(VALID_COUNT)
         }
-        assert all(instance.usable(0.0) for instance in instances.values())
+        assert all(
+            instance.is_schedulable(0.0) for instance in instances.values()
+        )
 
 
-def _listing(core, rows, emitted):
+def _listing(scheduler, rows, emitted):
     feed = _Feed(rows)
     clock = clocks.SystemClock()
-    view = listing.Listing(
-        core,
+    view = registration_watcher.RegistrationWatcher(
+        scheduler,
         feed,
         "servers",
-        upstreams.registration,
+        upstreams.decode_registration,
         clock,
         emitted.append,
         lambda: None,
         10.0,
     )
-    view.start_from(feed.snapshot("servers"))
+    view.resume_from(feed.snapshot("servers"))
     return view
 
 
@@ -130,8 +132,8 @@
     "row",
     [
         _damaged("i-0"),
-        feeds.Change("i-0", VALID_ENTRY | {"address": None}, 99),
-        feeds.Change("i-0", {}, 99),
+        change_feeds.RowChange("i-0", VALID_ENTRY | {"address": None}, 99),
+        change_feeds.RowChange("i-0", {}, 99),
     ],
 )
 def test_runs_continue_when_the_entry_of_their_instance_is_overwritten(row):
@@ -142,23 +144,25 @@
     started on another instance while it ran.
     """
     emitted = []
-    core = fleets.new_core()
-    view = _listing(core, _rows([VALID_ENTRY, VALID_ENTRY]), emitted)
+    scheduler = fleet_builders.new_scheduler()
+    view = _listing(scheduler, _rows([VALID_ENTRY, VALID_ENTRY]), emitted)
     for name in ("i-0", "i-1"):
-        core.held(name, fleets.held(), 0.0, 0.0)
-    core.job_added(fleets.job(1), 0.0)
-    batch = fleets.plan(core)
-    fleets.run_all(core, batch)
-    instance = core.instances["i-0"]
+        scheduler.handle_status_report(
+            name, fleet_builders.status_report(), 0.0, 0.0
+        )
+    scheduler.add_job(fleet_builders.job(1), 0.0)
+    batch = fleet_builders.plan_batch(scheduler)
+    fleet_builders.accept_starts(scheduler, batch)
+    instance = scheduler.instances["i-0"]
     before = set(instance.runs)
     assert before
     view._on_rows([row, row])
-    view.judge_missing(clocks.SystemClock().monotonic() + 60.0)
-    assert instance.listed
+    view.mark_missing_unlisted(clocks.SystemClock().monotonic() + 60.0)
+    assert instance.is_listed
     assert instance.registration.address == "10.0.0.1:80"
     assert set(instance.runs) == before
-    assert not instance.usable(2.0)
-    assert not fleets.plan(core).starts
+    assert not instance.is_schedulable(2.0)
+    assert not fleet_builders.plan_batch(scheduler).starts
     assert (
         len(
             [
@@ -170,15 +174,17 @@
         == 1
     )
     view._on_rows(_rows([VALID_ENTRY]))
-    assert instance.usable(2.0)
+    assert instance.is_schedulable(2.0)
 
 
 def test_instances_of_an_unconfigured_service_are_not_held():
     """Guards against status calls, which have a price, to unused instances."""
-    core = fleets.new_core()
-    _listing(core, _rows([VALID_ENTRY, VALID_ENTRY | {"service": "other"}]), [])
-    assert core.holds("i-0")
-    assert not core.holds("i-1")
+    scheduler = fleet_builders.new_scheduler()
+    _listing(
+        scheduler, _rows([VALID_ENTRY, VALID_ENTRY | {"service": "other"}]), []
+    )
+    assert scheduler.should_poll("i-0")
+    assert not scheduler.should_poll("i-1")
 
 
 def test_a_job_whose_progress_was_overwritten_is_quarantined():
@@ -187,26 +193,28 @@
     Another writer overwrote the row of the job's progress. Without it the job
     looked as if nothing of it had started.
     """
-    job = fleets.job(1)
+    job = fleet_builders.job(1)
     for damage in (
         _damaged(job.job_id),
-        feeds.Change(job.job_id, {"tasks": "all"}, 99),
-        feeds.Change(job.job_id, {"ended": "so"}, 99),
+        change_feeds.RowChange(job.job_id, {"tasks": "all"}, 99),
+        change_feeds.RowChange(job.job_id, {"ended": "so"}, 99),
     ):
         feed = _Feed(_rows([VALID_ENTRY]))
         feed.rows["job"] = [
-            feeds.Change(job.job_id, job_rows.pack(job), 1),
-            feeds.Change("other", {"steps": 3}, 2),
+            change_feeds.RowChange(job.job_id, job_rows.pack(job), 1),
+            change_feeds.RowChange("other", {"steps": 3}, 2),
             _damaged("third"),
         ]
         feed.rows["progress"] = [damage]
         owner = _begin_term(feed)
         assert owner.load()
-        core = owner.core
-        core.held("i-0", fleets.held(), 0.0, 0.0)
-        assert not fleets.plan(core).starts
-        assert job.job_id in core.unread
-        assert not owner._tables.take_orphans()
+        scheduler = owner.scheduler
+        scheduler.handle_status_report(
+            "i-0", fleet_builders.status_report(), 0.0, 0.0
+        )
+        assert not fleet_builders.plan_batch(scheduler).starts
+        assert job.job_id in scheduler.unreadable_jobs
+        assert not owner._job_tables.take_orphans()
 
 
 def test_runs_of_a_job_whose_row_was_overwritten_are_not_stopped():
@@ -215,48 +223,55 @@
     Another writer overwrote the job's own row. Its progress names the run, but
     no job in the book accounted for it.
     """
-    job = fleets.job(1)
-    before = fleets.new_core()
-    fleets.adopt(before, "i-0")
-    before.job_added(job, 0.0)
-    batch = fleets.plan(before)
+    job = fleet_builders.job(1)
+    before = fleet_builders.new_scheduler()
+    fleet_builders.add_instances(before, "i-0")
+    before.add_job(job, 0.0)
+    batch = fleet_builders.plan_batch(before)
     feed = _Feed(_rows([VALID_ENTRY]))
     feed.rows["job"] = [_damaged(job.job_id)]
-    packed = batch.entries[0].pack()
-    feed.rows["progress"] = [feeds.Change(job.job_id, packed, 1)]
+    packed = batch.entries[0].to_document()
+    feed.rows["progress"] = [change_feeds.RowChange(job.job_id, packed, 1)]
     owner = _begin_term(feed)
     assert owner.load()
     listed = tuple(
-        fleet.Running(start.task, start.run, "", 10.0) for start in batch.starts
+        fleet.RunStatus(start.task, start.run, "", 10.0)
+        for start in batch.starts
     )
-    owner.core.held("i-0", fleets.held(running=listed), 0.0, 0.0)
-    assert not owner.core.take_stops()
-    owner._tables._on_jobs([_damaged(job.job_id)])
-    assert job.job_id in owner.core.unread
-    assert not owner._tables.take_orphans()
+    owner.scheduler.handle_status_report(
+        "i-0", fleet_builders.status_report(running=listed), 0.0, 0.0
+    )
+    assert not owner.scheduler.take_stops()
+    owner._job_tables._on_jobs([_damaged(job.job_id)])
+    assert job.job_id in owner.scheduler.unreadable_jobs
+    assert not owner._job_tables.take_orphans()
 
 
 def test_a_known_job_continues_when_its_row_is_overwritten():
     """Guards against a job that stays open as its ends are not recorded."""
-    job = fleets.job(1)
+    job = fleet_builders.job(1)
     feed = _Feed(_rows([VALID_ENTRY]))
-    feed.rows["job"] = [feeds.Change(job.job_id, job_rows.pack(job), 1)]
+    feed.rows["job"] = [
+        change_feeds.RowChange(job.job_id, job_rows.pack(job), 1)
+    ]
     owner = _begin_term(feed)
     assert owner.load()
-    owner._tables._on_jobs([_damaged(job.job_id)])
-    assert job.job_id not in owner.core.unread
-    assert owner.core.book.get(job.job_id) is not None
+    owner._job_tables._on_jobs([_damaged(job.job_id)])
+    assert job.job_id not in owner.scheduler.unreadable_jobs
+    assert owner.scheduler.tracker.get(job.job_id) is not None
 
 
 def test_an_overwritten_cancel_takes_effect():
     """Guards against a job that runs on after its cancel was confirmed."""
-    job = fleets.job(1)
+    job = fleet_builders.job(1)
     feed = _Feed(_rows([VALID_ENTRY]))
-    feed.rows["job"] = [feeds.Change(job.job_id, job_rows.pack(job), 1)]
+    feed.rows["job"] = [
+        change_feeds.RowChange(job.job_id, job_rows.pack(job), 1)
+    ]
     feed.rows["cancel"] = [_damaged(job.job_id)]
     owner = _begin_term(feed)
     assert owner.load()
-    assert owner.core.book.get(job.job_id).ended is not None
+    assert owner.scheduler.tracker.get(job.job_id).ended is not None
 
 
 _JOB = "0123456789abcdef"
