--- a/src/vanillaswitch/coordination/fleet/instances/completions.py
+++ b/src/vanillaswitch/coordination/fleet/instances/completions.py
@@ -168,8 +168,8 @@
         allowed = queue.max_attempts if queue else 1
         if not step.step.long_running and step.failure_count >= allowed:
             cause = (
-                f"a task {end.outcome} {step.failure_count} times, most recently on "
-                f"{instance.name}"
+                f"a task {end.outcome} {step.failure_count} times, "
+                f"most recently on {instance.name}"
             )
             self._finish_job(entry, jobs.JobState.FAILED, cause, now)
 
--- a/src/vanillaswitch/coordination/fleet/instances/crashes.py
+++ b/src/vanillaswitch/coordination/fleet/instances/crashes.py
@@ -274,7 +274,10 @@
         if image:
             self._suspect_images_until[image] = now + IMAGE_SUSPICION_S
         entry.fatal_crashes = tuple(task.crashes)
-        cause = f"task {task.name.path_in_job} crashed {len(task.crashes)} instances"
+        cause = (
+            f"task {task.name.path_in_job} crashed {len(task.crashes)} "
+            "instances"
+        )
         self._finish_job(entry, jobs.JobState.FAILED, cause, now)
 
     def _clear_if_proven(
--- a/src/vanillaswitch/coordination/fleet/instances/registration_watcher.py
+++ b/src/vanillaswitch/coordination/fleet/instances/registration_watcher.py
@@ -44,7 +44,7 @@
         """Creates a watcher that has read nothing yet.
 
         Args:
-            core: receives the registrations.
+            scheduler: receives the registrations.
             feed: reads the table.
             table: name of the table of instances.
             decode: decodes the rows of the table.
--- a/src/vanillaswitch/coordination/fleet/instances/restarts.py
+++ b/src/vanillaswitch/coordination/fleet/instances/restarts.py
@@ -81,7 +81,10 @@
             reported: runs that its report names; the new incarnation accepted
                 them.
         """
-        why = f"started at {instance.incarnations.current_ms}, restarted at {born_ms}"
+        why = (
+            f"started at {instance.incarnations.current_ms}, "
+            f"restarted at {born_ms}"
+        )
         self._emit_instance_changed(instance, "restarted", why, now)
         runs = list(instance.runs.values())
         crashed = [run for run in runs if run.key not in reported]
--- a/src/vanillaswitch/coordination/fleet/instances/run_recovery.py
+++ b/src/vanillaswitch/coordination/fleet/instances/run_recovery.py
@@ -20,7 +20,7 @@
 
         Args:
             now: monotonic seconds.
-            lapses_at: monotonic seconds at which every lease on an
+            lease_expires_at: monotonic seconds at which every lease on an
                 unreachable instance has expired.
 
         Returns:
--- a/src/vanillaswitch/coordination/fleet/machines/machine_controller.py
+++ b/src/vanillaswitch/coordination/fleet/machines/machine_controller.py
@@ -35,7 +35,9 @@
         clock: clocks.Clock,
         wake: gevent.event.Event,
         emit: Callable[[object], None],
-        policy: capacity_planner.ScalingPolicy = capacity_planner.DEFAULT_POLICY,
+        policy: capacity_planner.ScalingPolicy = (
+            capacity_planner.DEFAULT_POLICY
+        ),
     ):
         self._scheduler = scheduler
         self._machines = machines
--- a/src/vanillaswitch/coordination/fleet/machines/mover.py
+++ b/src/vanillaswitch/coordination/fleet/machines/mover.py
@@ -82,14 +82,16 @@
         reserved: Callable[[], waves.ReservedMachines],
         clock: clocks.Clock,
         emit: Callable[[object], None],
-        policy: capacity_planner.ScalingPolicy = capacity_planner.DEFAULT_POLICY,
+        policy: capacity_planner.ScalingPolicy = (
+            capacity_planner.DEFAULT_POLICY
+        ),
     ):
         """Creates a mover with an empty list of machines.
 
         Args:
-            core: the owner's state of instances, runs and waiting tasks.
+            scheduler: the owner's state of instances, runs and waiting tasks.
             machines: client for orders to the platform.
-            recorder: tells whether the term of this owner is confirmed.
+            writer: tells whether the term of this owner is confirmed.
             orders_per_s: how many orders the platform accepts per second.
             reserved: returns the machines that waves have reserved.
             clock: paces the plans.
--- a/src/vanillaswitch/coordination/fleet/machines/wave_controller.py
+++ b/src/vanillaswitch/coordination/fleet/machines/wave_controller.py
@@ -86,13 +86,13 @@
         clock: clocks.Clock,
         emit: Callable[[object], None],
     ):
-        """Creates a driver without waves.
+        """Creates a controller without waves.
 
         Args:
-            core: the owner's state of instances and runs.
+            scheduler: the owner's state of instances and runs.
             machines: client for orders to the platform.
-            board: store of the wave orders and of their progress.
-            recorder: tells whether the term of this owner is confirmed.
+            wave_store: store of the wave orders and of their progress.
+            writer: tells whether the term of this owner is confirmed.
             bounds: contains the duration of maintenance.
             required_machines: returns how many machines each pool needs;
                 empty while unknown.
--- a/src/vanillaswitch/coordination/fleet/ownership/job_tables.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/job_tables.py
@@ -38,7 +38,7 @@
         """Creates the tables' state before the first read.
 
         Args:
-            core: receives jobs and cancels.
+            scheduler: receives jobs and cancels.
             feed: reads tables and their changes.
             clock: times the reads.
             time: gives the age of jobs, and estimates the time of day from
--- a/src/vanillaswitch/coordination/fleet/ownership/owner_rpc.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/owner_rpc.py
@@ -25,7 +25,7 @@
         address: Callable[[], str],
         step_down_if_stale: Callable[[float], bool],
     ):
-        """Creates the link.
+        """Creates the client.
 
         Args:
             questions_: carries questions to other processes.
@@ -33,8 +33,9 @@
             me: address where this process listens.
             local: returns this process's term of ownership, if it has one.
             address: returns the owner's address; empty when unknown.
-            yield_term: ends this process's term unless a write was answered in
-                the given number of seconds; returns whether it has no term now.
+            step_down_if_stale: ends this process's term unless a write was
+                answered in the given number of seconds; returns whether it has
+                no term now.
         """
         self._questions = questions_
         self._boot = boot
--- a/src/vanillaswitch/coordination/fleet/ownership/spec_table.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/spec_table.py
@@ -57,7 +57,7 @@
         """Creates the table's state before the first read.
 
         Args:
-            core: receives specs.
+            scheduler: receives specs.
             table: reads single specs.
             feed: reads the changes of the table.
             clock: times the reads.
--- a/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
+++ b/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
@@ -66,7 +66,7 @@
     """The loss of an instance during a run of a task.
 
     Attributes:
-        worked_s: for how long the instance had reported the run.
+        run_time_s: for how long the instance had reported the run.
     """
 
     run: int
@@ -97,7 +97,7 @@
 
     Args:
         crashes: crashes of instances during its runs.
-        lasting: whether the task runs until its job is cancelled.
+        long_running: whether the task runs until its job is cancelled.
     """
     extra = EXTRA_CRASHES_LONG_RUNNING if long_running else 0
     kinds = [crash.kind for crash in crashes]
@@ -130,8 +130,8 @@
 
     Args:
         crashes: crashes of instances during its runs.
-        worked_s: for how long its current run has worked.
-        lasting: whether the task runs until its job is cancelled.
+        run_time_s: for how long its current run has worked.
+        long_running: whether the task runs until its job is cancelled.
     """
     if run_time_s < MAX_PROOF_S:
         return list(crashes)
--- a/src/vanillaswitch/coordination/fleet/queue/instance_state.py
+++ b/src/vanillaswitch/coordination/fleet/queue/instance_state.py
@@ -226,7 +226,7 @@
 
         Args:
             now: monotonic seconds.
-            lapses_at: see the attribute.
+            lease_expires_at: see the attribute.
         """
         self.incarnation = next(_INCARNATION_NUMBERS)
         self.is_adopted = False
@@ -362,8 +362,9 @@
         """Records that a call which renews its lease is over.
 
         Args:
-            until: the value given to ``begin_grant``.
-            left: whether any byte of the call may have reached the instance.
+            until: the value given to ``begin_lease_renewal``.
+            may_have_arrived: whether any byte of the call may have reached the
+                instance.
         """
         self._pending_renewals.remove(until)
         if may_have_arrived:
--- a/src/vanillaswitch/coordination/fleet/table_follower.py
+++ b/src/vanillaswitch/coordination/fleet/table_follower.py
@@ -50,10 +50,10 @@
             emit: receives events when the table is lost or back.
             pause_s: pause between two calls, in which changes are batched.
             wait_s: longest wait of one call for a change.
-            rereads: read the whole table after a failed call. This suits a
-                table of few rows that change often: the changes of an outage
-                may be too much for a slow link within the timeout of a call,
-                and each retry would fail the same way.
+            resync_after_failure: read the whole table after a failed call. This
+                suits a table of few rows that change often: the changes of an
+                outage may be too much for a slow link within the timeout of a
+                call, and each retry would fail the same way.
         """
         self._feed = feed
         self._table = table
--- a/src/vanillaswitch/wiring/operator_view.py
+++ b/src/vanillaswitch/wiring/operator_view.py
@@ -176,7 +176,8 @@
             )
         if read.unreadable_partitions:
             raise errors.PlatformUnavailableError(
-                f"table {table}: {len(read.unreadable_partitions)} parts: {read.unreadable_reason}"
+                f"table {table}: {len(read.unreadable_partitions)} parts: "
+                f"{read.unreadable_reason}"
             )
         return [
             row for row in read.rows if row.value is not None or row.read_error
--- a/tests/common/disruption_simulation.py
+++ b/tests/common/disruption_simulation.py
@@ -246,8 +246,8 @@
         ]
         if len(hosts) > 1:
             self.violations.append(
-                f"{self.now} {start.task.path_in_job} of {start.task.job_id[-1]} runs"
-                f" on {hosts}"
+                f"{self.now} {start.task.path_in_job} of"
+                f" {start.task.job_id[-1]} runs on {hosts}"
             )
         return outcome
 
@@ -518,8 +518,9 @@
                 and (event.job, event.task) == (task.job_id, task.path_in_job)
             ]
             self.violations.append(
-                f"{self.now} {task.path_in_job} of {task.job_id[-1]} on {name} {how},"
-                f" {unavailable} are unavailable, logged {why[-1:]}"
+                f"{self.now} {task.path_in_job} of {task.job_id[-1]}"
+                f" on {name} {how}, {unavailable} are unavailable,"
+                f" logged {why[-1:]}"
             )
         self.ended_by_order.add(task)
 
