--- a/src/vanillaswitch/coordination/fleet/events.py
+++ b/src/vanillaswitch/coordination/fleet/events.py
@@ -14,7 +14,7 @@
     """A client submitted a job.
 
     Attributes:
-        verdict: see ``intake.Verdict``.
+        verdict: see ``job_store.RequestResult``.
         config_version: version of the configuration that selected the queue.
         waited_ms: time until the verdict was known.
     """
@@ -87,8 +87,9 @@
     """A run ended without completing its task.
 
     Attributes:
-        how: see ``fleet.How``; "lost" if its instance is gone or its lease
-            has expired, "withheld" if its start no longer fit on the instance.
+        how: see ``fleet.RunOutcome``; "lost" if its instance is gone or its
+            lease has expired, "withheld" if its start no longer fit on the
+            instance.
         failed: failed runs of the task so far.
     """
 
@@ -105,7 +106,7 @@
     """An instance was lost soon after a run of a task began on it.
 
     Attributes:
-        kind: see ``crash_evidence.Kind``; "alone" appears only in
+        kind: see ``crash_evidence.CrashKind``; "alone" appears only in
             ``JobGivenUp``, because it is not known at once.
         apart: the task was already suspected and ran in isolation.
         crashes: instances lost while they ran the task, so far.
--- a/src/vanillaswitch/coordination/fleet/instances/__init__.py
+++ b/src/vanillaswitch/coordination/fleet/instances/__init__.py
@@ -1,5 +1,5 @@
 """Tracks what runs on instances and decides which runs start and stop.
 
 Covers orders to instances, their status reports, ended runs and recovery
-after a change of owner. ``core.Core`` combines all of it.
+after a change of owner. ``scheduler.Scheduler`` combines all of it.
 """
--- a/src/vanillaswitch/coordination/fleet/instances/crashes.py
+++ b/src/vanillaswitch/coordination/fleet/instances/crashes.py
@@ -177,7 +177,7 @@
         The delay is needed because the loss of a rack looks like a crashing
         task if two of its instances had just been given a run of that task.
         """
-        # Same expression as for ``Task.judged_at``: a different rounding would
+        # Same expression as for ``Task.not_before``: a different rounding would
         # let a task start just before it is evaluated.
         due = [
             item
--- a/src/vanillaswitch/coordination/fleet/instances/disruption_budget.py
+++ b/src/vanillaswitch/coordination/fleet/instances/disruption_budget.py
@@ -33,10 +33,10 @@
     """Assumed availability of the other tasks of a step.
 
     Attributes:
-        away: number of tasks that can't be assumed to be serving.
-        spared: disruption budget of the step; 0 if it has no limit.
-        unheard_s: age of the oldest status report behind a task that counts
-            as serving.
+        unavailable: number of tasks that can't be assumed to be serving.
+        max_unavailable: disruption budget of the step; 0 if it has no limit.
+        oldest_report_s: age of the oldest status report behind a task that
+            counts as serving.
     """
 
     unavailable: int = 0
--- a/src/vanillaswitch/coordination/fleet/instances/instance_client.py
+++ b/src/vanillaswitch/coordination/fleet/instances/instance_client.py
@@ -68,11 +68,11 @@
     """Objects that the calls to instances share during one term.
 
     Attributes:
-        core: the owner's decisions.
+        scheduler: the owner's decisions.
         upstreams: sends calls to instances.
-        recorder: writes the owner's rows; knows its token and its term.
+        writer: writes the owner's rows; knows its token and its term.
         clock: source of monotonic time.
-        wake: set to make the owner plan again.
+        wake_planner: set to make the owner plan again.
     """
 
     scheduler: schedulers.Scheduler
--- a/src/vanillaswitch/coordination/fleet/instances/instance_clients.py
+++ b/src/vanillaswitch/coordination/fleet/instances/instance_clients.py
@@ -31,7 +31,10 @@
                 gevent.spawn(self._run, name, task)
 
     def _run(self, name: str, task: instance_client.InstanceClient) -> None:
-        """Runs a loop; logs its failure, so that ``ensure`` starts it again."""
+        """Runs a loop; logs its failure.
+
+        ``start_missing`` starts it again.
+        """
         try:
             task.run_until_gone()
         except Exception as error:
--- a/src/vanillaswitch/coordination/fleet/instances/term_state.py
+++ b/src/vanillaswitch/coordination/fleet/instances/term_state.py
@@ -45,9 +45,9 @@
     Attributes:
         entries: jobs whose rows are written.
         starts: starts to send afterwards.
-        seen: number of the last processed end, by instance. It may be
+        recorded_ends: number of the last processed end, by instance. It may be
             acknowledged afterwards.
-        lives: the incarnation that numbered this end, by instance.
+        incarnations: the incarnation that numbered this end, by instance.
     """
 
     entries: tuple[job_tracker.JobEntry, ...]
@@ -60,17 +60,17 @@
     """Jobs, instances and configuration as the owner knows them.
 
     Attributes:
-        book: all accepted jobs.
+        tracker: all accepted jobs.
         instances: instances by id.
         queues: configured queues by name.
         pools: configured pools by name.
-        unread: jobs of which only the progress is known, because their own
-            rows are in a part of the store that is unavailable.
+        unreadable_jobs: jobs of which only the progress is known, because their
+            own rows are in a part of the store that is unavailable.
         tickets: ticket of each instance, by step.
-        without_spec: jobs that could start if their spec had been read.
-        waiting_cpu: thousandths of a core that ready tasks wait for, by pool.
+        jobs_without_spec: jobs that could start if their spec had been read.
+        backlog_cpu: thousandths of a core that ready tasks wait for, by pool.
         arrivals: recently arrived jobs, by pool.
-        waiting_load: load of the waiting tasks that end by themselves, by
+        backlog_load: load of the waiting tasks that end by themselves, by
             pool.
     """
 
--- a/src/vanillaswitch/coordination/fleet/job_requests/job_store.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/job_store.py
@@ -44,9 +44,9 @@
 
     Attributes:
         ACCEPTED: it is recorded in the table.
-        DIFFERENT: another job with this id exists.
-        MISSING: there is no such job.
-        NOT_DONE: it certainly has no effect.
+        ID_CONFLICT: another job with this id exists.
+        NOT_FOUND: there is no such job.
+        NOT_APPLIED: it certainly has no effect.
         UNKNOWN: it may have taken effect or may still do so.
     """
 
@@ -72,7 +72,7 @@
         boot: str,
         unanswered_s: Callable[[], float],
     ):
-        """Creates an intake.
+        """Creates a job store.
 
         Args:
             table: the table of jobs.
--- a/src/vanillaswitch/coordination/fleet/job_requests/peer_calls.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/peer_calls.py
@@ -21,7 +21,7 @@
     """Sends questions to other processes and matches answers by id."""
 
     def __init__(self, clock: clocks.Clock, boot: str):
-        """Creates it without a transport; see ``attach``.
+        """Creates it without a transport; see ``set_transport``.
 
         Args:
             clock: source of time for closing idle streams.
--- a/src/vanillaswitch/coordination/fleet/machines/machine_controller.py
+++ b/src/vanillaswitch/coordination/fleet/machines/machine_controller.py
@@ -52,12 +52,12 @@
             machines,
             writer,
             settings.machine_orders_per_s,
-            lambda: self._wave_driver.reserved,
+            lambda: self._wave_controller.reserved,
             clock,
             emit,
             policy,
         )
-        self._wave_driver = wave_controller.WaveController(
+        self._wave_controller = wave_controller.WaveController(
             scheduler,
             machines,
             wave_store,
@@ -137,7 +137,7 @@
                 self._wake.set()
 
     def _apply(self) -> None:
-        self._wave_driver.step(self._listed)
+        self._wave_controller.step(self._listed)
         evacuation.evacuate_instances(self._scheduler, self._clock.monotonic())
         self._wake.set()
         self._mover.update_machines(self._listed)
--- a/src/vanillaswitch/coordination/fleet/machines/wave_controller.py
+++ b/src/vanillaswitch/coordination/fleet/machines/wave_controller.py
@@ -43,7 +43,7 @@
     """Stored state of a wave, kept across changes of owner.
 
     Attributes:
-        machines: machines whose maintenance is finished.
+        finished_machines: machines whose maintenance is finished.
         age_s: time since an owner first saw the wave. If each owner restarted
             the count, a wave would seem to have time left when it has none.
     """
@@ -102,7 +102,7 @@
         """
         self._scheduler = scheduler
         self._machines = machines
-        self._board = wave_store
+        self._wave_store = wave_store
         self._writer = writer
         self._bounds = bounds
         self._required_machines = required_machines
@@ -141,7 +141,7 @@
         """
         self._listed = listed
         now = self._clock.monotonic()
-        for order in self._board.wave_orders():
+        for order in self._wave_store.wave_orders():
             if order.name not in self._waves:
                 self._start(order, now)
         for wave in self._waves.values():
@@ -150,7 +150,7 @@
         self._update_cordons()
 
     def _start(self, order: fleet.WaveOrder, now: float) -> None:
-        record = self._board.start_wave(order.name)
+        record = self._wave_store.start_wave(order.name)
         if record is None:
             return
         wave = waves.new_wave(order, now - record.age_s)
@@ -180,7 +180,7 @@
         waves.update_progress(wave, self._listed, self._bounds.upkeep_s, now)
         finished = _finished_machines(wave)
         if finished != before:
-            self._board.save_finished(wave.order.name, finished)
+            self._wave_store.save_finished(wave.order.name, finished)
         self._choose_machines(wave, now)
         for name, since in sorted(self._draining.items(), key=_by_drain_start):
             if name in wave.machines:
@@ -211,7 +211,7 @@
     def _report_status(self, wave: waves.Wave) -> None:
         if wave.reported is not None and not wave.completed:
             return
-        if self._board.report_status(wave.order.name, wave.completed):
+        if self._wave_store.report_status(wave.order.name, wave.completed):
             wave.reported = wave.completed
             state = "completed" if wave.completed else "running"
             self._emit_wave(wave, state, "", self._clock.monotonic())
@@ -406,7 +406,8 @@
                 instance.is_cordoned = name in self._draining
                 instance.is_maintenance_due = name in pending
                 if name in self._marked_leaving & finished:
-                    # Reset only what this driver has set: a mover sets it too.
+                    # Reset only what this controller has set: a mover sets
+                    # it too.
                     self._marked_leaving.discard(name)
                     instance.is_terminating = False
 
--- a/src/vanillaswitch/coordination/fleet/operator_table.py
+++ b/src/vanillaswitch/coordination/fleet/operator_table.py
@@ -46,7 +46,7 @@
 
 
 class OperatorTable:
-    """Newest configuration and wave orders; implements ``WaveBoard``."""
+    """Newest configuration and wave orders; implements ``WaveStore``."""
 
     def __init__(
         self,
--- a/src/vanillaswitch/coordination/fleet/ownership/fenced_writer.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/fenced_writer.py
@@ -54,7 +54,7 @@
         address: where it listens for other processes.
         boot: random id of the process's start.
         weakness: weakness of the strongest machine that has owned the fleet,
-            see ``member.machine_weakness``; 0 if unknown.
+            see ``owner_candidate.machine_weakness``; 0 if unknown.
     """
 
     holder: str
--- a/src/vanillaswitch/coordination/fleet/ownership/job_tables.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/job_tables.py
@@ -23,7 +23,10 @@
 
 
 class JobTables:
-    """Adds jobs and cancels from their tables to the core, for one term."""
+    """Adds jobs and cancels from their tables to the scheduler.
+
+    Lives for one term.
+    """
 
     def __init__(
         self,
--- a/src/vanillaswitch/coordination/fleet/ownership/owner.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/owner.py
@@ -66,8 +66,8 @@
     """The services that an owner calls.
 
     Attributes:
-        registration: decodes a row of the table of instances.
-        registrations: name of that table.
+        decode_registration: decodes a row of the table of instances.
+        registration_table: name of that table.
         time: the clocks that all processes share.
     """
 
@@ -126,7 +126,7 @@
             self._replan_event,
             lambda: outside.time.wall_now_ms,
         )
-        self._listing = registration_watcher.RegistrationWatcher(
+        self._watcher = registration_watcher.RegistrationWatcher(
             self._scheduler,
             outside.feed,
             outside.registration_table,
@@ -240,7 +240,7 @@
         listed, accepted, progress, cancelled = read
         now = self._clock.monotonic()
         self._refresh_config()
-        self._listing.resume_from(listed)
+        self._watcher.resume_from(listed)
         self._job_tables.start_from(accepted, progress, cancelled, now)
         return True
 
@@ -259,7 +259,7 @@
             for run in (
                 self._run_planning,
                 self._run_recording,
-                self._listing.run,
+                self._watcher.run,
                 self._job_tables.follow_jobs,
                 self._job_tables.follow_cancels,
                 self._specs.follow,
@@ -315,8 +315,8 @@
     def _run_periodic_checks(self, now: float) -> None:
         """Runs the checks that depend on time alone."""
         self._refresh_config()
-        self._listing.mark_missing_unlisted(now)
-        self._listing.check_registration_age(now)
+        self._watcher.mark_missing_unlisted(now)
+        self._watcher.check_registration_age(now)
         self._instances.start_missing()
         self._scheduler.release_expired_leases(now)
         self._scheduler.resend_stops(now)
--- a/src/vanillaswitch/coordination/fleet/ownership/owner_candidate.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/owner_candidate.py
@@ -80,7 +80,7 @@
         self._own_row = fenced_writer.OwnerRow(
             settings.process, settings.internal_address, boot
         )
-        self._succession = owner_monitor.OwnerMonitor()
+        self._monitor = owner_monitor.OwnerMonitor()
         self._owner: owners.Owner | None = None
         self._writer: fenced_writer.FencedWriter | None = None
         self._shutting_down = False
@@ -96,7 +96,7 @@
     @property
     def owner_address(self) -> str:
         """Address of the owner; empty if no owner is known."""
-        return self._succession.row.address
+        return self._monitor.row.address
 
     @property
     def store_answered_at(self) -> float:
@@ -120,8 +120,8 @@
             self._watch_owner()
             now = self._clock.monotonic()
             poll_faster = (
-                self._succession.is_suspect(now)
-                or self._succession.is_unresponsive
+                self._monitor.is_suspect(now)
+                or self._monitor.is_unresponsive
                 or bool(self._unreachable_boot)
             )
             self._pause(
@@ -148,14 +148,14 @@
         The owner's process is checked at once. By its row alone, a killed owner
         went unnoticed for 1.0 s, in which no task started.
         """
-        if address and address == self._succession.row.address:
+        if address and address == self._monitor.row.address:
             self._watched_address = ""
             self._owner_checked = False
             self._stream_ended = True
 
     def _watch_owner(self) -> None:
         """Opens a stream to a new owner, whose end hints at its loss."""
-        address = self._succession.row.address
+        address = self._monitor.row.address
         if address and address not in (
             self._watched_address,
             self._own_row.address,
@@ -169,34 +169,34 @@
         read = self._outside.table.read([fenced_writer.OWNER_KEY])
         now = self._clock.monotonic()
         if isinstance(read, platform.Unavailable):
-            self._succession.on_read_failed()
+            self._monitor.on_read_failed()
             return
         self._store_answered_at = now
-        store_was_down = not self._succession.is_row_readable
+        store_was_down = not self._monitor.is_row_readable
         version = read.rows[0].version if read.rows else platform.ABSENT
         row = (
             fenced_writer.decode_owner_row(read.rows[0].value)
             if read.rows
             else None
         )
-        self._succession.on_row_read(row, version, asked_at, now)
+        self._monitor.on_row_read(row, version, asked_at, now)
         # A process that has just started checks the owner at once. All
         # processes may have been lost, and waiting until the row is suspect
         # would cost a second in which no task starts.
-        suspect = self._succession.is_suspect(now)
+        suspect = self._monitor.is_suspect(now)
         if (
             not self._owner_checked
             or suspect
-            and not self._succession.is_unresponsive
+            and not self._monitor.is_unresponsive
         ):
             self._owner_checked = True
-            self._check_owner(self._succession.row)
+            self._check_owner(self._monitor.row)
         elif store_was_down:
             # A live owner gets the chance to write first, so it is only
             # probed here and not asked to step down.
-            self._probe_owner(self._succession.row)
-            if self._succession.has_process_ended(self._succession.row.boot):
-                self._report_term_over(self._succession.row)
+            self._probe_owner(self._monitor.row)
+            if self._monitor.has_process_ended(self._monitor.row.boot):
+                self._report_term_over(self._monitor.row)
 
     def _probe_owner(self, row: fenced_writer.OwnerRow) -> None:
         """Records whether a connection to the owner can be opened."""
@@ -205,7 +205,7 @@
             return
         error = self._probe(row.address)
         if error == errno.ECONNREFUSED:
-            self._succession.on_process_ended(row.boot)
+            self._monitor.on_process_ended(row.boot)
         elif error:
             self._unreachable_boot = row.boot
 
@@ -219,22 +219,22 @@
         if not row.address or row.boot == self._own_row.boot:
             return
         if row.address == self._own_row.address:
-            self._succession.on_process_ended(row.boot)
+            self._monitor.on_process_ended(row.boot)
         elif row.boot != self._unreachable_boot:
             self._probe_owner(row)
         self._unreachable_boot = ""
-        if not self._succession.has_process_ended(row.boot):
-            patience_s = self._succession.suspect_after_s
+        if not self._monitor.has_process_ended(row.boot):
+            patience_s = self._monitor.suspect_after_s
             ended = self._ask_term_ended(row.address, row.boot, patience_s)
             if ended is None:
-                self._succession.on_process_unresponsive(row.boot)
+                self._monitor.on_process_unresponsive(row.boot)
             if not ended:
                 return
-            self._succession.on_term_ended()
+            self._monitor.on_term_ended()
         self._report_term_over(row)
 
     def _report_term_over(self, row: fenced_writer.OwnerRow) -> None:
-        age_s = self._succession.unchanged_for_s(self._clock.monotonic())
+        age_s = self._monitor.unchanged_for_s(self._clock.monotonic())
         self._emit_owner("found-over", row.holder, 0, age_s)
 
     def _emit_owner(
@@ -271,24 +271,24 @@
         """Returns whether to take over, after waiting for better machines."""
         if self._operator.config is None:
             return False
-        if not self._succession.may_take_over(self._clock.monotonic()):
+        if not self._monitor.may_take_over(self._clock.monotonic()):
             return False
         wait_s = self._rng.random() * TAKE_OVER_JITTER_S
         # Waits only if a stronger machine has owned the fleet before: there
         # may be none otherwise, and no task starts during the wait.
         shortfall = (
-            machine_weakness(self._settings) - self._succession.row.weakness
+            machine_weakness(self._settings) - self._monitor.row.weakness
         )
         self._clock.sleep(wait_s + max(0.0, shortfall) * WEAK_MACHINE_DELAY_S)
         return True
 
     def _row_to_write(self) -> fenced_writer.OwnerRow:
         """Returns the owner's row as this process would write it."""
-        known_weakness = self._succession.row.weakness
+        known_weakness = self._monitor.row.weakness
         own_weakness = machine_weakness(self._settings)
         strongest = (
             min(known_weakness, own_weakness)
-            if self._succession.version
+            if self._monitor.version
             else own_weakness
         )
         return dataclasses.replace(self._own_row, weakness=strongest)
@@ -299,10 +299,10 @@
             self._outside.table, self._clock, self._row_to_write()
         )
         now = self._clock.monotonic()
-        orders_from = self._succession.operations_allowed_from(
+        orders_from = self._monitor.operations_allowed_from(
             self._settings.bounds.lease_s, now
         )
-        if not writer.take_over(self._succession.version, orders_from):
+        if not writer.take_over(self._monitor.version, orders_from):
             return
         self._writer = writer
         self._emit_owner("began", self._own_row.holder, writer.token, 0.0)
--- a/src/vanillaswitch/coordination/fleet/ownership/owner_rpc.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/owner_rpc.py
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        questions_: peer_calls.PeerCalls,
+        peer_calls_: peer_calls.PeerCalls,
         boot: str,
         me: str,
         local: Callable[[], owners.Owner | None],
@@ -28,7 +28,7 @@
         """Creates the client.
 
         Args:
-            questions_: carries questions to other processes.
+            peer_calls_: carries questions to other processes.
             boot: random id of this process's start.
             me: address where this process listens.
             local: returns this process's term of ownership, if it has one.
@@ -37,7 +37,7 @@
                 answered in the given number of seconds; returns whether it has
                 no term now.
         """
-        self._questions = questions_
+        self._peer_calls = peer_calls_
         self._boot = boot
         self._me = me
         self._local = local
@@ -55,7 +55,7 @@
             ended = other or self._yield_term(message.patience_s)
             reply(peers.OwnerStanding(message.question, self._boot, ended))
         elif isinstance(message, peers.JobAnswer | peers.OwnerStanding):
-            self._questions.on_answer(message.question, message)
+            self._peer_calls.on_answer(message.question, message)
 
     def state(self, job_id: str) -> jobs.JobState | None:
         """Asks the owner for a job's recorded state; None if unknown."""
@@ -83,7 +83,7 @@
         Returns:
             Whether its term is over; None without an answer.
         """
-        answer = self._questions.call(
+        answer = self._peer_calls.call(
             address,
             lambda number: peers.OwnerQuestion(
                 number, boot, patience_s, self._me
@@ -97,7 +97,7 @@
     def _ask(self, job_id: str, queue: str) -> peers.JobAnswer | None:
         if self._local() is not None:
             return self._answer(peers.JobQuestion("", job_id, queue))
-        answer = self._questions.call(
+        answer = self._peer_calls.call(
             self._address(),
             lambda number: peers.JobQuestion(number, job_id, queue),
             ANSWER_S,
--- a/src/vanillaswitch/coordination/fleet/ownership/spec_table.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/spec_table.py
@@ -42,7 +42,7 @@
 
 
 class SpecTable:
-    """Adds specs to the jobs of the core, for one term."""
+    """Adds specs to the jobs of the scheduler, for one term."""
 
     def __init__(
         self,
--- a/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
+++ b/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
@@ -16,11 +16,11 @@
     """How certain it is that a run crashed its instance.
 
     Attributes:
-        ALONE: no other run had just started there, and no other instance was
-            lost at that moment without a cause of its own.
-        NEW: the run had just started there.
-        WORKED: the run had worked there for a while.
-        UNSURE: it is unknown whether or when the run started, or whether the
+        SOLE_NEW_RUN: no other run had just started there, and no other instance
+            was lost at that moment without a cause of its own.
+        NEW_RUN: the run had just started there.
+        PROVEN_RUN: the run had worked there for a while.
+        UNCERTAIN: it is unknown whether or when the run started, or whether the
             instance crashed at all.
     """
 
@@ -43,7 +43,7 @@
 
 FULLY_CLEARED_S = 10.0
 """Run time after which a task is cleared of all crashes. A task that crashes
-its instances as it starts is already found after ``MOST_PROOF_S``."""
+its instances as it starts is already found after ``MAX_PROOF_S``."""
 
 MAX_SOLE_CAUSE_CRASHES = 2
 MAX_NEW_RUN_CRASHES = 3
@@ -58,7 +58,7 @@
 EXTRA_CRASHES_LONG_RUNNING = 1
 """A long-running task is given up after this many more crashes. It runs for
 minutes, so instances crash under it by chance, and its job serves users of its
-own. Crashes of kind ``UNSURE`` do not count against it."""
+own. Crashes of kind ``UNCERTAIN`` do not count against it."""
 
 
 @dataclasses.dataclass(frozen=True)
--- a/src/vanillaswitch/coordination/fleet/queue/instance_state.py
+++ b/src/vanillaswitch/coordination/fleet/queue/instance_state.py
@@ -36,41 +36,41 @@
     """One run on one instance, from the decision to start it to its end.
 
     Attributes:
-        need: the resources that it reserves.
+        demand: the resources that it reserves.
         sent: its start was recorded and may be sent.
         confirmed: the instance has accepted the start or reports the run.
-        unanswered: a copy of its start was sent and got no answer.
+        has_unanswered_start: a copy of its start was sent and got no answer.
         inherited: an earlier owner recorded it, and no instance has reported
             it to this owner yet.
-        in_doubt: an earlier owner may have ordered its stop. Its instance
-            would report it as at work until it has stopped.
-        unread: its job's row can't be read, as a part of the store is
-            unavailable. Its need is unknown, so it reserves a whole instance,
-            even if the capacity of the instance grows meanwhile.
-        stopping: monotonic seconds at which its stop was requested; None if
-            it is not to be stopped.
+        may_be_stopping: an earlier owner may have ordered its stop. Its
+            instance would report it as at work until it has stopped.
+        has_unknown_demand: its job's row can't be read, as a part of the store
+            is unavailable. Its need is unknown, so it reserves a whole
+            instance, even if the capacity of the instance grows meanwhile.
+        stop_requested_at: monotonic seconds at which its stop was requested;
+            None if it is not to be stopped.
         stop_sent_at: when the last order to stop it was sent.
-        void_since: monotonic seconds since which it is certain that it can't
-            start any more; None before.
+        cannot_start_since: monotonic seconds since which it is certain that it
+            can't start any more; None before.
         decided_at: monotonic seconds at which its start was decided.
         percent: last reported progress.
         progress_at: when ``percent`` last changed; at first when the owner
             created this record.
-        listed_at: when its instance last reported it.
-        begun_at: when the owner first knew that it had started; None before.
+        reported_at: when its instance last reported it.
+        started_at: when the owner first knew that it had started; None before.
         stalled_s: how long consecutive status reports have shown no progress.
             A gap between reports resets it.
-        saved: newest reported checkpoint.
-        apart: its task is suspected of crashing instances, so nothing else
-            starts on its instance until it has worked for a while.
-        cleared: no crashes count against its task any more.
-        proof_s: how long it has to work to show that it does not crash its
-            instance.
-        begun_before: it started before this owner first learned of it.
-        unsent: the last attempt to send its start sent no copy of it.
+        checkpoint: newest reported checkpoint.
+        is_isolated: its task is suspected of crashing instances, so nothing
+            else starts on its instance until it has worked for a while.
+        is_cleared: no crashes count against its task any more.
+        required_proof_s: how long it has to work to show that it does not crash
+            its instance.
+        started_before_term: it started before this owner first learned of it.
+        is_start_unsent: the last attempt to send its start sent no copy of it.
         born_ms: boot time of the instance incarnation that it was assigned
             to.
-        gauge: see ``fleet.Running``.
+        gauge: see ``fleet.RunStatus``.
         pace: percent of its speed at which it may work.
     """
 
@@ -119,7 +119,7 @@
 
     @property
     def is_proven(self) -> bool:
-        """Whether it has worked for ``proof_s``."""
+        """Whether it has worked for ``required_proof_s``."""
         if self.started_at is None:
             return False
         return self.run_time_s >= self.required_proof_s
@@ -162,37 +162,40 @@
 
     Attributes:
         registration: its newest registration.
-        lives: its incarnations under this id.
-        life: number of its current incarnation, unique over all instances.
-        listed: it is in the platform's list.
-        distrusted: its registration can't be read.
-        cordoned: a maintenance wave or a move needs it empty.
-        due: a maintenance wave will need it empty later.
-        leaving: an order that ends all its runs was given for its machine.
-        heard_at: monotonic seconds of its last status report.
+        incarnations: its incarnations under this id.
+        incarnation: number of its current incarnation, unique over all
+            instances.
+        is_listed: it is in the platform's list.
+        has_unreadable_registration: its registration can't be read.
+        is_cordoned: a maintenance wave or a move needs it empty.
+        is_maintenance_due: a maintenance wave will need it empty later.
+        is_terminating: an order that ends all its runs was given for its
+            machine.
+        last_contact_at: monotonic seconds of its last status report.
         runs: the runs that reserve resources on it.
-        adopted: it has answered this owner, so that no order of an earlier
+        is_adopted: it has answered this owner, so that no order of an earlier
             owner can take effect any more.
         adopted_at: monotonic seconds of that answer.
-        silent: it does not answer.
-        doubtful: a call to it got no answer, and it has not reported since.
+        is_unresponsive: it does not answer.
+        has_unanswered_call: a call to it got no answer, and it has not reported
+            since.
         suspended_until: monotonic seconds until which it gets no work, since
             it failed tasks, stalled one or refused a start.
-        failures_in_row: ids of the jobs that failed there in a row.
-        suspensions: how often it was suspended for them.
+        consecutive_failed_jobs: ids of the jobs that failed there in a row.
+        suspension_count: how often it was suspended for them.
         capacity: its current capacity, as far as it is certain.
-        last_end: number of the last end that it reported.
-        unread_ends: reported ends whose jobs can't be read yet.
+        last_end_number: number of the last end that it reported.
+        unprocessed_ends: reported ends whose jobs can't be read yet.
         clock_ms: its clock at ``clock_at``.
         clock_at: monotonic seconds at which ``clock_ms`` arrived.
-        speed: work per second relative to the estimates of its tasks.
+        relative_speed: work per second relative to the estimates of its tasks.
         speed_samples: how many samples ``speed`` averages.
-        slow: it is slow compared with its pool.
+        is_straggler: it is slow compared with its pool.
         last_paced_at: when filler tasks on it were last paced.
         below_target_since: since when no serving task was near its target.
-        lapses_at: monotonic seconds at which its lease expires, unless it is
-            renewed: all its runs have ended by then. Covers finished calls
-            only.
+        lease_expires_at: monotonic seconds at which its lease expires, unless
+            it is renewed: all its runs have ended by then. Covers finished
+            calls only.
     """
 
     def __init__(self, registration: fleet.Registration, now: float):
--- a/src/vanillaswitch/coordination/fleet/queue/job_tracker.py
+++ b/src/vanillaswitch/coordination/fleet/queue/job_tracker.py
@@ -34,13 +34,13 @@
     Attributes:
         run: highest run number assigned so far; 0 before the first start.
         instance: where the current run is; empty while the task waits.
-        failed: number of runs that ended as failed.
-        counted_run: highest run whose failure was counted.
-        saved: newest known checkpoint.
-        avoid: instances on which the task failed.
+        failed_runs: number of runs that ended as failed.
+        last_counted_run: highest run whose failure was counted.
+        checkpoint: newest known checkpoint.
+        avoided_instances: instances on which the task failed.
         crashes: crashes of instances during its runs.
-        suspect: whether it may crash the instance that starts it next.
-        judged_at: monotonic seconds before which the task must not start.
+        is_suspect: whether it may crash the instance that starts it next.
+        not_before: monotonic seconds before which the task must not start.
             Which other instances were lost with its last one is not known
             earlier.
         born_ms: boot time of the instance incarnation that its run was
@@ -84,11 +84,12 @@
     """A step of one occurrence whose tasks may run.
 
     Attributes:
-        held: name of the instance that is reserved for it; empty for none.
-        crashed: whether an instance was lost while it ran one of the step's
+        reserved_instance: name of the instance that is reserved for it; empty
+            for none.
+        has_crashed: whether an instance was lost while it ran one of the step's
             tasks, or a task of another job with the same image.
-        works: whether one of its tasks is done or ran long enough to show
-            that it does not crash its instance.
+        has_proven_task: whether one of its tasks is done or ran long enough to
+            show that it does not crash its instance.
     """
 
     __slots__ = (
@@ -167,21 +168,21 @@
     """Record of one accepted job.
 
     Attributes:
-        heard_at: monotonic seconds at which the owner received it.
+        received_at: monotonic seconds at which the owner received it.
         submitted_at: monotonic seconds at which an entry process accepted it.
         ended: final state; None until the job has ended.
-        shown: state that was last written to the store.
-        ended_ms: when its end was written, on the store's steady clock; 0
+        recorded_state: state that was last written to the store.
+        ended_store_ms: when its end was written, on the store's steady clock; 0
             if unknown.
-        started: whether a task of it was assigned to an instance.
-        begun: whether an instance confirmed that a task of it has started.
-            While an owner can't send its decisions, jobs are assigned but not
-            started.
+        was_assigned: whether a task of it was assigned to an instance.
+        has_started: whether an instance confirmed that a task of it has
+            started. While an owner can't send its decisions, jobs are assigned
+            but not started.
         spec: text that its instances are given; None until it is read.
         critical_path_ms: its critical path; None until it is computed.
         remaining_path_ms: remaining critical path by occurrence, as far as
             computed since a step was last done.
-        given_up: the crashes that made the job fail.
+        fatal_crashes: the crashes that made the job fail.
     """
 
     def __init__(self, job: jobs.Job, now: float, age_s: float = 0.0):
--- a/src/vanillaswitch/platform/http_table.py
+++ b/src/vanillaswitch/platform/http_table.py
@@ -59,7 +59,7 @@
 
 
 class HttpTable:
-    """Implements ``platform.Table`` and ``feeds.Feed``."""
+    """Implements ``platform.Table`` and ``change_feeds.ChangeFeed``."""
 
     def __init__(
         self,
--- a/src/vanillaswitch/platform/job_request_handler.py
+++ b/src/vanillaswitch/platform/job_request_handler.py
@@ -38,7 +38,7 @@
     def __init__(
         self,
         job_intake: job_service.JobService,
-        link: owner_rpc.OwnerRpc,
+        owner_rpc_: owner_rpc.OwnerRpc,
         config: Callable[[], fleet.FleetConfig | None],
         clock: clocks.Clock,
         time: reference_clock.ReferenceClock,
@@ -47,7 +47,7 @@
         self._emit = emit
         self._time = time
         self._intake = job_intake
-        self._link = link
+        self._owner_rpc = owner_rpc_
         self._config = config
         self._clock = clock
 
@@ -94,7 +94,7 @@
     ) -> requests.Reply:
         if incoming.method != "GET":
             return _refusal(405, "method", "use GET")
-        pending = self._link.pending(queue.name)
+        pending = self._owner_rpc.pending(queue.name)
         if pending is None:
             return _refusal(503, "no-owner", "come back soon", RETRY_AFTER_S)
         return _ok(job_body.encode_pending(pending))
@@ -139,7 +139,7 @@
     def _get_state(
         self, incoming: requests.Incoming, job_id: str
     ) -> requests.Reply:
-        state = self._link.state(job_id)
+        state = self._owner_rpc.state(job_id)
         if state is None:
             stored = self._intake.state(job_id, self._deadline(incoming))
             if isinstance(stored, job_store.StateUnknown):
@@ -152,7 +152,7 @@
     def _cancel_job(
         self, incoming: requests.Incoming, job_id: str
     ) -> requests.Reply:
-        state = self._link.state(job_id)
+        state = self._owner_rpc.state(job_id)
         if state is not None and state.is_final:
             return _ok(job_body.encode_state(state))
         result = self._intake.cancel(
--- a/src/vanillaswitch/platform/upstreams.py
+++ b/src/vanillaswitch/platform/upstreams.py
@@ -191,7 +191,7 @@
     ) -> fleet.RenewalOutcome:
         """Extends the lease of an instance's runs and gets its status report.
 
-        See ``fleet.Upstreams.hold`` for the arguments.
+        See ``fleet.Upstreams.renew_lease`` for the arguments.
         """
         # ``ack_cursor`` is the number of the last acknowledged end.
         body: dict[str, Any] = {"fence_token": token, "ack_cursor": seen}
--- a/src/vanillaswitch/protocol/change_feeds.py
+++ b/src/vanillaswitch/protocol/change_feeds.py
@@ -16,8 +16,8 @@
         key: name of the row within the table.
         value: content; None if the row was deleted or can't be read.
         version: number of the commit that wrote or deleted the row.
-        damage: why the content can't be read; empty if it can. A damaged row
-            still exists: readers use its previous content for as long as it
+        read_error: why the content can't be read; empty if it can. A damaged
+            row still exists: readers use its previous content for as long as it
             may be used.
     """
 
@@ -47,9 +47,9 @@
 
     Attributes:
         version: version after which to read changes.
-        missing: parts of the table that could not be read; ``rows`` has no
-            rows of these parts.
-        reason: why the first of these parts could not be read.
+        unreadable_partitions: parts of the table that could not be read;
+            ``rows`` has no rows of these parts.
+        unreadable_reason: why the first of these parts could not be read.
     """
 
     rows: tuple[RowChange, ...]
--- a/src/vanillaswitch/protocol/codec.py
+++ b/src/vanillaswitch/protocol/codec.py
@@ -57,9 +57,9 @@
 
     Attributes:
         messages: complete messages, in order.
-        passed_over: number of well-formed frames that were skipped because
+        skipped_frames: number of well-formed frames that were skipped because
             this version does not know them.
-        fault: set if the stream must be closed; ``messages`` are still valid.
+        error: set if the stream must be closed; ``messages`` are still valid.
     """
 
     messages: tuple[peers.Message, ...] = ()
--- a/src/vanillaswitch/protocol/fleet.py
+++ b/src/vanillaswitch/protocol/fleet.py
@@ -30,7 +30,7 @@
 
     Attributes:
         cpu: thousandths of a core that the tasks request.
-        work: sum over the tasks of ``cpu`` times the estimated duration in
+        cpu_time: sum over the tasks of ``cpu`` times the estimated duration in
             milliseconds.
     """
 
@@ -81,12 +81,12 @@
     duration of its longest chain of steps, plus ``target_ms``.
 
     Attributes:
-        prefix: path prefix of the queue's requests.
+        path_prefix: path prefix of the queue's requests.
         service: pool of the instances that run its tasks.
         priority: lower values go first; 0 is the highest priority.
         max_attempts: number of failed runs of one task that fails the job.
         stretch: factor of the objective.
-        target_ms: constant part of the objective.
+        target_duration_ms: constant part of the objective.
     """
 
     name: str
@@ -106,8 +106,9 @@
     """The instances of a service.
 
     Attributes:
-        guarded: its instances refuse tasks that exceed their capacity.
-        standby: its machines are off.
+        enforces_capacity: its instances refuse tasks that exceed their
+            capacity.
+        is_standby: its machines are off.
     """
 
     name: str
@@ -149,7 +150,7 @@
     Attributes:
         instance: id of the instance.
         address: "ip:port".
-        draining: it accepts no new work and is about to leave.
+        is_draining: it accepts no new work and is about to leave.
         labels: the first is the kind of machine, the last is the rack.
         born_ms: start time in milliseconds since the Unix epoch; None if the
             entry has none. An instance can restart under the same id; it
@@ -213,7 +214,7 @@
     """The status of a run on an instance.
 
     Attributes:
-        saved: newest checkpoint; empty for none.
+        checkpoint: newest checkpoint; empty for none.
         percent: progress; for a long-running task, whether it is serving.
         gauge: tail latency in milliseconds for a task that serves users, else
             thousandths of a core in use; over the last half second.
@@ -233,7 +234,7 @@
     Attributes:
         number: sequence number, which grows by one with each run that ends
             between two starts of the instance.
-        saved: newest checkpoint; empty for none.
+        checkpoint: newest checkpoint; empty for none.
     """
 
     number: int
@@ -300,7 +301,8 @@
     """No usable answer arrived.
 
     Attributes:
-        sent: whether the order may have taken effect or may still do so.
+        may_take_effect: whether the order may have taken effect or may still do
+            so.
     """
 
     may_take_effect: bool
@@ -323,7 +325,7 @@
     """The order to start a run of a task.
 
     Attributes:
-        saved: checkpoint to resume from; empty for none.
+        checkpoint: checkpoint to resume from; empty for none.
         token: fencing token of the sender.
         deadline_ms: end of the lease of all runs on the instance, on the
             instance's clock.
--- a/src/vanillaswitch/wiring/edge.py
+++ b/src/vanillaswitch/wiring/edge.py
@@ -197,7 +197,7 @@
         view = _operators(table, shared, told)
         outside = _outside(settings, client, store, table, view, shared)
         asking = peer_calls.PeerCalls(clock, boot)
-        link = owner_rpc.OwnerRpc(
+        owner_rpc_ = owner_rpc.OwnerRpc(
             asking,
             boot,
             settings.internal_address,
@@ -213,7 +213,7 @@
             clock,
             rng,
             _probe,
-            link.ask_term_ended,
+            owner_rpc_.ask_term_ended,
             asking.keep_stream_open,
             told.emit,
         )
@@ -233,7 +233,7 @@
             stack.enter_context(
                 streams.run(
                     settings.internal_address,
-                    functools.partial(_on_message, link, others),
+                    functools.partial(_on_message, owner_rpc_, others),
                     clock,
                     rng,
                     member.on_stream_closed,
@@ -259,7 +259,7 @@
         ready = functools.partial(_ready, state, view, member, clock)
         handler = job_request_handler.JobRequestHandler(
             job_service.JobService(local, others, clock),
-            link,
+            owner_rpc_,
             lambda: view.config,
             clock,
             shared,
@@ -289,7 +289,7 @@
 
 
 def _on_message(
-    link: owner_rpc.OwnerRpc,
+    owner_rpc_: owner_rpc.OwnerRpc,
     others: request_forwarder.RequestForwarder,
     sender: str | None,
     message: peers.Message,
@@ -297,7 +297,7 @@
 ) -> None:
     """Hands a message to both that may know it."""
     del sender
-    link.on_message(message, reply)
+    owner_rpc_.on_message(message, reply)
     others.on_message(message, reply)
 
 
--- a/standins/model/world.py
+++ b/standins/model/world.py
@@ -48,7 +48,7 @@
 DOUBT_S = 1.0
 SILENT_S = 2.0
 """When a call to an instance that went dark has found no answer, and a second
-one as well (see ``instance_task``)."""
+one as well (see ``instance_client``)."""
 
 PLAN_EVERY_S = 0.1
 """Time between two plans while nothing happens, as the owner's tick."""
--- a/tests/common/outer_names.py
+++ b/tests/common/outer_names.py
@@ -30,12 +30,15 @@
 from vanillaswitch.coordination.fleet import events
 from vanillaswitch.coordination.fleet import status_summaries
 from vanillaswitch.coordination.fleet.ownership import fenced_writer
+from vanillaswitch.coordination.maintenance import budgets
+from vanillaswitch.coordination.maintenance import wave_plan
 from vanillaswitch.internal import histograms
 from vanillaswitch.internal import logs
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import peers
 from vanillaswitch.protocol import platform
+from vanillaswitch.protocol import unusable
 from vanillaswitch.state import config
 from vanillaswitch.state import rows
 from vanillaswitch.state import settings
@@ -74,13 +77,23 @@
     yield from _fields("histogram", histograms.Summary)
     for kind in _data_classes(status_summaries):
         yield from _fields("command-output", kind)
-    yield from _fields("command-output", fleet.Machine)
+    for kind in (
+        fleet.Machine,
+        unusable.Unusable,
+        budgets.Standing,
+        wave_plan.WavePlan,
+    ):
+        yield from _fields("command-output", kind)
     for kind in (fleet.Accepted, fleet.Refused, fleet.Busy, fleet.NoAnswer):
         yield "machine-outcome", kind.__name__.lower()
     for kind in typing.get_args(platform_wire.Outcome):
         yield "platform-outcome", platform_wire._tag(kind)
         yield from _fields("platform", kind)
-    for kind in (*_data_classes(platform_wire), platform.Transaction):
+    for kind in (
+        *_data_classes(platform_wire),
+        platform.Transaction,
+        platform.TaskSpec,
+    ):
         yield from _fields("platform", kind)
     for module in _modules(platform_adapter):
         for kind in _data_classes(module):
--- a/tests/common/ownership_terms.py
+++ b/tests/common/ownership_terms.py
@@ -66,7 +66,7 @@
         feed: where it reads.
         clock: of its machine.
         version: of the owner's row.
-        **outside: fields of ``owners.Outside`` that replace empty ones.
+        **outside: fields of ``owners.Dependencies`` that replace empty ones.
     """
     me = fenced_writer.OwnerRow("edge-1", "a:1", f"boot-{version}")
     writer = fenced_writer.FencedWriter(table, clock, me)
@@ -90,14 +90,14 @@
     )
 
 
-def member(
+def candidate(
     table: platform.Table,
     clock: clocks.Clock,
     boot: str = "boot-1",
     ask_term_ended: candidates.AskTermEnded = lambda *_: False,
     probe: candidates.Probe = lambda _: 0,
 ) -> candidates.OwnerCandidate:
-    """Returns a member of an election without other processes.
+    """Returns a candidate of an election without other processes.
 
     Args:
         table: of the store.
--- a/tests/common/peer_doubles.py
+++ b/tests/common/peer_doubles.py
@@ -74,7 +74,7 @@
     """Delivers messages in memory, except over links that are cut.
 
     Attributes:
-        cut: (source, target) pairs of addresses whose messages are lost.
+        cut_links: (source, target) pairs of addresses whose messages are lost.
         sent: (source, target, message) of all messages, lost ones included.
     """
 
--- a/tests/common/wave_doubles.py
+++ b/tests/common/wave_doubles.py
@@ -101,14 +101,14 @@
 def task(
     scheduler: schedulers.Scheduler,
     machines: Machines,
-    board: WaveStore,
+    wave_store: WaveStore,
     clock: clocks.Clock,
 ) -> machine_controller.MachineController:
     """Returns a machine task with a confirmed term."""
     return machine_controller.MachineController(
         scheduler,
         machines,
-        board,
+        wave_store,
         Recorder(),  # type: ignore[arg-type]
         fleet_builders.deployment(),
         clock,
--- a/tests/cover/test_layers.py
+++ b/tests/cover/test_layers.py
@@ -66,22 +66,22 @@
 _FLEET = _ROOT / "coordination" / "fleet"
 _DECISIONS = (
     "queue/*.py",
-    "machines/capacity.py",
+    "machines/capacity_planner.py",
     "machines/evacuation.py",
     "machines/waves.py",
-    "instances/accounts.py",
-    "instances/core.py",
-    "instances/endings.py",
-    "instances/inheritance.py",
+    "instances/completions.py",
+    "instances/disruption_budget.py",
+    "instances/incarnations.py",
     "instances/lease_times.py",
-    "instances/lives.py",
-    "instances/orders.py",
+    "instances/order_outcomes.py",
     "instances/restarts.py",
-    "instances/sparing.py",
-    "instances/stops.py",
+    "instances/run_recovery.py",
+    "instances/scheduler.py",
+    "instances/status_reports.py",
+    "instances/stop_orders.py",
     "instances/term_state.py",
-    "intake/job_rows.py",
-    "ownership/succession.py",
+    "job_requests/job_rows.py",
+    "ownership/owner_monitor.py",
 )
 _OUTSIDE = ("gevent", "time", "random", "socket", "transport", "clock")
 
--- a/tests/cover/test_mover.py
+++ b/tests/cover/test_mover.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass
-class _Recorder:
+class _Writer:
     is_term_over = False
     newest_version = 7
     is_confirmed = True
@@ -65,7 +65,7 @@
         scheduler.add_job(fleet_builders.job(steps=steps), 0.0)
         fleet_builders.plan_batch(scheduler)
         self.machines = _Machines(outcome)
-        self.writer = _Recorder()
+        self.writer = _Writer()
         self.reserved = waves.ReservedMachines()
         self._clock = clocks.ManualClock()
         self._mover = mover.MachineMover(
--- a/tests/cover/test_spec_table.py
+++ b/tests/cover/test_spec_table.py
@@ -28,8 +28,10 @@
 
 def _submit(table, job):
     boot = f"boot-{next(_boots)}"
-    intake = job_stores.JobStore(table, clocks.ManualClock(), boot, lambda: 0.0)
-    return intake.submit(job, 10.0)
+    job_store = job_stores.JobStore(
+        table, clocks.ManualClock(), boot, lambda: 0.0
+    )
+    return job_store.submit(job, 10.0)
 
 
 def _stored_job(table, job):
--- a/tests/failures/test_all_processes_lost.py
+++ b/tests/failures/test_all_processes_lost.py
@@ -54,7 +54,7 @@
     """Returns the time until a process took over, and the row it wrote."""
     clock = clocks.ManualClock()
     table = make_table(clock)
-    member = candidates.OwnerCandidate(
+    candidate = candidates.OwnerCandidate(
         types.SimpleNamespace(table=table),
         types.SimpleNamespace(config=object()),
         dataclasses.replace(fleet_builders.deployment(), **limits),
@@ -63,12 +63,12 @@
         random.Random(1),
         probe,
         lambda *_: ended,
-        lambda address: closed and member.on_stream_closed(address),
+        lambda address: closed and candidate.on_stream_closed(address),
         lambda _: None,
     )
     started_at = clock.monotonic()
     try:
-        member.run()
+        candidate.run()
     except _TakenOverError:
         return table.committed_at - started_at, table.written
     raise AssertionError("nobody took over")
@@ -140,9 +140,9 @@
     """
     clock = clocks.ManualClock()
     table = _Unreadable(clock)
-    member = ownership_terms.member(table, clock, "new")
+    candidate = ownership_terms.candidate(table, clock, "new")
     with pytest.raises(_TakenOverError):
-        member.run()
+        candidate.run()
     assert table.reads <= 5
 
 
@@ -243,7 +243,9 @@
     def ask_term_ended(*_):
         clock.sleep(0.4)
 
-    member = ownership_terms.member(table, clock, "new", ask_term_ended, probe)
+    candidate = ownership_terms.candidate(
+        table, clock, "new", ask_term_ended, probe
+    )
     with pytest.raises(_TakenOverError):
-        member.run()
+        candidate.run()
     assert table.taken_after_s <= limit_s
--- a/tests/failures/test_clock_steps.py
+++ b/tests/failures/test_clock_steps.py
@@ -199,15 +199,15 @@
     form = types.SimpleNamespace()
     first, second = manual.ManualClock(), manual.ManualClock()
     second._wall += step_s
-    boards = [
+    wave_stores = [
         operator_table.OperatorTable(
             table, form, ownership_terms.synced_time(clock), lambda _: None
         )
         for clock in (first, second)
     ]
-    assert boards[0].start_wave("wave/1").age_s == 0.0
+    assert wave_stores[0].start_wave("wave/1").age_s == 0.0
     second.advance(4.0)
-    assert boards[1].start_wave("wave/1").age_s == pytest.approx(4.0)
+    assert wave_stores[1].start_wave("wave/1").age_s == pytest.approx(4.0)
 
 
 def test_a_slow_answer_does_not_set_the_store_clock_back():
--- a/tests/failures/test_draining_machines.py
+++ b/tests/failures/test_draining_machines.py
@@ -20,13 +20,13 @@
     fleet_builders.accept_starts(
         scheduler, fleet_builders.plan_batch(scheduler)
     )
-    machines, board = (
+    machines, wave_store = (
         wave_doubles.Machines(["m-1", "m-2"]),
         wave_doubles.WaveStore("m-1", "m-2"),
     )
     clock = clocks.ManualClock()
-    task = wave_doubles.task(scheduler, machines, board, clock)
-    task._wave_driver._draining["m-1"] = clock.monotonic()
+    task = wave_doubles.task(scheduler, machines, wave_store, clock)
+    task._wave_controller._draining["m-1"] = clock.monotonic()
     machines.names = ["m-2"]
     for _ in range(40):
         assert task._read_list()
@@ -34,7 +34,7 @@
         task.mover.step()
         clock.advance(0.25)
     assert machines.ordered == ["m-2"]
-    assert board.reports[-1] == ("wave/1", True)
+    assert wave_store.reports[-1] == ("wave/1", True)
 
 
 def test_a_draining_machine_is_uncordoned_when_its_pool_needs_it():
@@ -91,7 +91,7 @@
     )
     assert task._read_list()
     task._apply()
-    for progress in task._wave_driver._waves["wave/1"].machines.values():
+    for progress in task._wave_controller._waves["wave/1"].machines.values():
         progress.phase = waves.MachinePhase.DONE
     scheduler.instances["i-1"].is_terminating = True
     assert task._read_list()
--- a/tests/failures/test_failed_rack.py
+++ b/tests/failures/test_failed_rack.py
@@ -13,7 +13,7 @@
 from vanillaswitch.protocol import fleet
 
 
-class _Recorder:
+class _Writer:
     is_term_over = False
     token = 9
     newest_version = 9
@@ -50,7 +50,7 @@
         scheduler,
         machines,
         types.SimpleNamespace(orders=lambda: ()),
-        _Recorder(),
+        _Writer(),
         fleet_builders.deployment(),
         clock,
         gevent.event.Event(),
@@ -156,7 +156,7 @@
     )
     upstreams = _SilentUpstream()
     means = instance_client.CallContext(
-        scheduler, upstreams, _Recorder(), clock, gevent.event.Event()
+        scheduler, upstreams, _Writer(), clock, gevent.event.Event()
     )
     running = gevent.spawn(
         instance_client.InstanceClient(means, "i-1").run_until_gone
--- a/tests/failures/test_forwarded_requests.py
+++ b/tests/failures/test_forwarded_requests.py
@@ -63,7 +63,7 @@
     """One process: its table, its address and the owner it knows."""
 
     table: _Table
-    request_forwarder: request_forwarder.RequestForwarder
+    forwarder: request_forwarder.RequestForwarder
     service: job_service.JobService
     address: str
     owner: str = ""
@@ -84,7 +84,7 @@
     def on_message(_, message, reply):
         process.received.append(message)
         if not process.silent:
-            process.errands.on_message(message, reply)
+            process.forwarder.on_message(message, reply)
 
     with streams.run(
         "127.0.0.1:0", on_message, clock, random.Random(1)
@@ -175,7 +175,7 @@
     sender can't know the outcome.
     """
     cut, owner = pair
-    assert cut.errands._can_help(owner.address)
+    assert cut.forwarder._can_help(owner.address)
     owner.silent = True
     verdict = cut.service.submit(fleet_builders.job(), _deadline())
     assert verdict is job_stores.RequestResult.UNKNOWN
@@ -210,7 +210,7 @@
     verdict = cut.service.submit(job, _deadline())
     assert verdict is job_stores.RequestResult.NOT_APPLIED
     question = peers.OwnerQuestion("q-1", "boot", 1.0, owner.address)
-    cut.errands.on_message(question, lambda _: None)
+    cut.forwarder.on_message(question, lambda _: None)
     assert (
         cut.service.submit(job, _deadline())
         is job_stores.RequestResult.ACCEPTED
--- a/tests/failures/test_long_take_over.py
+++ b/tests/failures/test_long_take_over.py
@@ -28,15 +28,17 @@
     over it said yes, as it did not serve yet. The next owner did so too.
     """
     clock = clocks.ManualClock()
-    member = ownership_terms.member(_Table(), clock)
+    candidate = ownership_terms.candidate(_Table(), clock)
     writer = fenced_writer.FencedWriter(
-        member._outside.table, clock, fenced_writer.OwnerRow("e", "a", "boot-1")
+        candidate._outside.table,
+        clock,
+        fenced_writer.OwnerRow("e", "a", "boot-1"),
     )
     writer.take_over(0, 0.0)
-    member._writer = writer
-    assert not member.step_down_if_stale(1.0)
+    candidate._writer = writer
+    assert not candidate.step_down_if_stale(1.0)
     clock.advance(1.5)
-    assert member.step_down_if_stale(1.0)
+    assert candidate.step_down_if_stale(1.0)
     assert writer.is_term_over
 
 
--- a/tests/failures/test_lost_order_responses.py
+++ b/tests/failures/test_lost_order_responses.py
@@ -239,7 +239,7 @@
     names = ("m-1", "m-2")
     clock = manual.ManualClock()
     machines = _Machines(lost)
-    driver = wave_controller.WaveController(
+    controller = wave_controller.WaveController(
         fleet_builders.new_scheduler(),
         machines,
         wave_doubles.WaveStore(*names),
@@ -262,12 +262,12 @@
         for name in names
     }
     for _ in range(lost + 3):
-        driver.step(listed)
+        controller.step(listed)
         clock.advance(0.25)
     ordered = {machine for machine, _, _ in machines.orders}
     assert len(ordered) == 1
     tokens = [token for _, _, token in machines.orders]
     assert len(tokens) == lost + 1
     assert tokens == sorted(set(tokens))
-    wave = driver._waves["wave/1"]
+    wave = controller._waves["wave/1"]
     assert waves.count_in_maintenance(wave) == 1
--- a/tests/failures/test_owner_steps_down.py
+++ b/tests/failures/test_owner_steps_down.py
@@ -56,11 +56,11 @@
     clock = clocks.ManualClock()
     table = _TakenMeanwhile(clock)
     answers = iter([True])
-    member = ownership_terms.member(
+    candidate = ownership_terms.candidate(
         table, clock, ask_term_ended=lambda *_: next(answers, False)
     )
     with pytest.raises(_EndOfRunError):
-        member.run()
+        candidate.run()
     assert table.attempts == 1
 
 
--- a/tests/failures/test_silent_store.py
+++ b/tests/failures/test_silent_store.py
@@ -49,18 +49,17 @@
     """
     table = _Table()
     silent_s = [5.0]
-    intake_ = job_store.JobStore(
+    store_ = job_store.JobStore(
         table, manual.ManualClock(), "boot", lambda: silent_s[0]
     )
     assert (
-        intake_.submit(fleet_builders.job(), 2000.0)
+        store_.submit(fleet_builders.job(), 2000.0)
         is job_store.RequestResult.NOT_APPLIED
     )
     assert (
-        intake_.cancel("ab", True, 2000.0)
-        is job_store.RequestResult.NOT_APPLIED
+        store_.cancel("ab", True, 2000.0) is job_store.RequestResult.NOT_APPLIED
     )
-    assert isinstance(intake_.state("ab"), job_store.StateUnknown)
+    assert isinstance(store_.state("ab"), job_store.StateUnknown)
     assert table.commits == 0
 
 
@@ -72,9 +71,9 @@
     time.
     """
     clock = manual.ManualClock()
-    intake_ = job_store.JobStore(_Table(), clock, "boot", lambda: 0.0)
+    store_ = job_store.JobStore(_Table(), clock, "boot", lambda: 0.0)
     started_at = clock.monotonic()
-    verdict = intake_.submit(fleet_builders.job(), started_at + 60.0)
+    verdict = store_.submit(fleet_builders.job(), started_at + 60.0)
     assert verdict is job_store.RequestResult.UNKNOWN
     assert clock.monotonic() - started_at <= job_store.COMMIT_TIMEOUT_S + 0.5
 
--- a/tests/failures/test_slow_writes.py
+++ b/tests/failures/test_slow_writes.py
@@ -27,13 +27,13 @@
 
 
 def _owner(clock, table):
-    """Returns a process that owns the fleet, and its recorder."""
-    member = ownership_terms.member(table, clock)
+    """Returns a process that owns the fleet, and its writer."""
+    candidate = ownership_terms.candidate(table, clock)
     me = fenced_writer.OwnerRow("edge-1", "a:1", "boot-1")
     writer = fenced_writer.FencedWriter(table, clock, me)
     assert writer.take_over(platform.ABSENT, 0.0)
-    member._writer = writer
-    return member, writer
+    candidate._writer = writer
+    return candidate, writer
 
 
 def test_an_owner_that_waits_for_a_slow_write_keeps_the_fleet():
@@ -46,11 +46,11 @@
     """
     clock = manual.ManualClock()
     table = _SlowTable(clock)
-    member, writer = _owner(clock, table)
+    candidate, writer = _owner(clock, table)
     writer.write([])
     stepped_down = []
     table.on_commit = lambda: stepped_down.append(
-        member.step_down_if_stale(_PATIENCE_S)
+        candidate.step_down_if_stale(_PATIENCE_S)
     )
     writer.write([])
     assert stepped_down == [False]
@@ -58,6 +58,6 @@
 
 def test_an_owner_that_gets_no_answer_steps_down():
     clock = manual.ManualClock()
-    member, _ = _owner(clock, _SlowTable(clock))
+    candidate, _ = _owner(clock, _SlowTable(clock))
     clock.advance(_PATIENCE_S)
-    assert member.step_down_if_stale(_PATIENCE_S)
+    assert candidate.step_down_if_stale(_PATIENCE_S)
--- a/tests/failures/test_specs_of_a_new_owner.py
+++ b/tests/failures/test_specs_of_a_new_owner.py
@@ -47,13 +47,13 @@
     been decided, and a quarter of the jobs were late.
     """
     table, scheduler = tables.MemoryTable(), fleet_builders.new_scheduler()
-    intake = job_stores.JobStore(
+    job_store = job_stores.JobStore(
         table, clocks.ManualClock(), "boot-1", lambda: 0.0
     )
     fleet_builders.add_instances(scheduler, "i-1", cpu=4000 * _JOBS)
     for number in range(1, _JOBS + 1):
         job = fleet_builders.job(number, spec=_LONG_SPEC)
-        intake.submit(job, 10.0)
+        job_store.submit(job, 10.0)
         row = table.read([f"job/{job.job_id}"]).rows[0]
         scheduler.add_job(job_rows.unpack(row.value), 0.0)
     fleet_builders.plan_batch(scheduler)
--- a/tests/failures/test_unlisted_instance.py
+++ b/tests/failures/test_unlisted_instance.py
@@ -13,7 +13,7 @@
 from vanillaswitch.protocol import jobs
 
 
-class _Recorder:
+class _Writer:
     deposed = False
     token = 9
     confirmed_at = 0.0
@@ -58,7 +58,7 @@
     means = instance_client.CallContext(
         scheduler,
         upstreams,
-        _Recorder(),
+        _Writer(),
         clocks.SystemClock(),
         gevent.event.Event(),
     )
@@ -78,7 +78,7 @@
     return instance_client.CallContext(
         scheduler,
         upstreams,
-        _Recorder(),
+        _Writer(),
         clocks.SystemClock(),
         gevent.event.Event(),
     )
--- a/tests/failures/test_unusable_rows.py
+++ b/tests/failures/test_unusable_rows.py
@@ -111,7 +111,7 @@
         )
 
 
-def _listing(scheduler, rows, emitted):
+def _watcher(scheduler, rows, emitted):
     feed = _Feed(rows)
     clock = clocks.SystemClock()
     view = registration_watcher.RegistrationWatcher(
@@ -145,7 +145,7 @@
     """
     emitted = []
     scheduler = fleet_builders.new_scheduler()
-    view = _listing(scheduler, _rows([VALID_ENTRY, VALID_ENTRY]), emitted)
+    view = _watcher(scheduler, _rows([VALID_ENTRY, VALID_ENTRY]), emitted)
     for name in ("i-0", "i-1"):
         scheduler.handle_status_report(
             name, fleet_builders.status_report(), 0.0, 0.0
@@ -180,7 +180,7 @@
 def test_instances_of_an_unconfigured_service_are_not_held():
     """Guards against status calls, which have a price, to unused instances."""
     scheduler = fleet_builders.new_scheduler()
-    _listing(
+    _watcher(
         scheduler, _rows([VALID_ENTRY, VALID_ENTRY | {"service": "other"}]), []
     )
     assert scheduler.should_poll("i-0")
