--- a/src/vanillaswitch/platform/job_request_handler.py
+++ b/src/vanillaswitch/platform/job_request_handler.py
@@ -76,7 +76,7 @@
         queue = _find_queue(config, host, path)
         if queue is None:
             return _refusal(404, "no-queue", "no queue has this address")
-        job_id = path[len(queue.path_prefix) :]
+        job_id = path[len(queue.prefix) :]
         if not job_id:
             return self._get_queue_length(incoming, queue)
         if not _JOB_ID.fullmatch(job_id):
@@ -182,9 +182,9 @@
     matching = [
         queue
         for queue in config.queues
-        if queue.host == name and path.startswith(queue.path_prefix)
+        if queue.host == name and path.startswith(queue.prefix)
     ]
-    return max(matching, key=lambda queue: len(queue.path_prefix), default=None)
+    return max(matching, key=lambda queue: len(queue.prefix), default=None)
 
 
 def _ok(body: bytes) -> requests.Answer:
--- a/src/vanillaswitch/platform/operator_rows.py
+++ b/src/vanillaswitch/platform/operator_rows.py
@@ -68,7 +68,7 @@
         return fleet.Queue(
             name=self.name,
             host=self.host.lower(),
-            path_prefix=self.path_prefix,
+            prefix=self.path_prefix,
             service=self.service,
             priority=self.priority,
             max_attempts=max(1, self.max_attempts),
--- a/src/vanillaswitch/protocol/fleet.py
+++ b/src/vanillaswitch/protocol/fleet.py
@@ -81,7 +81,7 @@
     duration of its longest chain of steps, plus ``target_ms``.
 
     Attributes:
-        path_prefix: path prefix of the queue's requests.
+        prefix: path prefix of the queue's requests.
         service: pool of the instances that run its tasks.
         priority: lower values go first; 0 is the highest priority.
         max_attempts: number of failed runs of one task that fails the job.
@@ -91,7 +91,7 @@
 
     name: str
     host: str
-    path_prefix: str
+    prefix: str
     service: str
     priority: int = 0
     max_attempts: int = 1
--- a/tests/cover/test_crash_events.py
+++ b/tests/cover/test_crash_events.py
@@ -83,7 +83,7 @@
 def test_no_crash_event_for_an_instance_that_was_draining():
     scheduler, emitted = _core_with_tasks()
     draining = dataclasses.replace(
-        scheduler.instances["i-1"].registration, draining=True
+        scheduler.instances["i-1"].registration, is_draining=True
     )
     scheduler.handle_registration(draining, 1.15)
     scheduler.remove_instance("i-1", 1.2, "no machine runs it")
--- a/tests/cover/test_document_validation.py
+++ b/tests/cover/test_document_validation.py
@@ -156,7 +156,7 @@
         ("a", "r1-3"),
     )
     assert _registration(INSTANCE_ROW | {"new": 1, "remaining_ms": 3}) == found
-    assert _registration(INSTANCE_ROW | {"state": "draining"}).draining
+    assert _registration(INSTANCE_ROW | {"state": "draining"}).is_draining
 
 
 @pytest.mark.parametrize(
