--- a/tests/common/ownership_terms.py
+++ b/tests/common/ownership_terms.py
@@ -32,7 +32,7 @@
 class NoWaves:
     """Operators who order no maintenance."""
 
-    def orders(self) -> tuple[fleet.WaveOrder, ...]:
+    def wave_orders(self) -> tuple[fleet.WaveOrder, ...]:
         """Returns the ordered waves."""
         return ()
 
--- a/tests/failures/test_failed_rack.py
+++ b/tests/failures/test_failed_rack.py
@@ -49,7 +49,7 @@
     return machine_controller.MachineController(
         scheduler,
         machines,
-        types.SimpleNamespace(orders=lambda: ()),
+        types.SimpleNamespace(wave_orders=lambda: ()),
         _Writer(),
         fleet_builders.deployment(),
         clock,
--- a/tests/failures/test_lost_store_answers.py
+++ b/tests/failures/test_lost_store_answers.py
@@ -119,11 +119,11 @@
     """
     clock = clocks.SystemClock()
     store = _Store(random.Random(1), loss_rate=1.0)
-    store_ = job_store.JobStore(
+    job_store_ = job_store.JobStore(
         prompt_table.PromptTable(store, clock), clock, "boot", lambda: 0.0
     )
     started_at = clock.monotonic()
-    verdict = store_.submit(fleet_builders.job(), started_at + 3.0)
+    verdict = job_store_.submit(fleet_builders.job(), started_at + 3.0)
     assert verdict is job_store.RequestResult.ACCEPTED
     assert clock.monotonic() - started_at < 2 * answer_times.FIRST_S
 
--- a/tests/failures/test_silent_store.py
+++ b/tests/failures/test_silent_store.py
@@ -49,17 +49,18 @@
     """
     table = _Table()
     silent_s = [5.0]
-    store_ = job_store.JobStore(
+    job_store_ = job_store.JobStore(
         table, manual.ManualClock(), "boot", lambda: silent_s[0]
     )
     assert (
-        store_.submit(fleet_builders.job(), 2000.0)
+        job_store_.submit(fleet_builders.job(), 2000.0)
         is job_store.RequestResult.NOT_APPLIED
     )
     assert (
-        store_.cancel("ab", True, 2000.0) is job_store.RequestResult.NOT_APPLIED
+        job_store_.cancel("ab", True, 2000.0)
+        is job_store.RequestResult.NOT_APPLIED
     )
-    assert isinstance(store_.state("ab"), job_store.StateUnknown)
+    assert isinstance(job_store_.state("ab"), job_store.StateUnknown)
     assert table.commits == 0
 
 
@@ -71,9 +72,9 @@
     time.
     """
     clock = manual.ManualClock()
-    store_ = job_store.JobStore(_Table(), clock, "boot", lambda: 0.0)
+    job_store_ = job_store.JobStore(_Table(), clock, "boot", lambda: 0.0)
     started_at = clock.monotonic()
-    verdict = store_.submit(fleet_builders.job(), started_at + 60.0)
+    verdict = job_store_.submit(fleet_builders.job(), started_at + 60.0)
     assert verdict is job_store.RequestResult.UNKNOWN
     assert clock.monotonic() - started_at <= job_store.COMMIT_TIMEOUT_S + 0.5
 
--- a/tests/failures/test_unlisted_instance.py
+++ b/tests/failures/test_unlisted_instance.py
@@ -14,7 +14,7 @@
 
 
 class _Writer:
-    deposed = False
+    is_term_over = False
     token = 9
     confirmed_at = 0.0
 
