--- a/tests/common/ownership_terms.py
+++ b/tests/common/ownership_terms.py
@@ -75,8 +75,8 @@
         "upstreams": None,
         "machines": NoMachines(),
         "advisor": None,
-        "registrations": "servers",
-        "registration": decode_any_instance,
+        "registration_table": "servers",
+        "decode_registration": decode_any_instance,
         "waves": NoWaves(),
         "time": synced_time(clock),
     }
--- a/tests/cover/test_crash_events.py
+++ b/tests/cover/test_crash_events.py
@@ -10,8 +10,8 @@
 from vanillaswitch.protocol import jobs
 
 
-def _core_with_tasks(count=3):
-    """Returns a core with tasks started on one instance, and its events."""
+def _scheduler_with_tasks(count=3):
+    """Returns a scheduler, with tasks started on one instance, and events."""
     emitted = []
     scheduler = schedulers.Scheduler(
         queue_order.ORDERS.get(queue_order.DEFAULT_ORDER), emitted.append
@@ -43,7 +43,7 @@
 
 
 def test_a_crash_event_counts_the_other_runs_on_the_instance():
-    scheduler, emitted = _core_with_tasks()
+    scheduler, emitted = _scheduler_with_tasks()
     scheduler.remove_instance("i-1", 1.2, "no machine runs it")
     crashes = _crashes(emitted)
     assert [crash.task for crash in crashes] == ["0.0.0", "0.0.1", "0.0.2"]
@@ -65,7 +65,7 @@
 
 
 def test_no_crash_event_for_a_run_that_has_worked_for_a_while():
-    scheduler, emitted = _core_with_tasks()
+    scheduler, emitted = _scheduler_with_tasks()
     _report(scheduler, 1.2)
     _report(scheduler, 1.4, indices=(0, 1))
     scheduler.remove_instance("i-1", 1.5, "no machine runs it")
@@ -74,14 +74,14 @@
 
 
 def test_no_crash_event_for_an_instance_that_the_owner_ended():
-    scheduler, emitted = _core_with_tasks()
+    scheduler, emitted = _scheduler_with_tasks()
     scheduler.instances["i-1"].is_terminating = True
     scheduler.remove_instance("i-1", 1.2, "no machine runs it")
     assert not _crashes(emitted)
 
 
 def test_no_crash_event_for_an_instance_that_was_draining():
-    scheduler, emitted = _core_with_tasks()
+    scheduler, emitted = _scheduler_with_tasks()
     draining = dataclasses.replace(
         scheduler.instances["i-1"].registration, is_draining=True
     )
--- a/tests/failures/test_restarted_instance.py
+++ b/tests/failures/test_restarted_instance.py
@@ -51,8 +51,8 @@
     return list(scheduler.instances[name].runs)
 
 
-def _core_with(*names, now=0.0):
-    """Returns a core with instances that have reported, and its events."""
+def _scheduler_with(*names, now=0.0):
+    """Returns a scheduler with instances that have reported, and its events."""
     emitted = []
     scheduler = schedulers.Scheduler(
         queue_order.ORDERS.get(queue_order.DEFAULT_ORDER), emitted.append
@@ -64,9 +64,11 @@
     return scheduler, emitted
 
 
-def _core_with_serving_tasks(step=_LONG_RUNNING, spare=("i-6", "i-7", "i-8")):
-    """Returns a core with a serving task on each of five instances."""
-    scheduler, emitted = _core_with(*_NAMES)
+def _scheduler_with_serving_tasks(
+    step=_LONG_RUNNING, spare=("i-6", "i-7", "i-8")
+):
+    """Returns a scheduler with a serving task on each of five instances."""
+    scheduler, emitted = _scheduler_with(*_NAMES)
     job = fleet_builders.job(steps=(step,))
     scheduler.add_job(job, 0.0)
     for start in fleet_builders.plan_batch(scheduler).starts:
@@ -107,7 +109,7 @@
     empty. If the reports pass for older than the starts, both tasks stay at 100
     percent and are not restarted, and a drain stops two more.
     """
-    scheduler, emitted = _core_with_serving_tasks()
+    scheduler, emitted = _scheduler_with_serving_tasks()
     for name in ("i-1", "i-2"):
         _report(scheduler, name, 3.0, SECOND)
     assert not _keys(scheduler, "i-1")
@@ -125,7 +127,7 @@
 
 
 def test_a_registration_can_show_a_restart_before_any_status_report():
-    scheduler, _ = _core_with_serving_tasks()
+    scheduler, _ = _scheduler_with_serving_tasks()
     scheduler.handle_registration(_registration("i-1", SECOND), 3.0)
     assert not _keys(scheduler, "i-1")
     assert len(_waiting_indices(scheduler)) == 1
@@ -139,7 +141,7 @@
 @pytest.mark.parametrize("entry_first", [True, False])
 def test_messages_of_the_former_incarnation_are_ignored(entry_first):
     """Otherwise a late report restores a run that is over: it runs twice."""
-    scheduler, emitted = _core_with_serving_tasks()
+    scheduler, emitted = _scheduler_with_serving_tasks()
     previous = _keys(scheduler, "i-1")
     if entry_first:
         scheduler.handle_registration(_registration("i-1", SECOND), 3.0)
@@ -157,7 +159,7 @@
 
 
 def test_a_registration_that_lags_behind_status_reports_changes_nothing():
-    scheduler, emitted = _core_with_serving_tasks()
+    scheduler, emitted = _scheduler_with_serving_tasks()
     _report(scheduler, "i-1", 3.0, SECOND)
     for seconds in range(5):
         scheduler.handle_registration(
@@ -173,7 +175,7 @@
     The start time of the new incarnation is then lower than the former one. A
     response to a call made after the last report can't be older than it.
     """
-    scheduler, emitted = _core_with_serving_tasks()
+    scheduler, emitted = _scheduler_with_serving_tasks()
     _report(scheduler, "i-1", 3.0, FIRST - 500)
     assert not _keys(scheduler, "i-1")
     _report(scheduler, "i-1", 3.5, FIRST - 500)
@@ -184,14 +186,14 @@
 
 def test_a_registration_with_an_earlier_start_time_alone_is_no_restart():
     """Otherwise running tasks start twice if an old entry is written again."""
-    scheduler, emitted = _core_with_serving_tasks()
+    scheduler, emitted = _scheduler_with_serving_tasks()
     scheduler.handle_registration(_registration("i-1", FIRST - 500), 3.0)
     assert len(_keys(scheduler, "i-1")) == 1
     assert not _changes(emitted, "restarted")
 
 
 def test_instances_that_name_no_start_time_are_identified_by_their_id():
-    scheduler, emitted = _core_with_serving_tasks()
+    scheduler, emitted = _scheduler_with_serving_tasks()
     _report(scheduler, "i-1", 3.0, None, running=_keys(scheduler, "i-1"))
     scheduler.handle_registration(_registration("i-1", None), 3.0)
     _report(scheduler, "i-1", 3.5, FIRST, running=_keys(scheduler, "i-1"))
@@ -205,7 +207,7 @@
     The new incarnation numbers its ends from 1. Ends up to the highest number
     known before the crash would be skipped.
     """
-    scheduler, _ = _core_with("i-1")
+    scheduler, _ = _scheduler_with("i-1")
     done = fleet_builders.job(1, steps=(jobs.Step(count=3, cpu=100),))
     scheduler.add_job(done, 0.0)
     _end_all(
@@ -247,7 +249,7 @@
     restart. If their number is acknowledged to the new incarnation, it forgets
     ends that it has not listed yet.
     """
-    scheduler, _ = _core_with("i-1")
+    scheduler, _ = _scheduler_with("i-1")
     scheduler.add_job(fleet_builders.job(), 0.0)
     _end_all(
         scheduler,
@@ -276,7 +278,7 @@
     task waits again. If the run is listed later all the same, it continues
     unless another run has replaced it.
     """
-    scheduler, emitted = _core_with_serving_tasks(spare=())
+    scheduler, emitted = _scheduler_with_serving_tasks(spare=())
     (key,) = _keys(scheduler, "i-1")
     _report(scheduler, "i-1", 3.0, SECOND)
     _report(scheduler, "i-1", 3.1, SECOND, running=[key])
@@ -292,7 +294,7 @@
     token and could carry it out seconds later, while the task runs elsewhere.
     The instance has to accept a stop first.
     """
-    scheduler, _ = _core_with("i-1", "i-2")
+    scheduler, _ = _scheduler_with("i-1", "i-2")
     scheduler.add_job(
         fleet_builders.job(steps=(jobs.Step(count=1, cpu=100),)), 0.0
     )
@@ -339,7 +341,7 @@
     None of its starts got a response, and each stop waits for the other tasks
     to serve.
     """
-    scheduler, _ = _core_with("i-1", "i-2", "i-3")
+    scheduler, _ = _scheduler_with("i-1", "i-2", "i-3")
     scheduler.add_job(fleet_builders.job(steps=(_SERVICE,)), 0.0)
     _leave_starts_unanswered(
         scheduler, fleet_builders.plan_batch(scheduler).starts, 1.2
@@ -361,7 +363,7 @@
     got no response before its instance restarted. Its stop waits for the others
     to serve, and they wait until the first one has worked.
     """
-    scheduler, _ = _core_with("i-1", "i-2", "i-3", "i-4")
+    scheduler, _ = _scheduler_with("i-1", "i-2", "i-3", "i-4")
     scheduler.add_job(fleet_builders.job(steps=(_SERVICE,)), 0.0)
     for start in fleet_builders.plan_batch(scheduler).starts:
         key = (start.task, start.run)
@@ -391,7 +393,7 @@
     One copy of its start got no response. The next copy was accepted, and the
     task finished. The new incarnation does not refuse the first copy as old.
     """
-    scheduler, _ = _core_with("i-1")
+    scheduler, _ = _scheduler_with("i-1")
     scheduler.add_job(
         fleet_builders.job(steps=(jobs.Step(count=1, cpu=100),)), 0.0
     )
@@ -414,7 +416,7 @@
     restart. The deadline in the start is on the former clock, so the run lasts
     longer than the owner expects.
     """
-    scheduler, _ = _core_with("i-1", now=50.0)
+    scheduler, _ = _scheduler_with("i-1", now=50.0)
     scheduler.add_job(
         fleet_builders.job(steps=(jobs.Step(count=1, cpu=100),)), 50.0
     )
@@ -430,7 +432,7 @@
 
 
 def test_a_response_whose_clock_advances_shows_no_restart():
-    scheduler, _ = _core_with("i-1", now=50.0)
+    scheduler, _ = _scheduler_with("i-1", now=50.0)
     scheduler.add_job(
         fleet_builders.job(steps=(jobs.Step(count=1, cpu=100),)), 50.0
     )
@@ -447,7 +449,7 @@
     The instance restarted before the owner knew and accepted a start that was
     meant for the former incarnation. Its first status report lists the run.
     """
-    scheduler, _ = _core_with("i-1")
+    scheduler, _ = _scheduler_with("i-1")
     gang = jobs.Step(count=2, cpu=100, gang=True)
     scheduler.add_job(fleet_builders.job(steps=(gang,)), 0.0)
     starts = fleet_builders.plan_batch(scheduler).starts
@@ -461,7 +463,7 @@
 
 
 def test_a_start_decided_before_the_restart_is_not_sent_after_it():
-    scheduler, _ = _core_with("i-1")
+    scheduler, _ = _scheduler_with("i-1")
     scheduler.add_job(
         fleet_builders.job(steps=(jobs.Step(count=1, cpu=100),)), 0.0
     )
@@ -473,7 +475,7 @@
 
 
 def test_a_restart_resets_the_state_of_the_former_incarnation():
-    scheduler, _ = _core_with_serving_tasks()
+    scheduler, _ = _scheduler_with_serving_tasks()
     instance = scheduler.instances["i-1"]
     instance.suspended_until = 99.0
     instance.suspension_count = 3
@@ -508,10 +510,17 @@
 
 
 @pytest.mark.parametrize(
-    "state", ["cordoned", "due", "leaving", "draining", "distrusted"]
+    "state",
+    [
+        "is_cordoned",
+        "is_maintenance_due",
+        "is_terminating",
+        "draining",
+        "distrusted",
+    ],
 )
 def test_a_restart_in_any_state_requeues_the_tasks(state):
-    scheduler, _ = _core_with_serving_tasks()
+    scheduler, _ = _scheduler_with_serving_tasks()
     if state == "draining":
         scheduler.handle_registration(
             _registration("i-1", FIRST, draining=True), 2.5
@@ -528,7 +537,7 @@
 
 
 def test_a_rack_that_restarts_several_times_keeps_one_run_per_task():
-    scheduler, emitted = _core_with_serving_tasks()
+    scheduler, emitted = _scheduler_with_serving_tasks()
     for number, now in enumerate((3.0, 4.0, 5.0)):
         for name in ("i-1", "i-2", "i-3"):
             _report(scheduler, name, now, SECOND + number)
@@ -555,9 +564,9 @@
 
     The rows name runs on an instance that has restarted since.
     """
-    previous, _ = _core_with_serving_tasks(spare=())
+    previous, _ = _scheduler_with_serving_tasks(spare=())
     (entry,) = previous.tracker.unfinished.values()
-    scheduler, _ = _core_with("i-6", now=5.0)
+    scheduler, _ = _scheduler_with("i-6", now=5.0)
     born_ms = SECOND if entry_first else FIRST
     scheduler.handle_registration(_registration("i-1", born_ms), 5.0)
     assert scheduler.restore(entry.job, entry.to_document(), 1, 5.0) is None
@@ -572,7 +581,7 @@
 
 def test_a_restart_frees_the_capacity_of_runs_of_unread_jobs():
     """Otherwise an instance stays idle after a crash and a store outage."""
-    scheduler, _ = _core_with("i-1")
+    scheduler, _ = _scheduler_with("i-1")
     task = jobs.TaskName(f"{7:016x}", 0, 0, 0)
     scheduler.unreadable_jobs = {task.job_id}
     _report(scheduler, "i-1", 2.0, running=[(task, 1)])
--- a/tests/failures/test_shrunk_capacity.py
+++ b/tests/failures/test_shrunk_capacity.py
@@ -18,8 +18,8 @@
     )
 
 
-def _core_with_unsent_starts(step=_THREE_TASKS, name="i-1"):
-    """Returns a core and its starts that are decided but not sent."""
+def _scheduler_with_unsent_starts(step=_THREE_TASKS, name="i-1"):
+    """Returns a scheduler and its starts that are decided but not sent."""
     scheduler = fleet_builders.new_scheduler()
     fleet_builders.add_instances(scheduler, name)
     scheduler.add_job(fleet_builders.job(steps=(step,)), 0.0)
@@ -29,7 +29,7 @@
 
 def test_a_start_that_no_longer_fits_is_not_sent():
     """Guards against three starts for an instance that now fits only one."""
-    scheduler, starts = _core_with_unsent_starts()
+    scheduler, starts = _scheduler_with_unsent_starts()
     _shrink(scheduler, "i-1", 1000, 1.1)
     assert [scheduler.may_send_start(start) for start in starts] == [
         True,
@@ -41,7 +41,7 @@
 
 def test_tasks_whose_starts_were_withheld_start_elsewhere():
     """Guards against tasks that wait forever after their start is withheld."""
-    scheduler, starts = _core_with_unsent_starts()
+    scheduler, starts = _scheduler_with_unsent_starts()
     _shrink(scheduler, "i-1", 1000, 1.1)
     for start in starts:
         scheduler.may_send_start(start)
@@ -53,7 +53,9 @@
 
 def test_a_run_that_is_being_stopped_still_counts_when_a_start_is_sent():
     """Guards against a start that relies on a run which has not stopped yet."""
-    scheduler, starts = _core_with_unsent_starts(jobs.Step(count=2, cpu=900))
+    scheduler, starts = _scheduler_with_unsent_starts(
+        jobs.Step(count=2, cpu=900)
+    )
     assert scheduler.may_send_start(starts[0])
     instance = scheduler.instances["i-1"]
     run = instance.runs[starts[0].task, starts[0].run]
@@ -64,7 +66,9 @@
 
 def test_a_copy_of_a_start_that_no_longer_fits_is_held_back():
     """Guards against a second copy of a start after the capacity has shrunk."""
-    scheduler, starts = _core_with_unsent_starts(jobs.Step(count=1, cpu=900))
+    scheduler, starts = _scheduler_with_unsent_starts(
+        jobs.Step(count=1, cpu=900)
+    )
     assert scheduler.may_send_start(starts[0])
     key = (starts[0].task, starts[0].run)
     assert scheduler.handle_start_unanswered("i-1", key, True, 1.1)
@@ -76,7 +80,7 @@
 
 def test_a_gang_of_which_one_start_no_longer_fits_is_stopped():
     """Guards against members that block capacity and end without the others."""
-    scheduler, starts = _core_with_unsent_starts(
+    scheduler, starts = _scheduler_with_unsent_starts(
         jobs.Step(count=3, cpu=900, gang=True)
     )
     assert scheduler.may_send_start(starts[0])
--- a/tests/failures/test_stopped_after_a_pause.py
+++ b/tests/failures/test_stopped_after_a_pause.py
@@ -10,7 +10,7 @@
 _STEP = jobs.Step(count=1, cpu=1000, estimate_ms=8000.0)
 
 
-def _core_with_a_run():
+def _scheduler_with_a_run():
     scheduler = fleet_builders.new_scheduler()
     fleet_builders.add_instances(scheduler, "i-1", "i-2")
     scheduler.add_job(fleet_builders.job(steps=(_STEP,)), 0.0)
@@ -32,7 +32,7 @@
     unreachable. When it resumes, the owner checks all tasks before any instance
     has reported progress, and stops each of them as stalled.
     """
-    scheduler, start = _core_with_a_run()
+    scheduler, start = _scheduler_with_a_run()
     _report(scheduler, start, 20.0, 2.5)
     _report(scheduler, start, 20.0, 3.0)
     scheduler.stop_stalled_runs(3.0 + pause_s)
@@ -46,7 +46,7 @@
 
 
 def test_a_stalled_task_is_still_detected_after_a_pause():
-    scheduler, start = _core_with_a_run()
+    scheduler, start = _scheduler_with_a_run()
     now = 10.0
     while now < 10.0 + stragglers.STALL_S - 0.1:
         _report(scheduler, start, 20.0, now)
--- a/tests/failures/test_stops_of_the_previous_owner.py
+++ b/tests/failures/test_stops_of_the_previous_owner.py
@@ -9,7 +9,7 @@
 
 
 def _next_owner(now):
-    """Returns the core of a new owner that recovered five running tasks."""
+    """Returns the scheduler of a new owner that recovered five tasks."""
     previous = fleet_builders.new_scheduler()
     fleet_builders.add_instances(previous, "i-1", "i-2")
     job = fleet_builders.job(steps=(_LONG_RUNNING,))
--- a/tests/failures/test_unusable_rows.py
+++ b/tests/failures/test_unusable_rows.py
@@ -82,7 +82,7 @@
         tables.MemoryTable(),
         feed,
         clocks.SystemClock(),
-        registration=upstreams.decode_registration,
+        decode_registration=upstreams.decode_registration,
         upstreams=_Instances(),
     )
 
