--- a/Makefile
+++ b/Makefile
@@ -25,7 +25,7 @@
 
 fuzz: setup
 	$(BIN)/python -m pytest --hypothesis-profile=explore \
-	  --hypothesis-seed=$(SEED) tests/cover/test_unusable_documents.py
+	  --hypothesis-seed=$(SEED) tests/cover/test_document_validation.py
 
 demo: setup
 	$(BIN)/python -m standins.demo
