--- a/src/vanillaswitch/coordination/fleet/ownership/owner_link.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/owner_rpc.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from vanillaswitch.coordination.fleet.intake import questions
+from vanillaswitch.coordination.fleet.job_requests import peer_calls
 from vanillaswitch.coordination.fleet.ownership import owner as owners
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import peer_transport
@@ -13,38 +13,39 @@
 the timeout there is still time to ask the store before the client gives up."""
 
 
-class OwnerLink:
+class OwnerRpc:
     """Asks the owner, or answers itself while this process owns the fleet."""
 
     def __init__(
         self,
-        questions_: questions.Questions,
+        peer_calls_: peer_calls.PeerCalls,
         boot: str,
         me: str,
         local: Callable[[], owners.Owner | None],
         address: Callable[[], str],
-        yield_term: Callable[[float], bool],
+        step_down_if_stale: Callable[[float], bool],
     ):
-        """Creates the link.
+        """Creates the client.
 
         Args:
-            questions_: carries questions to other processes.
+            peer_calls_: carries questions to other processes.
             boot: random id of this process's start.
             me: address where this process listens.
             local: returns this process's term of ownership, if it has one.
             address: returns the owner's address; empty when unknown.
-            yield_term: ends this process's term unless a write was answered in
-                the given number of seconds; returns whether it has no term now.
+            step_down_if_stale: ends this process's term unless a write was
+                answered in the given number of seconds; returns whether it has
+                no term now.
         """
-        self._questions = questions_
+        self._peer_calls = peer_calls_
         self._boot = boot
         self._me = me
         self._local = local
         self._address = address
-        self._yield_term = yield_term
+        self._yield_term = step_down_if_stale
 
     def on_message(
-        self, message: peers.Message, reply: peer_transport.Reply
+        self, message: peers.Message, reply: peer_transport.SendReply
     ) -> None:
         """Handles a message of another process, if it is about ownership."""
         if isinstance(message, peers.JobQuestion):
@@ -54,7 +55,7 @@
             ended = other or self._yield_term(message.patience_s)
             reply(peers.OwnerStanding(message.question, self._boot, ended))
         elif isinstance(message, peers.JobAnswer | peers.OwnerStanding):
-            self._questions.answered(message.question, message)
+            self._peer_calls.on_answer(message.question, message)
 
     def state(self, job_id: str) -> jobs.JobState | None:
         """Asks the owner for a job's recorded state; None if unknown."""
@@ -68,7 +69,7 @@
         answer = self._ask("", queue)
         return None if answer is None else answer.pending
 
-    def term_ended(
+    def ask_term_ended(
         self, address: str, boot: str, patience_s: float
     ) -> bool | None:
         """Asks an owner that has stopped writing whether its term is over.
@@ -82,7 +83,7 @@
         Returns:
             Whether its term is over; None without an answer.
         """
-        answer = self._questions.ask(
+        answer = self._peer_calls.call(
             address,
             lambda number: peers.OwnerQuestion(
                 number, boot, patience_s, self._me
@@ -96,7 +97,7 @@
     def _ask(self, job_id: str, queue: str) -> peers.JobAnswer | None:
         if self._local() is not None:
             return self._answer(peers.JobQuestion("", job_id, queue))
-        answer = self._questions.ask(
+        answer = self._peer_calls.call(
             self._address(),
             lambda number: peers.JobQuestion(number, job_id, queue),
             ANSWER_S,
--- a/src/vanillaswitch/coordination/peering/announcer.py
+++ b/src/vanillaswitch/coordination/peering/announcer.py
@@ -81,7 +81,7 @@
             return
         new = known - self._known_addresses
         self._known_addresses = known
-        self._transport.retain(known)
+        self._transport.close_all_except(known)
         all_targets = _all_targets(*self._groups(state))
         targets = tuple(one for one in all_targets if one.address in new)
         self._send(state, status, targets)
--- a/src/vanillaswitch/platform/jobs_http.py
+++ b/src/vanillaswitch/platform/job_request_handler.py
@@ -4,10 +4,10 @@
 import re
 
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet import shared_time
-from vanillaswitch.coordination.fleet.intake import helped_intake
-from vanillaswitch.coordination.fleet.intake import intake
-from vanillaswitch.coordination.fleet.ownership import owner_link
+from vanillaswitch.coordination.fleet import reference_clock
+from vanillaswitch.coordination.fleet.job_requests import job_service
+from vanillaswitch.coordination.fleet.job_requests import job_store
+from vanillaswitch.coordination.fleet.ownership import owner_rpc
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.platform import job_body
 from vanillaswitch.protocol import fleet
@@ -32,22 +32,22 @@
 _OK = 200
 
 
-class JobsHttp:
+class JobRequestHandler:
     """Submits, cancels and shows jobs, and returns lengths of queues."""
 
     def __init__(
         self,
-        job_intake: helped_intake.HelpedIntake,
-        link: owner_link.OwnerLink,
+        job_intake: job_service.JobService,
+        owner_rpc_: owner_rpc.OwnerRpc,
         config: Callable[[], fleet.FleetConfig | None],
         clock: clocks.Clock,
-        time: shared_time.SharedTime,
+        time: reference_clock.ReferenceClock,
         emit: Callable[[object], None],
     ):
         self._emit = emit
         self._time = time
         self._intake = job_intake
-        self._link = link
+        self._owner_rpc = owner_rpc_
         self._config = config
         self._clock = clock
 
@@ -94,7 +94,7 @@
     ) -> requests.Reply:
         if incoming.method != "GET":
             return _refusal(405, "method", "use GET")
-        pending = self._link.pending(queue.name)
+        pending = self._owner_rpc.pending(queue.name)
         if pending is None:
             return _refusal(503, "no-owner", "come back soon", RETRY_AFTER_S)
         return _ok(job_body.encode_pending(pending))
@@ -107,12 +107,12 @@
         version: int,
     ) -> requests.Reply:
         try:
-            job = job_body.parse(
+            job = job_body.parse_job(
                 incoming.body,
                 job_id,
                 queue.name,
                 queue.service,
-                int(self._time.now_ms or 0),
+                int(self._time.store_now_ms or 0),
                 int(self._clock.wall() * 1000),
             )
         except job_body.BadJobError as error:
@@ -128,9 +128,9 @@
                 int(waited_s * 1000),
             )
         )
-        if result is intake.Verdict.ACCEPTED:
+        if result is job_store.RequestResult.ACCEPTED:
             return _ok(job_body.encode_state(jobs.JobState.QUEUED))
-        if result is intake.Verdict.DIFFERENT:
+        if result is job_store.RequestResult.ID_CONFLICT:
             return _refusal(
                 409, "other-job", "choose another id: this one is taken"
             )
@@ -139,10 +139,10 @@
     def _get_state(
         self, incoming: requests.Incoming, job_id: str
     ) -> requests.Reply:
-        state = self._link.state(job_id)
+        state = self._owner_rpc.state(job_id)
         if state is None:
             stored = self._intake.state(job_id, self._deadline(incoming))
-            if isinstance(stored, intake.Unknown):
+            if isinstance(stored, job_store.StateUnknown):
                 return _refusal(503, "no-store", "come back soon", 1.0)
             state = stored
         if state is None:
@@ -152,16 +152,16 @@
     def _cancel_job(
         self, incoming: requests.Incoming, job_id: str
     ) -> requests.Reply:
-        state = self._link.state(job_id)
-        if state is not None and state.ended:
+        state = self._owner_rpc.state(job_id)
+        if state is not None and state.is_final:
             return _ok(job_body.encode_state(state))
         result = self._intake.cancel(
             job_id, state is not None, self._deadline(incoming)
         )
         self._emit(events.CancelAsked(job_id, result.value))
-        if result is intake.Verdict.ACCEPTED:
+        if result is job_store.RequestResult.ACCEPTED:
             return _ok(job_body.encode_state(jobs.JobState.CANCELLED))
-        if result is intake.Verdict.MISSING:
+        if result is job_store.RequestResult.NOT_FOUND:
             return _refusal(410, "no-job", "there is no such job")
         return _write_failure(result)
 
@@ -199,12 +199,12 @@
     )
 
 
-def _write_failure(result: intake.Verdict) -> requests.Refusal:
+def _write_failure(result: job_store.RequestResult) -> requests.Refusal:
     """Returns the refusal for a write that was not confirmed.
 
     It states whether the write certainly had no effect or may have one.
     """
-    if result is intake.Verdict.NOT_DONE:
+    if result is job_store.RequestResult.NOT_APPLIED:
         return _refusal(
             503, "no-store", "the store did not take it", RETRY_AFTER_S
         )
--- a/src/vanillaswitch/protocol/feeds.py
+++ b/src/vanillaswitch/protocol/change_feeds.py
@@ -9,33 +9,33 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Change:
+class RowChange:
     """The current state of a row.
 
     Attributes:
         key: name of the row within the table.
         value: content; None if the row was deleted or can't be read.
         version: number of the commit that wrote or deleted the row.
-        damage: why the content can't be read; empty if it can. A damaged row
-            still exists: readers use its previous content for as long as it
+        read_error: why the content can't be read; empty if it can. A damaged
+            row still exists: readers use its previous content for as long as it
             may be used.
     """
 
     key: str
     value: Mapping[str, Any] | None
     version: int
-    damage: str = ""
+    read_error: str = ""
 
 
 @dataclasses.dataclass(frozen=True)
-class Changes:
+class ChangeBatch:
     """The changes after a version, oldest first.
 
     Attributes:
         version: version to pass to the next call.
     """
 
-    changes: tuple[Change, ...]
+    changes: tuple[RowChange, ...]
     version: int
 
 
@@ -47,23 +47,23 @@
 
     Attributes:
         version: version after which to read changes.
-        missing: parts of the table that could not be read; ``rows`` has no
-            rows of these parts.
-        reason: why the first of these parts could not be read.
+        unreadable_partitions: parts of the table that could not be read;
+            ``rows`` has no rows of these parts.
+        unreadable_reason: why the first of these parts could not be read.
     """
 
-    rows: tuple[Change, ...]
+    rows: tuple[RowChange, ...]
     version: int
-    missing: tuple[str, ...] = ()
-    reason: str = ""
+    unreadable_partitions: tuple[str, ...] = ()
+    unreadable_reason: str = ""
 
 
 @dataclasses.dataclass(frozen=True)
-class HistoryLost:
+class HistoryTruncated:
     """The store no longer has these changes: take a new snapshot."""
 
 
-class Feed(Protocol):
+class ChangeFeed(Protocol):
     """Reads snapshots of tables and the changes that follow."""
 
     def snapshot(
@@ -77,5 +77,5 @@
 
     def changes(
         self, table: str, after: int, wait_s: float
-    ) -> Changes | HistoryLost | platform.Unavailable:
+    ) -> ChangeBatch | HistoryTruncated | platform.Unavailable:
         """Waits up to ``wait_s`` for changes after a version."""
--- a/tests/common/outer_names.py
+++ b/tests/common/outer_names.py
@@ -28,14 +28,17 @@
 from vanillaswitch.cli import main
 from vanillaswitch.coordination.configuration import config_task
 from vanillaswitch.coordination.fleet import events
-from vanillaswitch.coordination.fleet import standing
-from vanillaswitch.coordination.fleet.ownership import recorder
+from vanillaswitch.coordination.fleet import status_summaries
+from vanillaswitch.coordination.fleet.ownership import fenced_writer
+from vanillaswitch.coordination.maintenance import budgets
+from vanillaswitch.coordination.maintenance import wave_plan
 from vanillaswitch.internal import histograms
 from vanillaswitch.internal import logs
 from vanillaswitch.protocol import fleet
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import peers
 from vanillaswitch.protocol import platform
+from vanillaswitch.protocol import unusable
 from vanillaswitch.state import config
 from vanillaswitch.state import rows
 from vanillaswitch.state import settings
@@ -64,7 +67,7 @@
         yield "counter", kind.__name__
         yield "log-event", logs._kind(kind.__name__)
         yield from _fields(logs._kind(kind.__name__), kind)
-    for kind in (recorder.OwnerRow, jobs.Job):
+    for kind in (fenced_writer.OwnerRow, jobs.Job):
         yield from _fields("row", kind)
     for kind in _data_classes(rows):
         yield from _fields("row", kind)
@@ -72,15 +75,25 @@
     yield from _fields("configuration", config.Config)
     yield from _fields("counter config", config_task.Counters)
     yield from _fields("histogram", histograms.Summary)
-    for kind in _data_classes(standing):
+    for kind in _data_classes(status_summaries):
+        yield from _fields("command-output", kind)
+    for kind in (
+        fleet.Machine,
+        unusable.Unusable,
+        budgets.Standing,
+        wave_plan.WavePlan,
+    ):
         yield from _fields("command-output", kind)
-    yield from _fields("command-output", fleet.Machine)
     for kind in (fleet.Accepted, fleet.Refused, fleet.Busy, fleet.NoAnswer):
         yield "machine-outcome", kind.__name__.lower()
     for kind in typing.get_args(platform_wire.Outcome):
         yield "platform-outcome", platform_wire._tag(kind)
         yield from _fields("platform", kind)
-    for kind in (*_data_classes(platform_wire), platform.Transaction):
+    for kind in (
+        *_data_classes(platform_wire),
+        platform.Transaction,
+        platform.TaskSpec,
+    ):
         yield from _fields("platform", kind)
     for module in _modules(platform_adapter):
         for kind in _data_classes(module):
--- a/tests/cover/test_peer_task.py
+++ b/tests/cover/test_peer_task.py
@@ -23,7 +23,7 @@
     """Peer networks that share an in-memory transport and a clock."""
 
     def __init__(self, stack):
-        self.bus = peer_doubles.Bus()
+        self.bus = peer_doubles.InMemoryNetwork()
         self.clock = peer_doubles.StepClock()
         self.statuses = {}
         self._stack = stack
@@ -49,9 +49,9 @@
     def pass_ticks(self, count=1):
         """Advances time so that each network ticks ``count`` times."""
         for _ in range(count):
-            peer_doubles.settle()
+            peer_doubles.run_until_idle()
             self.clock.advance(1.05 * heartbeat_schedule.TICK_S)
-        peer_doubles.settle()
+        peer_doubles.run_until_idle()
 
 
 @pytest.fixture
@@ -90,10 +90,10 @@
     a = networks.start("a")
     b = networks.start("b", a)
     networks.pass_ticks()
-    networks.bus.cut.add((a.address, b.address))
+    networks.bus.cut_links.add((a.address, b.address))
     networks.pass_ticks(2 * ROUND_TICKS)
     assert (names(a), names(b)) == (["b"], [])
-    networks.bus.cut.clear()
+    networks.bus.cut_links.clear()
     networks.pass_ticks(ROUND_TICKS)
     assert names(b) == ["a"]
 
@@ -107,7 +107,7 @@
         reply(REPLY)
 
     b.subscribe(peers.ClaimQuery, answer)
-    assert a.ask(b.address, QUERY, peer_doubles.GUARD_S) == REPLY
+    assert a.ask(b.address, QUERY, peer_doubles.TIMEOUT_S) == REPLY
     assert b.ask(a.address, QUERY, 0.0) is None
 
 
@@ -131,7 +131,7 @@
     b.subscribe(peers.ConfigOffer, broken)
     with pytest.raises(errors.InvariantError):
         a.send(b.address, peers.ConfigOffer(2, "d"))
-        peer_doubles.settle()
+        peer_doubles.run_until_idle()
 
 
 def test_heartbeats_are_bounded_and_reach_every_peer_in_a_round(networks):
