--- a/src/vanillaswitch/coordination/once/__init__.py
+++ b/src/vanillaswitch/coordination/once/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that run at most once: claims, their outcomes, their end."""
+"""At-most-once requests: their claims, stored outcomes and claim expiry."""
--- a/src/vanillaswitch/coordination/once/claim_company.py
+++ b/src/vanillaswitch/coordination/once/claim_company.py
@@ -1,4 +1,4 @@
-"""For how long an entry has missed none of the other entries."""
+"""Tracks since when an entry has been in contact with all other entries."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -6,47 +6,52 @@
 from vanillaswitch.coordination.peering import peer_membership
 from vanillaswitch.protocol import peers
 
-MISSING_S = 3600.0
-"""For how long an entry that fell silent may still serve callers.
+MISSING_RETENTION_S = 3600.0
+"""How long an entry that stopped sending heartbeats may still serve callers.
 
-It may be cut off from its peers only. What it runs then, nobody hears of.
+It may have lost the connection to its peers only. The other entries then
+don't know which requests it runs.
 """
 
-LONGEST_GAP_S = 5.0
-"""A longer time between two looks at the peers is a pause of ours."""
+MAX_OBSERVATION_GAP_S = 5.0
+"""If two observations lie further apart, this process was paused."""
 
 Members = Mapping[str, peer_membership.Member]
 
 
 @dataclasses.dataclass(frozen=True)
-class Company:
-    """The other entries, as one entry has seen them come and go.
+class EntryContact:
+    """The contact of one entry with the other entries.
 
     Attributes:
-        since: monotonic seconds since which no entry was missed.
-        observed: when ``observe`` last ran; None before the first time.
-        heard: the last heartbeats of the entries that are remembered.
-        missing: by address, when an entry was given up without a farewell.
+        unbroken_since: monotonic seconds since which no entry was missing.
+        observed_at: when ``observe`` last ran; None before the first time.
+        last_heartbeats: the last heartbeats of the entries that are members.
+        missing_since: by address, when an entry was dropped from the members
+            although it had not announced that it leaves.
     """
 
-    since: float
-    observed: float | None = None
-    heard: tuple[peers.Heartbeat, ...] = ()
-    missing: Mapping[str, float] = dataclasses.field(default_factory=dict)
+    unbroken_since: float
+    observed_at: float | None = None
+    last_heartbeats: tuple[peers.Heartbeat, ...] = ()
+    missing_since: Mapping[str, float] = dataclasses.field(default_factory=dict)
 
 
-def observe(company: Company, members: Members, now: float) -> Company:
-    """Takes in how the members stand now.
+def observe(
+    contact: EntryContact, members: Members, now: float
+) -> EntryContact:
+    """Updates the contact from the current members.
 
-    The failure guarded against: an entry runs a request and vanishes, and
-    the others, who know nothing of the request, are taken for all there are.
-    Each entry that is silent, leaving, replaced or given up breaks the time
-    in which nobody was missed. A member stays in ``members`` long after it
-    fell silent, so looks that are ``LONGEST_GAP_S`` apart miss none.
+    This guards against the following failure: an entry runs a request and
+    disappears, and the remaining entries, which don't know of the request, are
+    taken for all entries that there are. Each entry that is suspect, leaving,
+    replaced or dropped interrupts the contact. A member stays in ``members``
+    for longer than ``MAX_OBSERVATION_GAP_S`` after it stopped sending, so
+    observations that are this far apart miss none.
 
     Args:
-        company: as of the last look.
-        members: all members, controllers among them.
+        contact: as of the previous observation.
+        members: all members, including controllers.
         now: monotonic seconds.
     """
     entries = [
@@ -54,40 +59,43 @@
         for member in members.values()
         if member.last.role is peers.Role.ENTRY
     ]
-    missing = _missing(company, entries, now)
-    away = any(
+    missing_since = _update_missing(contact, entries, now)
+    is_away = any(
         member.standing is not peer_membership.Standing.ALIVE or member.retired
         for member in entries
     )
-    observed = now if company.observed is None else company.observed
-    paused = now - observed > LONGEST_GAP_S
-    return Company(
-        since=now if missing or away or paused else company.since,
-        observed=now,
-        heard=tuple(member.last for member in entries),
-        missing=missing,
+    previous = now if contact.observed_at is None else contact.observed_at
+    was_paused = now - previous > MAX_OBSERVATION_GAP_S
+    return EntryContact(
+        unbroken_since=now
+        if missing_since or is_away or was_paused
+        else contact.unbroken_since,
+        observed_at=now,
+        last_heartbeats=tuple(member.last for member in entries),
+        missing_since=missing_since,
     )
 
 
-def _missing(
-    company: Company, entries: list[peer_membership.Member], now: float
+def _update_missing(
+    contact: EntryContact, entries: list[peer_membership.Member], now: float
 ) -> Mapping[str, float]:
-    # Only one process can listen at an address: whoever is heard there shows
-    # that the one before it is gone, and says itself since when it lives.
+    # Only one process can listen at an address. A heartbeat from an address
+    # shows that the process that used it before is gone. Its successor reports
+    # itself since when it has been running.
     present = {member.last.address for member in entries}
-    missing = {
+    missing_since = {
         address: since
-        for address, since in company.missing.items()
-        if address not in present and now - since <= MISSING_S
+        for address, since in contact.missing_since.items()
+        if address not in present and now - since <= MISSING_RETENTION_S
     }
-    for last in company.heard:
-        if last.address not in present and not last.leaving:
-            missing[last.address] = now
-    return missing
+    for heartbeat in contact.last_heartbeats:
+        if heartbeat.address not in present and not heartbeat.leaving:
+            missing_since[heartbeat.address] = now
+    return missing_since
 
 
-def living(members: Members) -> tuple[peers.Heartbeat, ...]:
-    """Returns the newest heartbeats of the living entries, by process."""
+def live_entry_heartbeats(members: Members) -> tuple[peers.Heartbeat, ...]:
+    """Returns the newest heartbeat of each live entry, sorted by process."""
     return tuple(
         member.last
         for _, member in sorted(members.items())
--- a/src/vanillaswitch/coordination/once/claim_expiry.py
+++ b/src/vanillaswitch/coordination/once/claim_expiry.py
@@ -1,10 +1,11 @@
-"""Deletes claims that no request can meet any more.
-
-A request whose key was issued longer ago than the retention is refused, so
-its claim is of no use. The margin covers clocks that differ: an entry may
-accept a request that the controller takes for older. It also makes a late
-copy of a claim's insert harmless: a claim that stands up again after it was
-deleted is too old to be met, and is deleted again.
+"""Deletes claims that no request can match any more.
+
+A request is refused if its key was issued longer ago than the retention, so
+its claim is of no use. The margin covers differences between clocks: an entry
+may accept a request that is already too old by the controller's clock. The
+margin also makes a delayed copy of a claim's insert harmless: if it recreates
+a deleted claim, no accepted request matches the claim, and it is deleted
+again.
 """
 
 from collections.abc import Iterable
@@ -17,80 +18,84 @@
 from vanillaswitch.state import keys
 from vanillaswitch.state import rows
 
-MARGIN_S = 3600
+CLOCK_MARGIN_S = 3600
 ROWS_PER_TRANSACTION = 64
-PAGE_ROWS = 256
+ROWS_PER_PAGE = 256
 
 
 def too_old(issued_ms: int, now_ms: int, retention_s: float) -> bool:
-    """Tells whether a request is refused since its claim may be gone."""
+    """Returns whether a request is refused because its claim may be deleted."""
     return now_ms - issued_ms > retention_s * 1000
 
 
-def expired(
+def expiry_deletes(
     found: Iterable[platform.Row], now_ms: int
 ) -> tuple[platform.Put, ...]:
-    """Returns the deletes of the claims that no request can meet.
+    """Returns the deletes of the claims that no request can match.
 
-    The failure guarded against: claims are deleted under a short retention,
-    which is then raised. A request that was too old before is accepted, finds
-    no claim and runs again. So the longest retention that can be set decides.
+    This guards against the following failure: claims are deleted under a short
+    retention, which is then raised. A request that was too old before is
+    accepted, finds no claim and runs again. The longest retention that can be
+    configured therefore decides.
 
     Args:
         found: claim rows.
         now_ms: wall clock in milliseconds since the Unix epoch.
     """
-    kept_s = config.LONGEST_RETENTION_S + MARGIN_S
+    retention_s = config.LONGEST_RETENTION_S + CLOCK_MARGIN_S
     return tuple(
         platform.Put(row.key, row.version, None)
         for row in found
-        if too_old(rows.load(rows.Claim, row.value).issued_ms, now_ms, kept_s)
+        if too_old(
+            rows.load(rows.Claim, row.value).issued_ms, now_ms, retention_s
+        )
     )
 
 
 @dataclasses.dataclass(frozen=True)
-class Page:
-    """What became of one page of claims.
+class PageResult:
+    """The result of processing one page of claims.
 
     Attributes:
-        deleted: how many claims were surely deleted.
-        next_after: where the next page begins; empty after the last one.
+        deleted: number of claims that were certainly deleted.
+        next_after: key after which the next page starts; empty after the last
+            page.
     """
 
     deleted: int
     next_after: str
 
 
-def expire_page(
+def delete_expired_page(
     table: platform.Table,
-    source: random.Random,
+    rng: random.Random,
     now_ms: int,
     after: str = "",
-) -> Page:
-    """Deletes the expired claims among the ``PAGE_ROWS`` behind ``after``.
+) -> PageResult:
+    """Deletes the expired claims among the ``ROWS_PER_PAGE`` after ``after``.
 
-    A batch that conflicts, or whose answer is lost, is left to the next round
-    over all claims: deleting is version-checked, so that nothing else can be
-    deleted.
+    A batch that conflicts, or whose answer is lost, is retried in the next pass
+    over all claims. Each delete checks the version of its row, so no other row
+    can be deleted.
 
     Args:
-        table: holds the claims.
-        source: draws the transactions' tokens.
+        table: stores the claims.
+        rng: random source for the transactions' tokens.
         now_ms: wall clock in milliseconds since the Unix epoch.
-        after: the key that the page before ended with.
+        after: last key of the previous page.
     """
-    read = table.scan(keys.CLAIMS, after, PAGE_ROWS)
+    read = table.scan(keys.CLAIMS, after, ROWS_PER_PAGE)
     if isinstance(read, platform.Unavailable):
-        return Page(0, after)
-    deletes = expired(read.rows, now_ms)
+        return PageResult(0, after)
+    deletes = expiry_deletes(read.rows, now_ms)
     deleted = 0
     for start in range(0, len(deletes), ROWS_PER_TRANSACTION):
         batch = deletes[start : start + ROWS_PER_TRANSACTION]
-        transaction = platform.Transaction(ids.new_id(source), batch)
+        transaction = platform.Transaction(ids.new_id(rng), batch)
         outcome = table.commit(transaction)
         if isinstance(outcome, platform.Committed):
             deleted += len(batch)
         elif not isinstance(outcome, platform.Conflict):
             break
-    whole = len(read.rows) < PAGE_ROWS
-    return Page(deleted, "" if whole else read.rows[-1].key)
+    is_last_page = len(read.rows) < ROWS_PER_PAGE
+    return PageResult(deleted, "" if is_last_page else read.rows[-1].key)
--- a/src/vanillaswitch/coordination/once/claim_expiry_duty.py
+++ b/src/vanillaswitch/coordination/once/claim_expiry_duty.py
@@ -1,7 +1,8 @@
-"""The duty that deletes claims past their retention, page by page.
+"""Controller duty that deletes claims past their retention, page by page.
 
-A day of charges may be millions of rows, more than one read can bring. So
-each step reads one page, and the next step goes on behind it.
+The requests of one day can leave millions of claims, more than one read can
+return. Each step therefore reads one page, and the next step continues after
+it.
 """
 
 from vanillaswitch.coordination.control import controller
@@ -14,13 +15,13 @@
 
 @controller.duty(duty_names.CLAIM_EXPIRY)
 def step(context: controller.Context, name: str, fence: duties.Fence) -> None:
-    """Looks at one page of claims.
+    """Processes one page of claims.
 
-    The deletes carry no fence: each is checked against the version of a row
-    that was too old already, so a holder that was paused does no harm.
+    The deletes need no fence. Each one checks the version of a row that was
+    already expired, so a duty holder that was paused does no harm.
     """
     del name, fence
-    page = claim_expiry.expire_page(
+    page = claim_expiry.delete_expired_page(
         context.platform.table,
         context.rng,
         int(context.clock.wall() * 1000),
--- a/src/vanillaswitch/coordination/once/claim_ledger.py
+++ b/src/vanillaswitch/coordination/once/claim_ledger.py
@@ -1,8 +1,8 @@
-"""What one process knows of the claims it holds, and writes of them.
+"""Keeps the claims of one process in memory and writes their outcomes.
 
-The claim's row is inserted before its request is sent. What came of the
-request is kept here first and written by a task of its own, through outages
-of the table for as long as they last, so that no caller waits for that.
+The claim's row is inserted before its request is sent. The outcome of the
+request is first kept in memory. A separate task writes it to the table and
+retries through outages of any length, so that no caller waits for the write.
 """
 
 import collections
@@ -20,40 +20,40 @@
 from vanillaswitch.protocol import requests
 from vanillaswitch.state import rows
 
-FIRST_WAIT_S = 0.05
-LONGEST_WAIT_S = 1.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 
-RECORD_BYTES = 1024
-"""Memory that a record takes besides its answer's body, roughly."""
+RECORD_OVERHEAD_BYTES = 1024
+"""Approximate memory of a record without the body of its answer."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """Bounds of a ledger.
+    """Limits of a ``ClaimRecords``.
 
     Attributes:
-        unwritten: how many records may wait to be written.
-        unwritten_bytes: bytes of answers that may wait to be written.
-        recent_bytes: memory of written records kept to replay without the
-            table.
-        inline_bytes: largest body that is kept in the claim's row.
-        write_s: how long one try to write may take, in seconds.
+        max_unwritten: number of outcomes that may wait to be written.
+        max_unwritten_bytes: bytes of answer bodies that may wait to be written.
+        max_recent_bytes: memory for written records, which allow replays
+            without the table.
+        max_inline_bytes: size of the largest body stored in the claim's row.
+        write_timeout_s: time limit of one write attempt, in seconds.
     """
 
-    unwritten: int = 4096
-    unwritten_bytes: int = 16_777_216
-    recent_bytes: int = 4_194_304
-    inline_bytes: int = 65_536
-    write_s: float = 1.0
+    max_unwritten: int = 4096
+    max_unwritten_bytes: int = 16_777_216
+    max_recent_bytes: int = 4_194_304
+    max_inline_bytes: int = 65_536
+    write_timeout_s: float = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Record:
+class ClaimRecord:
     """One claim as its holder knows it.
 
     Attributes:
-        ticket: names this attempt; empty until the claim is ours.
-        version: the version that the next write of the row expects.
+        ticket: identifies this attempt; empty until the claim is granted.
+        version: version of the row that the next write expects.
     """
 
     digest: str
@@ -64,7 +64,7 @@
     answer: requests.Answer | None = None
 
 
-class Ledger:
+class ClaimRecords:
     """Records of the claims that this boot holds or held."""
 
     def __init__(
@@ -75,195 +75,207 @@
         clock: clocks.Clock,
         limits: Limits | None = None,
     ):
-        """Makes an empty ledger; ``run`` has to be spawned.
+        """Creates an empty collection; the caller has to spawn ``run``.
 
         Args:
             holder: this process.
             committer: writes the rows.
-            objects: keeps the bodies of large answers.
-            clock: paces the writing.
-            limits: bounds, the default ones when not given.
+            objects: stores the bodies of large answers.
+            clock: paces the writes.
+            limits: limits to use instead of the defaults.
         """
         self._holder = holder
         self._committer = committer
         self._objects = objects
         self._clock = clock
         self._limits = limits or Limits()
-        self._held: dict[str, Record] = {}
-        self._recent: collections.OrderedDict[str, Record] = (
+        self._open: dict[str, ClaimRecord] = {}
+        self._recent: collections.OrderedDict[str, ClaimRecord] = (
             collections.OrderedDict()
         )
         self._recent_bytes = 0
         self._unwritten: dict[str, int] = {}
         self._writing: set[str] = set()
-        self._wake = event.Event()
+        self._has_work = event.Event()
 
     @property
-    def unwritten(self) -> int:
-        """How many outcomes are not in the table yet."""
+    def unwritten_count(self) -> int:
+        """Number of outcomes that are not in the table yet."""
         return len(self._unwritten)
 
     @property
-    def known(self) -> int:
-        """How many claims are known, held or written not long ago."""
-        return len(self._held) + len(self._recent)
+    def known_count(self) -> int:
+        """Number of claims that are open or were written recently."""
+        return len(self._open) + len(self._recent)
 
     @property
-    def full(self) -> bool:
-        """No further claim may be taken until some outcomes are written."""
+    def is_full(self) -> bool:
+        """Whether no claim may be added until some outcomes are written."""
         return (
-            len(self._unwritten) >= self._limits.unwritten
-            or sum(self._unwritten.values()) >= self._limits.unwritten_bytes
+            len(self._unwritten) >= self._limits.max_unwritten
+            or sum(self._unwritten.values()) >= self._limits.max_unwritten_bytes
         )
 
     @property
-    def inline_bytes(self) -> int:
-        """Largest body that goes into a row or a message to a peer."""
-        return self._limits.inline_bytes
+    def max_inline_bytes(self) -> int:
+        """Size of the largest body in a row or in a message to a peer."""
+        return self._limits.max_inline_bytes
 
-    def get(self, name: str) -> Record | None:
-        """Returns the record of a claim held now or not long ago."""
-        return self._held.get(name) or self._recent.get(name)
+    def get(self, row_key: str) -> ClaimRecord | None:
+        """Returns the record of an open or recently written claim."""
+        return self._open.get(row_key) or self._recent.get(row_key)
 
-    def hold(self, name: str, record: Record) -> None:
-        """Keeps the record of a claim that is being taken or was taken."""
-        self._held[name] = record
+    def store(self, row_key: str, record: ClaimRecord) -> None:
+        """Adds or replaces the record of a requested or granted claim."""
+        self._open[row_key] = record
 
-    def drop(self, name: str) -> None:
-        """Forgets a claim that surely belongs to somebody else."""
-        self._held.pop(name, None)
+    def discard(self, row_key: str) -> None:
+        """Removes a claim that this boot certainly doesn't hold."""
+        self._open.pop(row_key, None)
 
-    def resolve(
+    def set_outcome(
         self,
-        name: str,
+        row_key: str,
         state: peers.ClaimState,
         answer: requests.Answer | None = None,
     ) -> None:
-        """Notes the final state of a held claim, to be written soon."""
+        """Sets the final state of an open claim and schedules its write."""
         record = dataclasses.replace(
-            self._held[name], state=state, answer=answer
+            self._open[row_key], state=state, answer=answer
         )
-        self._held[name] = record
-        self._unwritten[name] = _size(record)
-        self._wake.set()
+        self._open[row_key] = record
+        self._unwritten[row_key] = _body_bytes(record)
+        self._has_work.set()
 
     def run(self) -> None:
-        """Writes what is noted, for ever."""
-        wait = FIRST_WAIT_S
+        """Writes outcomes forever as they arrive."""
+        backoff_s = INITIAL_BACKOFF_S
         while True:
-            self._wake.wait()
-            self._wake.clear()
+            self._has_work.wait()
+            self._has_work.clear()
             self.write_all()
             if not self._unwritten:
-                wait = FIRST_WAIT_S
+                backoff_s = INITIAL_BACKOFF_S
                 continue
-            self._clock.sleep(wait)
-            wait = min(2 * wait, LONGEST_WAIT_S)
-            self._wake.set()
+            self._clock.sleep(backoff_s)
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
+            self._has_work.set()
 
     def flush(self, grace_s: float) -> int:
-        """Writes outcomes before a planned stop.
+        """Writes outcomes before a planned shutdown.
 
         Args:
-            grace_s: longest time to try, in seconds.
+            grace_s: time limit in seconds.
 
         Returns:
-            How many outcomes are still unwritten.
+            The number of outcomes that are still unwritten.
         """
         deadline = self._clock.monotonic() + grace_s
         self.write_all()
         while self._unwritten and self._clock.monotonic() < deadline:
-            self._clock.sleep(FIRST_WAIT_S)
+            self._clock.sleep(INITIAL_BACKOFF_S)
             self.write_all()
         return len(self._unwritten)
 
     def write_all(self) -> None:
         """Tries once to write each unwritten outcome."""
-        # Bodies for the object store go last: while it is slow, the outcomes
-        # that need only the table are not held up.
-        names = sorted(self._unwritten, key=self._is_large)
-        small = [name for name in names if not self._is_large(name)]
+        # Outcomes whose bodies go to the object store come last, so that a slow
+        # object store does not delay outcomes that need only the table.
+        row_keys = sorted(self._unwritten, key=self._is_large)
+        small = [row_key for row_key in row_keys if not self._is_large(row_key)]
         self.write(small)
-        self.write(names[len(small) :])
+        self.write(row_keys[len(small) :])
 
-    def write(self, names: Iterable[str]) -> None:
+    def write(self, row_keys: Iterable[str]) -> None:
         """Tries once to write some of the unwritten outcomes."""
-        mine = [name for name in names if name not in self._writing]
-        self._writing.update(mine)
+        to_write = [
+            row_key for row_key in row_keys if row_key not in self._writing
+        ]
+        self._writing.update(to_write)
         try:
-            submitted = [(name, self._submit(name)) for name in mine]
-            for name, submission in submitted:
+            submitted = [
+                (row_key, self._submit_row(row_key)) for row_key in to_write
+            ]
+            for row_key, submission in submitted:
                 if submission is not None:
-                    self._take(name, self._committer.wait(submission))
+                    self._handle_write_result(
+                        row_key, self._committer.wait(submission)
+                    )
         finally:
-            self._writing.difference_update(mine)
-
-    def _is_large(self, name: str) -> bool:
-        return self._unwritten[name] > self._limits.inline_bytes
-
-    def _submit(self, name: str) -> group_commit.Submission | None:
-        record = self._held[name]
-        stored = ""
-        if record.answer is not None and self._is_large(name):
-            stored = hashlib.sha256(record.answer.body).hexdigest()
-            kept = self._objects.put(stored, record.answer.body)
-            if isinstance(kept, platform.Unavailable):
+            self._writing.difference_update(to_write)
+
+    def _is_large(self, row_key: str) -> bool:
+        return self._unwritten[row_key] > self._limits.max_inline_bytes
+
+    def _submit_row(self, row_key: str) -> group_commit.Submission | None:
+        record = self._open[row_key]
+        object_name = ""
+        if record.answer is not None and self._is_large(row_key):
+            object_name = hashlib.sha256(record.answer.body).hexdigest()
+            put_result = self._objects.put(object_name, record.answer.body)
+            if isinstance(put_result, platform.Unavailable):
                 return None
-        row = claim_rules.claim_row(
+        row = claim_rules.make_claim_row(
             self._holder,
             record.state,
             record.digest,
             record.issued_ms,
             record.answer,
-            stored,
+            object_name,
         )
         return self._committer.submit(
-            platform.Put(name, record.version, rows.dump(row)),
-            self._clock.monotonic() + self._limits.write_s,
+            platform.Put(row_key, record.version, rows.dump(row)),
+            self._clock.monotonic() + self._limits.write_timeout_s,
         )
 
-    def _take(self, name: str, outcome: platform.CommitOutcome) -> None:
-        """Takes the outcome of one write.
-
-        The failure guarded against: an insert of our claim is answered by
-        nothing, we say "not run", and the insert takes effect later; the row
-        would stand as claimed until it expires. Each final state is therefore
-        written until the row shows it or is another's. Once it stands, its
-        version has moved on, so a later copy of the insert conflicts.
+    def _handle_write_result(
+        self, row_key: str, outcome: platform.CommitOutcome
+    ) -> None:
+        """Updates the record of a claim after one write.
+
+        This guards against the following failure: the insert of our claim gets
+        no answer, we report "not run", and the insert takes effect later. The
+        row would then stay claimed until it expires. Each final state is
+        therefore written until the row shows it or belongs to another boot.
+        After the write, the row has a higher version, so a delayed copy of the
+        insert conflicts.
         """
         if isinstance(outcome, platform.Committed):
-            self._written(name)
+            self._mark_written(row_key)
         if not isinstance(outcome, platform.Conflict):
             return
         found = outcome.found[0]
         if found.version == platform.ABSENT:
-            self._written(name)
+            self._mark_written(row_key)
             return
         claim = rows.load(rows.Claim, found.value)
-        ours = claim.boot == self._holder.boot
-        if ours and claim.state is peers.ClaimState.CLAIMED:
-            self._held[name] = dataclasses.replace(
-                self._held[name], version=found.version
+        is_own = claim.boot == self._holder.boot
+        if is_own and claim.state is peers.ClaimState.CLAIMED:
+            self._open[row_key] = dataclasses.replace(
+                self._open[row_key], version=found.version
             )
         else:
-            self._written(name)
+            self._mark_written(row_key)
 
-    def _written(self, name: str) -> None:
-        record = self._held.pop(name)
-        del self._unwritten[name]
+    def _mark_written(self, row_key: str) -> None:
+        record = self._open.pop(row_key)
+        del self._unwritten[row_key]
         if record.state is peers.ClaimState.RELEASED:
             return
-        self._recent[name] = record
-        self._recent_bytes += _weight(record)
-        while self._recent_bytes > self._limits.recent_bytes:
-            _, dropped = self._recent.popitem(last=False)
-            self._recent_bytes -= _weight(dropped)
+        self._recent[row_key] = record
+        self._recent_bytes += _memory_bytes(record)
+        while self._recent_bytes > self._limits.max_recent_bytes:
+            _, evicted = self._recent.popitem(last=False)
+            self._recent_bytes -= _memory_bytes(evicted)
 
 
-def _size(record: Record) -> int:
+def _body_bytes(record: ClaimRecord) -> int:
     return len(record.answer.body) if record.answer else 0
 
 
-def _weight(record: Record) -> int:
-    """Returns bytes of memory; without its own, an empty answer is free."""
-    return RECORD_BYTES + _size(record)
+def _memory_bytes(record: ClaimRecord) -> int:
+    """Returns the memory of a record in bytes.
+
+    The overhead makes records without a body count too.
+    """
+    return RECORD_OVERHEAD_BYTES + _body_bytes(record)
--- a/src/vanillaswitch/coordination/once/claim_lookup.py
+++ b/src/vanillaswitch/coordination/once/claim_lookup.py
@@ -1,4 +1,4 @@
-"""Finds out what became of a claim that another process may hold."""
+"""Determines the state of a claim that another process may hold."""
 
 from collections.abc import Callable
 import dataclasses
@@ -14,126 +14,131 @@
 from vanillaswitch.protocol import requests
 from vanillaswitch.state import rows
 
-ASK_S = 0.25
-ROUNDS = 3
+QUERY_TIMEOUT_S = 0.25
+MAX_READS = 3
 
-Ask = Callable[[str, peers.ClaimQuery, float], peers.ClaimReply | None]
+QueryClaim = Callable[[str, peers.ClaimQuery, float], peers.ClaimReply | None]
 
 
 @dataclasses.dataclass(frozen=True)
-class Free:
+class UnclaimedRow:
     """The claim may be taken by overwriting this version of its row."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True)
-class Mine:
+class OwnRow:
     """The row is this boot's own claim."""
 
     version: int
 
 
-Finding = Free | Mine | claims.Replay | requests.Refusal
+LookupResult = UnclaimedRow | OwnRow | claims.Replay | requests.Refusal
 
 
-class Lookup:
-    """Reads claims, their answers, and asks their holders."""
+class ClaimLookup:
+    """Reads claims and stored answers, and queries the claims' holders."""
 
     def __init__(
         self,
         holder: claim_rules.Holder,
         table: platform.Table,
         objects: platform.ObjectStore,
-        ask: Ask,
+        query_claim: QueryClaim,
         clock: clocks.Clock,
-        source: random.Random,
+        rng: random.Random,
     ):
-        """Makes a lookup.
+        """Creates a lookup.
 
         Args:
             holder: this process.
-            table: read again when a holder does not know its claim.
-            objects: has the bodies of large answers.
-            ask: sends a query to a peer address and waits for the reply for
-                some seconds; None when there was none.
-            clock: measures the time left.
-            source: makes query ids.
+            table: read again if a holder does not know its claim.
+            objects: stores the bodies of large answers.
+            query_claim: sends a query to a peer address and waits up to the
+                given seconds for the reply; returns None if there is no reply.
+            clock: measures the remaining time.
+            rng: random source for query ids.
         """
         self._holder = holder
         self._table = table
         self._objects = objects
-        self._ask = ask
+        self._query_claim = query_claim
         self._clock = clock
-        self._source = source
+        self._rng = rng
 
-    def look(self, row: platform.Row, digest: str, until: float) -> Finding:
-        """Says what a found claim row means for a request.
+    def resolve(
+        self, row: platform.Row, digest: str, deadline: float
+    ) -> LookupResult:
+        """Returns what an existing claim row means for a request.
 
         Args:
-            row: the row as a commit found it.
+            row: the row as reported by a conflicting commit.
             digest: of the request.
-            until: monotonic seconds; no holder is asked after that.
+            deadline: monotonic seconds; no holder is queried after it.
         """
-        refusal = claim_rules.HOLDER_SILENT
-        for _ in range(ROUNDS):
-            found = self._judge(row, digest, until)
-            if not isinstance(found, _Unsure):
-                return found
-            # The holder may have written the outcome and forgotten the claim
-            # after we read its row.
-            refusal = found.refusal
-            again = self._table.read([row.key])
-            if isinstance(again, platform.Unavailable):
+        refusal = claim_rules.HOLDER_UNREACHABLE
+        for _ in range(MAX_READS):
+            result = self._classify(row, digest, deadline)
+            if not isinstance(result, _Undetermined):
+                return result
+            # The holder may have written the outcome and removed its record
+            # after we read the row.
+            refusal = result.refusal
+            reread = self._table.read([row.key])
+            if isinstance(reread, platform.Unavailable):
                 return refusal
-            if not again.rows:
-                return Free(platform.ABSENT)
-            if again.rows[0].version == row.version:
+            if not reread.rows:
+                return UnclaimedRow(platform.ABSENT)
+            if reread.rows[0].version == row.version:
                 return refusal
-            row = again.rows[0]
+            row = reread.rows[0]
         return refusal
 
-    def _judge(
-        self, row: platform.Row, digest: str, until: float
-    ) -> "Finding | _Unsure":
+    def _classify(
+        self, row: platform.Row, digest: str, deadline: float
+    ) -> "LookupResult | _Undetermined":
         if row.version == platform.ABSENT:
-            return Free(platform.ABSENT)
+            return UnclaimedRow(platform.ABSENT)
         claim = rows.load(rows.Claim, row.value)
-        verdict = claim_rules.judge(claim, self._holder, digest)
-        if isinstance(verdict, claim_rules.Free):
-            return Free(row.version)
-        if isinstance(verdict, claim_rules.Mine):
-            return Mine(row.version)
-        if isinstance(verdict, claim_rules.Kept):
-            return self._fetch(claim)
-        if isinstance(verdict, claim_rules.AskHolder):
-            return self._ask_holder(row, claim, until)
-        return verdict
-
-    def _ask_holder(
-        self, row: platform.Row, claim: rows.Claim, until: float
-    ) -> "Finding | _Unsure":
-        timeout_s = min(ASK_S, until - self._clock.monotonic())
+        classification = claim_rules.classify_claim(claim, self._holder, digest)
+        if isinstance(classification, claim_rules.Unclaimed):
+            return UnclaimedRow(row.version)
+        if isinstance(classification, claim_rules.OwnClaim):
+            return OwnRow(row.version)
+        if isinstance(classification, claim_rules.Completed):
+            return self._load_answer(claim)
+        if isinstance(classification, claim_rules.HeldElsewhere):
+            return self._query_holder(row, claim, deadline)
+        return classification
+
+    def _query_holder(
+        self, row: platform.Row, claim: rows.Claim, deadline: float
+    ) -> "LookupResult | _Undetermined":
+        timeout_s = min(QUERY_TIMEOUT_S, deadline - self._clock.monotonic())
         if timeout_s <= 0:
-            return claim_rules.HOLDER_SILENT
+            return claim_rules.HOLDER_UNREACHABLE
         query = peers.ClaimQuery(
-            ids.new_id(self._source), row.key, claim.digest, claim.boot
+            ids.new_id(self._rng), row.key, claim.digest, claim.boot
         )
-        reply = self._ask(claim.peer, query, timeout_s)
+        reply = self._query_claim(claim.peer, query, timeout_s)
         if reply is None or reply.state is peers.ClaimState.UNKNOWN:
-            return _Unsure(claim_rules.HOLDER_SILENT)
+            return _Undetermined(claim_rules.HOLDER_UNREACHABLE)
         if reply.state is peers.ClaimState.RELEASED:
-            # Said after we read this version: the holder gave it up unsent,
-            # and claims again only under a higher version.
-            return Free(row.version)
+            # The holder replied after we read this version. It released the
+            # claim without sending the request, and a new claim needs a higher
+            # version.
+            return UnclaimedRow(row.version)
         if reply.state is peers.ClaimState.CLAIMED:
             return claim_rules.IN_PROGRESS
         if reply.answer is None:
-            return _Unsure(claim_rules.ANSWER_UNAVAILABLE)
+            return _Undetermined(claim_rules.ANSWER_UNAVAILABLE)
         return claims.Replay(reply.answer)
 
-    def _fetch(self, claim: rows.Claim) -> claims.Replay | requests.Refusal:
-        answer = claim_rules.kept_answer(claim)
+    def _load_answer(
+        self, claim: rows.Claim
+    ) -> claims.Replay | requests.Refusal:
+        answer = claim_rules.stored_answer(claim)
         if not claim.answer_object:
             return claims.Replay(answer)
         body = self._objects.get(claim.answer_object)
@@ -145,7 +150,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Unsure:
-    """The holder does not tell; the row may tell by now."""
+class _Undetermined:
+    """The holder gave no result; the row may have one by now."""
 
     refusal: requests.Refusal
--- a/src/vanillaswitch/coordination/once/claim_rules.py
+++ b/src/vanillaswitch/coordination/once/claim_rules.py
@@ -1,9 +1,10 @@
-"""The rules of claims, as plain functions over what was found.
+"""Rules for claims, as pure functions of claim rows.
 
-What a ``Refusal`` of this module says of the outcome: ``NOT_RUN`` speaks of
-the key. No attempt under it ran at any entry, nor will one unless its caller
-asks again. Where the table can't be read and nobody can vouch for that, the
-word is ``UNKNOWN``; asking again under the same key is safe at any time.
+The outcome of a ``Refusal`` in this module refers to the key: ``NOT_RUN``
+means that no attempt under it ran at any entry, and that none will unless the
+caller retries. If the table can't be read and the other entries can't confirm
+that either, the outcome is ``UNKNOWN``. Retrying under the same key is always
+safe.
 """
 
 import base64
@@ -29,7 +30,7 @@
     "Claims of this age are no longer kept, so this attempt was not run and"
     " the outcome of earlier attempts is unknown.",
 )
-UNAVAILABLE = requests.Refusal(
+CLAIMS_UNAVAILABLE = requests.Refusal(
     requests.Outcome.NOT_RUN,
     503,
     "claims-unavailable",
@@ -37,7 +38,7 @@
     " with the same key.",
     RETRY_AFTER_S,
 )
-UNREADABLE = requests.Refusal(
+CLAIMS_UNAVAILABLE_UNKNOWN = requests.Refusal(
     requests.Outcome.UNKNOWN,
     503,
     "claims-unavailable-unknown",
@@ -52,15 +53,15 @@
     "An earlier attempt under the same key is still running.",
     RETRY_AFTER_S,
 )
-UNKNOWN = requests.Refusal(
+OUTCOME_UNKNOWN = requests.Refusal(
     requests.Outcome.UNKNOWN,
     409,
     "outcome-unknown",
     "An earlier attempt may have run and its answer is lost; it is never"
     " sent again.",
 )
-HOLDER_SILENT = dataclasses.replace(
-    UNKNOWN,
+HOLDER_UNREACHABLE = dataclasses.replace(
+    OUTCOME_UNKNOWN,
     detail="The process that holds the claim of an earlier attempt does not"
     " answer; nobody else may send the request.",
     retry_after_s=RETRY_AFTER_S,
@@ -80,7 +81,7 @@
 
     Attributes:
         entry: name of the process.
-        boot: random id of this start.
+        boot: random id of this start of the process.
         peer: "ip:port" of its peer port.
     """
 
@@ -90,30 +91,32 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Free:
-    """Nobody holds the claim: it may be overwritten at this version."""
+class Unclaimed:
+    """Nobody holds the claim; this version of the row may be overwritten."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Mine:
+class OwnClaim:
     """This boot holds the claim."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Kept:
-    """The request ran, and its answer is kept with the claim."""
+class Completed:
+    """The request ran, and its answer is stored with the claim."""
 
 
 @dataclasses.dataclass(frozen=True)
-class AskHolder:
-    """Only the holder knows how far the request has come."""
+class HeldElsewhere:
+    """Another process holds the claim; only it knows the request's state."""
 
 
-Verdict = Free | Mine | Kept | AskHolder | requests.Refusal
+Classification = (
+    Unclaimed | OwnClaim | Completed | HeldElsewhere | requests.Refusal
+)
 
 
-def digest(request: requests.Request) -> str:
-    """Returns SHA-256 in hex of what makes a request the same request."""
+def compute_digest(request: requests.Request) -> str:
+    """Returns the SHA-256 in hex of the parts that identify a request."""
     parts = (
         request.method.encode(),
         request.target.encode(),
@@ -122,32 +125,35 @@
     )
     hashed = hashlib.sha256()
     for part in parts:
-        # The length keeps two splits of the same bytes apart.
+        # The length prefix distinguishes different splits of the same bytes.
         hashed.update(len(part).to_bytes(8, "big"))
         hashed.update(part)
     return hashed.hexdigest()
 
 
-def judge(found: rows.Claim, asker: Holder, request_digest: str) -> Verdict:
-    """Says what a claim row means to a process that wants to claim it."""
-    if found.digest != request_digest:
+def classify_claim(
+    claim: rows.Claim, requester: Holder, request_digest: str
+) -> Classification:
+    """Returns what a claim row means to a process that wants the claim."""
+    if claim.digest != request_digest:
         return KEY_REUSED
-    if found.state is peers.ClaimState.DONE:
-        return Kept()
-    if found.state is peers.ClaimState.RELEASED:
-        return Free()
-    if found.state is peers.ClaimState.UNKNOWN:
-        return UNKNOWN
-    if found.boot == asker.boot:
-        return Mine()
-    # The failure guarded against: a process was restarted, or replaced at its
-    # address, while it held the claim. It may have sent the request, and is
-    # gone, for only one process can listen there. A process of our name at
-    # another address may still be shutting down, and knows the outcome.
-    return UNKNOWN if found.peer == asker.peer else AskHolder()
-
-
-def claim_row(
+    if claim.state is peers.ClaimState.DONE:
+        return Completed()
+    if claim.state is peers.ClaimState.RELEASED:
+        return Unclaimed()
+    if claim.state is peers.ClaimState.UNKNOWN:
+        return OUTCOME_UNKNOWN
+    if claim.boot == requester.boot:
+        return OwnClaim()
+    # This guards against the following failure: a process was restarted, or
+    # replaced at its address, while it held the claim. It may have sent the
+    # request, and it is gone, because only one process can listen at an
+    # address. A process with our name at another address may still be shutting
+    # down and knows the outcome.
+    return OUTCOME_UNKNOWN if claim.peer == requester.peer else HeldElsewhere()
+
+
+def make_claim_row(
     holder: Holder,
     state: peers.ClaimState,
     request_digest: str,
@@ -155,7 +161,7 @@
     answer: requests.Answer | None = None,
     answer_object: str = "",
 ) -> rows.Claim:
-    """Returns the row of a claim; a body kept as an object is left out."""
+    """Returns the row of a claim; omits a body that is stored as an object."""
     claim = rows.Claim(
         state=state,
         entry=holder.entry,
@@ -176,7 +182,7 @@
     )
 
 
-def kept_answer(claim: rows.Claim) -> requests.Answer:
+def stored_answer(claim: rows.Claim) -> requests.Answer:
     """Returns the answer of a claim whose body is in its row."""
     return requests.Answer(
         claim.answer_status,
--- a/src/vanillaswitch/coordination/once/claim_witness.py
+++ b/src/vanillaswitch/coordination/once/claim_witness.py
@@ -1,10 +1,11 @@
-"""Says whether a key was ever claimed, while the table can't be read.
-
-"Not run" of a key is true only if no attempt under it ran at any entry. Each
-entry remembers what it claimed, and for how long it has missed no other
-entry. The entry that is asked during an outage asks all others; a word of
-"never" counts if each living entry says so, and none of them has lost
-anything since before the request was issued.
+"""Determines whether a key was ever claimed while the table is unreadable.
+
+"Not run" is true for a key only if no attempt under it ran at any entry. Each
+entry remembers its claims and since when it has been in contact with all
+other entries. During an outage, the entry that gets a request queries all
+others. It reports "not run" only if each live entry replies that it never
+claimed the key, and if none of them forgot a claim or lost contact since
+before the request was issued.
 """
 
 import collections
@@ -27,175 +28,188 @@
 from vanillaswitch.protocol import peers
 from vanillaswitch.protocol import requests
 
-CLOCK_ALLOWANCE_S = intake.MAX_ISSUED_AHEAD_MS / 1000 + 60.0
-"""How far a time of issue may lie ahead of our clock when it first ran.
+MAX_CLOCK_AHEAD_S = intake.MAX_ISSUED_AHEAD_MS / 1000 + 60.0
+"""How far a time of issue may be ahead of our clock at the first attempt.
 
-It guards against a request that is stamped too late and looks younger than it
-is: an entry that ran it and died before the stamp would not be missed. Entries
-refuse what lies further ahead of their own clocks; the rest is for clocks of
-entries that differ.
+This guards against a request with a time of issue that is too late, which
+looks younger than it is: an entry that ran it and died before that time would
+not be counted as missing. Entries refuse times of issue that lie further ahead
+of their own clocks; the rest covers differences between the entries' clocks.
 """
 
-WATCH_S = 1.0
-ASK_S = claim_lookup.ASK_S
+WATCH_INTERVAL_S = 1.0
+QUERY_TIMEOUT_S = claim_lookup.QUERY_TIMEOUT_S
 
-PROMISE_S = 2 * ASK_S
-"""For how long an entry claims no key of which it has just said "never"."""
+CLAIM_BLOCK_S = 2 * QUERY_TIMEOUT_S
+"""How long an entry can't claim a key that it reported as never claimed."""
 
-MAX_NAMES = 16_384
-MAX_PROMISES = 4096
-MAX_HEARINGS = 32
+MAX_REMEMBERED_CLAIMS = 16_384
+MAX_BLOCKED_CLAIMS = 4096
+MAX_CONCURRENT_CHECKS = 32
 
 Members = Callable[[], Mapping[str, peer_membership.Member]]
-Heard = claims.Replay | requests.Refusal
+CheckResult = claims.Replay | requests.Refusal
 
 
-class Witness:
-    """Remembers the claims of this boot, and hears the other entries."""
+class ClaimHistory:
+    """Remembers the claims of this boot and queries the other entries."""
 
     def __init__(
         self,
         holder: claim_rules.Holder,
         members: Members,
-        ask: claim_lookup.Ask,
+        query_claim: claim_lookup.QueryClaim,
         clock: clocks.Clock,
-        source: random.Random,
+        rng: random.Random,
     ):
-        """Makes a witness whose memory begins now; ``run`` has to be spawned.
+        """Creates a history that starts now; the caller has to spawn ``run``.
 
         Args:
             holder: this process.
-            members: returns the peers as they are believed to be.
-            ask: sends a query to a peer; see ``claim_lookup.Ask``.
-            clock: measures the memory and the age of requests.
-            source: makes query ids.
+            members: returns the current members as this process sees them.
+            query_claim: sends a query to a peer; see
+            ``claim_lookup.ClaimLookup``.
+            clock: measures the history's length and the age of requests.
+            rng: random source for query ids.
         """
         self._holder = holder
         self._members = members
-        self._ask = ask
+        self._query_claim = query_claim
         self._clock = clock
-        self._source = source
-        self._names: collections.OrderedDict[bytes, float] = (
+        self._rng = rng
+        self._claimed_at: collections.OrderedDict[bytes, float] = (
             collections.OrderedDict()
         )
         self._complete_since = clock.monotonic()
-        self._company = claim_company.Company(self._complete_since)
-        self._promises: collections.OrderedDict[str, float] = (
+        self._contact = claim_company.EntryContact(self._complete_since)
+        self._blocked_until: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
-        self._hearing: set[str] = set()
+        self._checking: set[str] = set()
 
     def run(self) -> None:
-        """Watches the peers, for ever."""
+        """Observes the peers forever."""
         while True:
             self.watch()
-            self._clock.sleep(WATCH_S)
+            self._clock.sleep(WATCH_INTERVAL_S)
 
     def watch(self) -> None:
-        """Takes note of entries that went away."""
-        self._company = claim_company.observe(
-            self._company, self._members(), self._clock.monotonic()
+        """Updates the contact with the other entries."""
+        self._contact = claim_company.observe(
+            self._contact, self._members(), self._clock.monotonic()
         )
 
-    def remember(self, name: str) -> None:
-        """Notes that this boot got a claim; the oldest one is forgotten."""
-        self._names.pop(_short(name), None)
-        self._names[_short(name)] = self._clock.monotonic()
-        if len(self._names) > MAX_NAMES:
-            _, self._complete_since = self._names.popitem(last=False)
-
-    def forget(self, name: str) -> None:
-        """Notes that a claim was given up unsent."""
-        self._names.pop(_short(name), None)
-
-    def knows(self, name: str) -> bool:
-        """Whether this boot got the claim, and may have sent the request."""
-        return _short(name) in self._names
-
-    def may_claim(self, name: str) -> bool:
-        """Whether nobody is about to rely on it that the claim is free.
-
-        The failure guarded against: an entry asks us, we say "never", then
-        claim and run the same key, and the other one says "not run" of it.
-        It uses our word for less than ``PROMISE_S``, counted from before we
-        said it; we claim the key only after that.
+    def add(self, row_key: str) -> None:
+        """Adds a claim of this boot; evicts the oldest one when full."""
+        self._claimed_at.pop(_fingerprint(row_key), None)
+        self._claimed_at[_fingerprint(row_key)] = self._clock.monotonic()
+        if len(self._claimed_at) > MAX_REMEMBERED_CLAIMS:
+            _, self._complete_since = self._claimed_at.popitem(last=False)
+
+    def discard(self, row_key: str) -> None:
+        """Removes a claim that was released without sending its request."""
+        self._claimed_at.pop(_fingerprint(row_key), None)
+
+    def has_claimed(self, row_key: str) -> bool:
+        """Whether this boot got the claim and may have sent the request."""
+        return _fingerprint(row_key) in self._claimed_at
+
+    def may_claim(self, row_key: str) -> bool:
+        """Whether no entry may currently rely on the key being unclaimed.
+
+        This guards against the following failure: an entry queries us and we
+        reply that the key was never claimed. We then claim and run it, and the
+        other entry reports "not run". It uses our reply for less than
+        ``CLAIM_BLOCK_S``, counted from before we sent it. We claim the key only
+        after that time.
         """
-        if name in self._hearing:
+        if row_key in self._checking:
             return False
-        return self._promises.get(name, 0.0) <= self._clock.monotonic()
+        return self._blocked_until.get(row_key, 0.0) <= self._clock.monotonic()
 
-    def word(self, query: peers.ClaimQuery) -> peers.ClaimReply:
-        """Answers for a claim of which the ledger has no open record."""
-        if self.knows(query.claim) or not self._promise(query.claim):
+    def reply_without_record(self, query: peers.ClaimQuery) -> peers.ClaimReply:
+        """Answers a query for a claim that has no open record."""
+        if self.has_claimed(query.claim) or not self._block_claim(query.claim):
             return peers.ClaimReply(query.query, peers.ClaimState.UNKNOWN)
         self.watch()
         return peers.ClaimReply(
             query.query,
             peers.ClaimState.RELEASED,
             unbroken_s=self._unbroken_s(),
-            entries=tuple(one.boot for one in self._entries()),
+            entries=tuple(entry.boot for entry in self._live_entries()),
         )
 
-    def hear(
-        self, name: str, request_digest: str, issued_ms: int, until: float
-    ) -> Heard:
-        """Says what is known of a key without the table.
+    def check_with_peers(
+        self, row_key: str, request_digest: str, issued_ms: int, deadline: float
+    ) -> CheckResult:
+        """Returns what is known of a key without the table.
 
-        Blocks for ``ASK_S`` at the longest, and not at all where no word of
-        the others could be evidence.
+        Blocks for at most ``QUERY_TIMEOUT_S``, and not at all if the replies of
+        the other entries could not prove anything.
 
         Args:
-            name: of the claim.
-            request_digest: of the request.
-            issued_ms: when the request was issued first, by its caller.
-            until: monotonic seconds; nobody is waited for after that.
+            row_key: key of the claim's row.
+            request_digest: digest of the request.
+            issued_ms: when the caller first issued the request.
+            deadline: monotonic seconds; replies are awaited no longer.
         """
         self.watch()
         age_s = max(0.0, self._clock.wall() - issued_ms / 1000)
-        needed_s = age_s + CLOCK_ALLOWANCE_S
+        needed_s = age_s + MAX_CLOCK_AHEAD_S
         if (
-            self.knows(name)
+            self.has_claimed(row_key)
             or self._unbroken_s() < needed_s
-            or name in self._hearing
-            or len(self._hearing) >= MAX_HEARINGS
+            or row_key in self._checking
+            or len(self._checking) >= MAX_CONCURRENT_CHECKS
         ):
-            return claim_rules.UNREADABLE
-        self._hearing.add(name)
+            return claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
+        self._checking.add(row_key)
         try:
-            return self._hear(name, request_digest, needed_s, until)
+            return self._check_with_peers(
+                row_key, request_digest, needed_s, deadline
+            )
         finally:
-            self._hearing.discard(name)
+            self._checking.discard(row_key)
 
-    def _hear(
-        self, name: str, request_digest: str, needed_s: float, until: float
-    ) -> Heard:
-        began = self._clock.monotonic()
-        timeout_s = min(ASK_S, until - began)
+    def _check_with_peers(
+        self,
+        row_key: str,
+        request_digest: str,
+        needed_s: float,
+        deadline: float,
+    ) -> CheckResult:
+        started_at = self._clock.monotonic()
+        timeout_s = min(QUERY_TIMEOUT_S, deadline - started_at)
         if timeout_s <= 0:
-            return claim_rules.UNREADABLE
-        asked = self._entries()
-        replies = self._ask_all(asked, name, request_digest, timeout_s)
-        boots = {self._holder.boot, *(one.boot for one in asked)}
-        heard = judge(replies, boots, needed_s)
-        # After a pause the others no longer keep the key free for our word.
-        late = self._clock.monotonic() - began >= PROMISE_S
-        if heard == claim_rules.UNAVAILABLE and late:
-            return claim_rules.UNREADABLE
-        return heard
-
-    def _ask_all(
+            return claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
+        queried = self._live_entries()
+        replies = self._query_entries(
+            queried, row_key, request_digest, timeout_s
+        )
+        boots = {self._holder.boot, *(entry.boot for entry in queried)}
+        result = combine_replies(replies, boots, needed_s)
+        # After a pause, the other entries may no longer keep the key free for
+        # us.
+        is_late = self._clock.monotonic() - started_at >= CLAIM_BLOCK_S
+        if result == claim_rules.CLAIMS_UNAVAILABLE and is_late:
+            return claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
+        return result
+
+    def _query_entries(
         self,
-        asked: Iterable[peers.Heartbeat],
-        name: str,
+        queried: Iterable[peers.Heartbeat],
+        row_key: str,
         request_digest: str,
         timeout_s: float,
     ) -> list[peers.ClaimReply | None]:
         tasks = []
-        for entry in asked:
+        for entry in queried:
             query = peers.ClaimQuery(
-                ids.new_id(self._source), name, request_digest
+                ids.new_id(self._rng), row_key, request_digest
+            )
+            task = gevent.spawn(
+                self._query_claim, entry.address, query, timeout_s
             )
-            task = gevent.spawn(self._ask, entry.address, query, timeout_s)
             tasks.append(task)
         try:
             gevent.joinall(tasks, timeout=timeout_s)
@@ -203,61 +217,61 @@
         finally:
             gevent.killall(tasks, block=False)
 
-    def _entries(self) -> tuple[peers.Heartbeat, ...]:
-        return claim_company.living(self._members())
+    def _live_entries(self) -> tuple[peers.Heartbeat, ...]:
+        return claim_company.live_entry_heartbeats(self._members())
 
     def _unbroken_s(self) -> float:
-        since = max(self._complete_since, self._company.since)
+        since = max(self._complete_since, self._contact.unbroken_since)
         return self._clock.monotonic() - since
 
-    def _promise(self, name: str) -> bool:
+    def _block_claim(self, row_key: str) -> bool:
         now = self._clock.monotonic()
-        while self._promises:
-            oldest = next(iter(self._promises))
-            if self._promises[oldest] > now:
+        while self._blocked_until:
+            oldest = next(iter(self._blocked_until))
+            if self._blocked_until[oldest] > now:
                 break
-            del self._promises[oldest]
-        if len(self._promises) >= MAX_PROMISES:
+            del self._blocked_until[oldest]
+        if len(self._blocked_until) >= MAX_BLOCKED_CLAIMS:
             return False
-        self._promises.pop(name, None)
-        self._promises[name] = now + PROMISE_S
+        self._blocked_until.pop(row_key, None)
+        self._blocked_until[row_key] = now + CLAIM_BLOCK_S
         return True
 
 
-def judge(
+def combine_replies(
     replies: Iterable[peers.ClaimReply | None],
     boots: Iterable[str],
     needed_s: float,
-) -> Heard:
-    """Says what the words of all other entries come to.
+) -> CheckResult:
+    """Combines the replies of all other entries.
 
     Args:
-        replies: of each entry that was asked; None where none came.
-        boots: of the entries asked, and our own.
-        needed_s: for how long each must have missed nothing.
+        replies: one for each entry that was queried; None if none arrived.
+        boots: boots of the entries that were queried, and our own.
+        needed_s: how long each entry must have had all claims and contacts.
 
     Returns:
-        ``UNAVAILABLE``, which is "not run", only if all of them say "never",
-        have missed nothing since before the request was issued, and know of
-        no living entry that was not asked.
+        ``CLAIMS_UNAVAILABLE``, which means "not run", only if all of them
+        never held the claim, forgot nothing and kept contact since before the
+        request was issued, and know of no live entry that was not queried.
     """
-    told = list(replies)
-    known = set(boots)
-    for reply in told:
+    replies = list(replies)
+    known_boots = set(boots)
+    for reply in replies:
         if reply is None:
             continue
         if reply.state is peers.ClaimState.DONE:
             if reply.answer is None:
                 return claim_rules.ANSWER_UNAVAILABLE
             return claims.Replay(reply.answer)
-    if any(r and r.state is peers.ClaimState.CLAIMED for r in told):
+    if any(r and r.state is peers.ClaimState.CLAIMED for r in replies):
         return claim_rules.IN_PROGRESS
-    if all(_says_never(reply, known, needed_s) for reply in told):
-        return claim_rules.UNAVAILABLE
-    return claim_rules.UNREADABLE
+    if all(_denies_claim(reply, known_boots, needed_s) for reply in replies):
+        return claim_rules.CLAIMS_UNAVAILABLE
+    return claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
 
 
-def _says_never(
+def _denies_claim(
     reply: peers.ClaimReply | None, boots: set[str], needed_s: float
 ) -> bool:
     return (
@@ -268,6 +282,9 @@
     )
 
 
-def _short(name: str) -> bytes:
-    """Returns a digest of 8 bytes; two alike only make a word "unknown"."""
-    return hashlib.blake2b(name.encode(), digest_size=8).digest()
+def _fingerprint(row_key: str) -> bytes:
+    """Returns a digest of 8 bytes.
+
+    A collision only turns the result for a key into "unknown".
+    """
+    return hashlib.blake2b(row_key.encode(), digest_size=8).digest()
--- a/src/vanillaswitch/coordination/once/claims.py
+++ b/src/vanillaswitch/coordination/once/claims.py
@@ -1,16 +1,17 @@
 """Runs a non-idempotent request at most once.
 
 The row ``once/<caller>/<service>/<key>`` is inserted before the request is
-sent, and names the process that inserted it. Only that process may ever send
-the request, it sends it once, and no lease takes the claim away from it. So a
-holder that was paused for however long sends nothing that somebody else sent
-in between; whether its own caller still waits, the path checks by the
-deadline before it sends. The price: when a holder is gone, the outcome of
-what it held is unknown for good.
-
-A claim is overwritten in one case only: its holder gave it up without having
-sent the request, and says so in the row or when it is asked. Both name one
-version of the row, which changes with each new claim.
+sent, and it names the process that inserted it. Only that process may ever
+send the request, and it sends it once. The claim has no lease, so no other
+process can take it over. A holder that was paused for any length of time
+therefore never sends a request that another process has sent meanwhile. The
+request path checks the deadline before it sends, which covers a caller that
+no longer waits. The price is that the outcomes of a holder's open claims stay
+unknown for good once the holder is gone.
+
+A claim is overwritten in one case only: its holder released it without having
+sent the request, and says so in the row or in reply to a query. Both refer to
+one version of the row, which changes with each new claim.
 """
 
 from collections.abc import Callable
@@ -34,35 +35,35 @@
 from vanillaswitch.state import rows
 
 SEND_RESERVE_S = 0.1
-HEAR_RESERVE_S = 0.05
-ROUNDS = 4
+PEER_CHECK_RESERVE_S = 0.05
+MAX_CLAIM_ATTEMPTS = 4
 
-Begun = claims.Proceed | claims.Replay | requests.Refusal
+ClaimResult = claims.Proceed | claims.Replay | requests.Refusal
 
 
 @dataclasses.dataclass(frozen=True)
 class Parts:
-    """What the service works with.
+    """The components of the claim service.
 
     Attributes:
         holder: this process.
         committer: writes the claims; its task is spawned elsewhere.
         ledger: keeps and writes outcomes; its task is spawned elsewhere.
-        lookup: finds out about the claims of others.
-        witness: vouches for keys without the table; its task is spawned
-            elsewhere.
-        clock: deadlines, and the wall clock for the retention.
-        source: makes tickets.
-        retention_s: returns how long claims are kept now, in seconds.
+        lookup: determines the state of claims of other processes.
+        witness: determines whether keys were claimed while the table is
+            unavailable; its task is spawned elsewhere.
+        clock: for deadlines, and the wall clock for the retention.
+        rng: random source for tickets.
+        retention_s: returns the current retention of claims, in seconds.
     """
 
     holder: claim_rules.Holder
     committer: group_commit.GroupCommitter
-    ledger: claim_ledger.Ledger
-    lookup: claim_lookup.Lookup
-    witness: claim_witness.Witness
+    ledger: claim_ledger.ClaimRecords
+    lookup: claim_lookup.ClaimLookup
+    witness: claim_witness.ClaimHistory
     clock: clocks.Clock
-    source: random.Random
+    rng: random.Random
     retention_s: Callable[[], float]
 
 
@@ -70,30 +71,34 @@
     holder: claim_rules.Holder,
     table: platform.Table,
     objects: platform.ObjectStore,
-    ask: claim_lookup.Ask,
+    query_claim: claim_lookup.QueryClaim,
     members: claim_witness.Members,
     clock: clocks.Clock,
-    source: random.Random,
+    rng: random.Random,
     retention_s: Callable[[], float],
 ) -> Parts:
-    """Returns parts with default limits.
+    """Creates the components with default limits.
 
     Args:
         holder: this process.
-        table: keeps the claims.
-        objects: keeps the bodies of large answers.
-        ask: see ``claim_lookup.Lookup``.
-        members: see ``claim_witness.Witness``.
-        clock: for all parts.
-        source: for all parts.
-        retention_s: returns how long claims are kept now, in seconds.
+        table: stores the claims.
+        objects: stores the bodies of large answers.
+        query_claim: see ``claim_lookup.ClaimLookup``.
+        members: see ``claim_witness.ClaimHistory``.
+        clock: for all components.
+        rng: random source of all components.
+        retention_s: returns the current retention of claims, in seconds.
     """
-    committer = group_commit.GroupCommitter(table, clock, source)
-    ledger = claim_ledger.Ledger(holder, committer, objects, clock)
-    lookup = claim_lookup.Lookup(holder, table, objects, ask, clock, source)
-    witness = claim_witness.Witness(holder, members, ask, clock, source)
+    committer = group_commit.GroupCommitter(table, clock, rng)
+    ledger = claim_ledger.ClaimRecords(holder, committer, objects, clock)
+    lookup = claim_lookup.ClaimLookup(
+        holder, table, objects, query_claim, clock, rng
+    )
+    witness = claim_witness.ClaimHistory(
+        holder, members, query_claim, clock, rng
+    )
     return Parts(
-        holder, committer, ledger, lookup, witness, clock, source, retention_s
+        holder, committer, ledger, lookup, witness, clock, rng, retention_s
     )
 
 
@@ -101,88 +106,90 @@
     """Implements ``protocol.claims.ClaimService`` for one boot of an entry."""
 
     def __init__(self, parts: Parts):
-        """Makes the service over its parts."""
+        """Creates the service from its components."""
         self._holder = parts.holder
         self._committer = parts.committer
         self._ledger = parts.ledger
         self._lookup = parts.lookup
         self._witness = parts.witness
         self._clock = parts.clock
-        self._source = parts.source
+        self._rng = parts.rng
         self._retention_s = parts.retention_s
 
-    def begin(self, request: requests.Request) -> Begun:
-        """Claims a request, or says what is known of its key.
+    def begin(self, request: requests.Request) -> ClaimResult:
+        """Claims a request, or returns the known result for its key.
 
-        Blocks until shortly before the request's deadline at the longest. A
-        request without a key has no claim: it gets an empty ticket.
+        Blocks until shortly before the request's deadline at most. A request
+        without a key needs no claim and gets an empty ticket.
         """
         if not request.key:
             return claims.Proceed("")
         now_ms = int(self._clock.wall() * 1000)
         if claim_expiry.too_old(request.issued_ms, now_ms, self._retention_s()):
             return claim_rules.TOO_OLD
-        name = keys.claim(request.caller, request.service, request.key)
-        digest = claim_rules.digest(request)
-        known = self._ledger.get(name)
-        reply = _reply_of(known, digest) if known else None
-        if reply is not None:
-            return reply
-        if known or not self._can_claim(name):
-            return self._hear(name, digest, request)
-        # Held before the first switch of tasks: a second request with this
-        # key then sees the first one in progress.
-        record = claim_ledger.Record(digest, request.issued_ms)
-        self._ledger.hold(name, record)
+        row_key = keys.claim(request.caller, request.service, request.key)
+        digest = claim_rules.compute_digest(request)
+        known_record = self._ledger.get(row_key)
+        known_result = (
+            _known_result(known_record, digest) if known_record else None
+        )
+        if known_result is not None:
+            return known_result
+        if known_record or not self._can_claim(row_key):
+            return self._check_with_peers(row_key, digest, request)
+        # Stored before the first task switch, so that a second request with
+        # this key sees the first one in progress.
+        record = claim_ledger.ClaimRecord(digest, request.issued_ms)
+        self._ledger.store(row_key, record)
         try:
-            return self._claim(name, record, request)
+            return self._claim(row_key, record, request)
         except BaseException:
-            # The task was killed, say because its caller went away. The
-            # insert may be on its way, and the request is never sent.
-            self._ledger.resolve(name, peers.ClaimState.RELEASED)
+            # The task was killed, for example because its caller disconnected.
+            # The insert may still take effect, but the request is never sent.
+            self._ledger.set_outcome(row_key, peers.ClaimState.RELEASED)
             raise
 
     def release(self, ticket: str) -> None:
-        """Gives up a claim whose request surely never ran.
+        """Releases a claim whose request certainly never ran.
 
-        Returns when the row says so, or after the time of one write, or at
-        once while the table is silent; this process answers for the claim
-        when it is asked.
+        Returns when the row shows the release or one write timed out, or at
+        once if the table is unresponsive. In each case this process replies to
+        queries for the claim.
         """
-        self._resolve(ticket, peers.ClaimState.RELEASED)
-        if ticket and not self._committer.silent:
-            self._ledger.write((_name(ticket),))
+        self._set_outcome(ticket, peers.ClaimState.RELEASED)
+        if ticket and not self._committer.is_unresponsive:
+            self._ledger.write((_row_key_of(ticket),))
 
     def finish(self, ticket: str, answer: requests.Answer) -> None:
-        """Keeps the whole answer; it is written in the background."""
-        self._resolve(ticket, peers.ClaimState.DONE, answer)
+        """Stores the complete answer; it is written in the background."""
+        self._set_outcome(ticket, peers.ClaimState.DONE, answer)
 
     def lost(self, ticket: str) -> None:
         """Records that the request was sent and its outcome is unknown."""
-        self._resolve(ticket, peers.ClaimState.UNKNOWN)
+        self._set_outcome(ticket, peers.ClaimState.UNKNOWN)
 
     def flush(self, grace_s: float) -> int:
-        """Writes outcomes before a planned stop, for ``grace_s`` seconds.
+        """Writes outcomes before a shutdown, for up to ``grace_s`` seconds.
 
         Returns:
-            How many outcomes are still unwritten.
+            The number of outcomes that are still unwritten.
         """
         return self._ledger.flush(grace_s)
 
     def answer_query(self, query: peers.ClaimQuery) -> peers.ClaimReply:
-        """Says how far a claim of this boot has come.
+        """Replies with the state of a claim of this boot.
 
         A query without a boot asks whether this boot ever held the claim.
 
-        The failure guarded against: this process replaced the holder at its
-        address, or was restarted. What it knows of the key is then no word
-        on the claim that was asked for, so it says that it does not know.
+        This guards against the following failure: this process was restarted,
+        or replaced the holder at its address. Its own record for the key then
+        says nothing about the claim in the query, so it replies UNKNOWN.
         """
         record = self._ledger.get(query.claim)
         if not query.boot and (
             record is None or record.state is peers.ClaimState.RELEASED
         ):
-            return self._witness.word(query)
+            return self._witness.reply_without_record(query)
         if (
             record is None
             or query.boot not in ("", self._holder.boot)
@@ -190,73 +197,81 @@
         ):
             return peers.ClaimReply(query.query, peers.ClaimState.UNKNOWN)
         answer = record.answer
-        if answer and len(answer.body) > self._ledger.inline_bytes:
+        if answer and len(answer.body) > self._ledger.max_inline_bytes:
             answer = None
         return peers.ClaimReply(query.query, record.state, answer)
 
-    def _can_claim(self, name: str) -> bool:
+    def _can_claim(self, row_key: str) -> bool:
         return not (
-            self._ledger.full
-            or self._committer.silent
-            or not self._witness.may_claim(name)
+            self._ledger.is_full
+            or self._committer.is_unresponsive
+            or not self._witness.may_claim(row_key)
         )
 
-    def _hear(self, name: str, digest: str, request: requests.Request) -> Begun:
-        """Says what is known of a key whose row can't be read."""
-        until = request.deadline - HEAR_RESERVE_S
-        return self._witness.hear(name, digest, request.issued_ms, until)
+    def _check_with_peers(
+        self, row_key: str, digest: str, request: requests.Request
+    ) -> ClaimResult:
+        """Returns what is known of a key whose row can't be read."""
+        deadline = request.deadline - PEER_CHECK_RESERVE_S
+        return self._witness.check_with_peers(
+            row_key, digest, request.issued_ms, deadline
+        )
 
     def _claim(
         self,
-        name: str,
-        record: claim_ledger.Record,
+        row_key: str,
+        record: claim_ledger.ClaimRecord,
         request: requests.Request,
-    ) -> Begun:
-        until = request.deadline - SEND_RESERVE_S
+    ) -> ClaimResult:
+        deadline = request.deadline - SEND_RESERVE_S
         row = rows.dump(
-            claim_rules.claim_row(
+            claim_rules.make_claim_row(
                 self._holder,
                 peers.ClaimState.CLAIMED,
                 record.digest,
                 record.issued_ms,
             )
         )
-        for _ in range(ROUNDS):
-            put = platform.Put(name, record.version, row)
-            outcome = self._committer.commit(put, until)
+        for _ in range(MAX_CLAIM_ATTEMPTS):
+            put = platform.Put(row_key, record.version, row)
+            outcome = self._committer.commit(put, deadline)
             if isinstance(outcome, platform.Committed):
-                return self._proceed(name, record, outcome.version)
+                return self._grant(row_key, record, outcome.version)
             if isinstance(outcome, platform.OutcomeUnknown):
-                # Only this boot could ever send it, and from here on it
-                # won't: this attempt is not run whatever becomes of the
-                # insert.
-                self._ledger.resolve(name, peers.ClaimState.RELEASED)
-                return self._hear(name, record.digest, request)
+                # Only this boot could ever send the request, and from here on
+                # it will not. So this attempt does not run, whether or not the
+                # insert takes effect.
+                self._ledger.set_outcome(row_key, peers.ClaimState.RELEASED)
+                return self._check_with_peers(row_key, record.digest, request)
             if isinstance(outcome, platform.Unavailable):
-                heard = self._hear(name, record.digest, request)
-                self._ledger.drop(name)
-                return heard
-            found = self._lookup.look(outcome.found[0], record.digest, until)
-            if isinstance(found, claim_lookup.Mine):
-                return self._proceed(name, record, found.version)
-            if not isinstance(found, claim_lookup.Free):
-                self._ledger.drop(name)
-                return found
-            record = dataclasses.replace(record, version=found.version)
-            self._ledger.hold(name, record)
-        self._ledger.drop(name)
+                peer_result = self._check_with_peers(
+                    row_key, record.digest, request
+                )
+                self._ledger.discard(row_key)
+                return peer_result
+            resolved = self._lookup.resolve(
+                outcome.found[0], record.digest, deadline
+            )
+            if isinstance(resolved, claim_lookup.OwnRow):
+                return self._grant(row_key, record, resolved.version)
+            if not isinstance(resolved, claim_lookup.UnclaimedRow):
+                self._ledger.discard(row_key)
+                return resolved
+            record = dataclasses.replace(record, version=resolved.version)
+            self._ledger.store(row_key, record)
+        self._ledger.discard(row_key)
         return claim_rules.IN_PROGRESS
 
-    def _proceed(
-        self, name: str, record: claim_ledger.Record, version: int
+    def _grant(
+        self, row_key: str, record: claim_ledger.ClaimRecord, version: int
     ) -> claims.Proceed:
-        ticket = f"{ids.new_id(self._source)}:{name}"
-        held = dataclasses.replace(record, ticket=ticket, version=version)
-        self._ledger.hold(name, held)
-        self._witness.remember(name)
+        ticket = f"{ids.new_id(self._rng)}:{row_key}"
+        granted = dataclasses.replace(record, ticket=ticket, version=version)
+        self._ledger.store(row_key, granted)
+        self._witness.add(row_key)
         return claims.Proceed(ticket)
 
-    def _resolve(
+    def _set_outcome(
         self,
         ticket: str,
         state: peers.ClaimState,
@@ -264,32 +279,37 @@
     ) -> None:
         if not ticket:
             return
-        record = self._ledger.get(_name(ticket))
+        record = self._ledger.get(_row_key_of(ticket))
         if (
             record is None
             or record.ticket != ticket
             or record.state is not peers.ClaimState.CLAIMED
         ):
-            raise errors.InvariantError(f"{ticket!r} is not open any more")
-        self._ledger.resolve(_name(ticket), state, answer)
+            raise errors.InvariantError(
+                f"{ticket!r} is not an open claim; settle each claim once"
+            )
+        self._ledger.set_outcome(_row_key_of(ticket), state, answer)
         if state is peers.ClaimState.RELEASED:
-            self._witness.forget(_name(ticket))
+            self._witness.discard(_row_key_of(ticket))
 
 
-def _name(ticket: str) -> str:
+def _row_key_of(ticket: str) -> str:
     return ticket.partition(":")[2]
 
 
-def _reply_of(record: claim_ledger.Record, digest: str) -> Begun | None:
-    """Says what this boot itself knows of a key; None when not enough."""
+def _known_result(
+    record: claim_ledger.ClaimRecord, digest: str
+) -> ClaimResult | None:
+    """Returns the result this boot knows for a key; None if it has none."""
     if record.digest != digest:
         return claim_rules.KEY_REUSED
     if record.answer is not None:
         return claims.Replay(record.answer)
     if record.state is peers.ClaimState.UNKNOWN:
-        return claim_rules.UNKNOWN
+        return claim_rules.OUTCOME_UNKNOWN
     if record.state is peers.ClaimState.CLAIMED:
         return claim_rules.IN_PROGRESS
-    # Given up here unsent, and not yet written: another entry may have
-    # claimed it since, so this one can't claim it again.
+    # Released here without sending the request, and the release is not written
+    # yet. Another entry may have claimed the key since, so this one cannot
+    # claim it again.
     return None
--- a/src/vanillaswitch/coordination/once/group_commit.py
+++ b/src/vanillaswitch/coordination/once/group_commit.py
@@ -1,8 +1,8 @@
-"""Commits single puts of many tasks in few transactions.
+"""Combines single puts of many tasks into few transactions.
 
-The table takes several hundred writes a second from the whole fleet. While
-one transaction is under way, the puts that arrive are collected and go
-together in the next one; a lone put goes at once.
+The table accepts several hundred writes a second from the whole fleet. Puts
+that arrive during a transaction are collected and sent together in the next
+one. A single put is sent at once.
 """
 
 import collections
@@ -22,108 +22,111 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """Bounds of a group committer.
+    """Limits of a group committer.
 
     Attributes:
-        rows: largest number of puts in one transaction.
-        text: largest number of characters of text in one transaction; a
-            single larger put goes alone.
-        waiting: how many puts may wait; more are refused at once.
-        settle_s: how long a transaction's lost answer is settled before its
-            puts are reported as unknown and the next ones get their turn.
+        max_rows: number of puts in one transaction.
+        max_text: characters of text in one transaction; a single larger put is
+            sent alone.
+        max_waiting: number of waiting puts; further ones are refused at once.
+        commit_timeout_s: how long to retry a transaction whose answer was lost,
+            before its puts are reported as unknown and the next ones are sent.
     """
 
-    rows: int = 64
-    text: int = 1_048_576
-    waiting: int = 4096
-    settle_s: float = 1.0
+    max_rows: int = 64
+    max_text: int = 1_048_576
+    max_waiting: int = 4096
+    commit_timeout_s: float = 1.0
 
 
 class Submission:
-    """A put on its way; its outcome is told once."""
+    """A submitted put; its outcome is set once."""
 
     def __init__(self, put: platform.Put, deadline: float):
-        """Makes a submission that nobody answered yet."""
+        """Creates a submission without an outcome."""
         self.put = put
         self.deadline = deadline
         self._result = event.AsyncResult()
 
-    def tell(self, outcome: platform.CommitOutcome) -> None:
-        """Delivers the outcome."""
+    def set_outcome(self, outcome: platform.CommitOutcome) -> None:
+        """Sets the outcome and wakes the waiting tasks."""
         self._result.set(outcome)
 
     def wait(self, timeout_s: float) -> platform.CommitOutcome:
-        """Waits for the outcome; ``OutcomeUnknown`` when time runs out."""
+        """Waits for the outcome; ``OutcomeUnknown`` after a timeout."""
         try:
             outcome: platform.CommitOutcome = self._result.get(
                 timeout=max(0.0, timeout_s)
             )
         except gevent.Timeout:
-            return platform.OutcomeUnknown("not settled in time")
+            return platform.OutcomeUnknown("the outcome was not known in time")
         return outcome
 
 
 class GroupCommitter:
-    """One task that owns the commit path of independent puts.
+    """A single task that commits independent puts.
 
-    The submitter of a put has to be the only writer of the row once the put
-    took effect, until it is told the outcome (``exclusive`` in ``commits``).
+    The submitter of a put has to be the only writer of the row from when the
+    put takes effect until the submitter gets the outcome (``exclusive`` in
+    ``commits``).
     """
 
     def __init__(
         self,
         table: platform.Table,
         clock: clocks.Clock,
-        source: random.Random,
+        rng: random.Random,
         limits: Limits | None = None,
     ):
-        """Makes a committer; ``run`` has to be spawned.
+        """Creates a committer; the caller has to spawn ``run``.
 
         Args:
-            table: where to commit.
+            table: the table to commit to.
             clock: measures deadlines and paces retries.
-            source: makes the tokens.
-            limits: bounds, the default ones when not given.
+            rng: random source for the transactions' tokens.
+            limits: limits to use instead of the defaults.
         """
         self._table = table
         self._clock = clock
-        self._source = source
+        self._rng = rng
         self._limits = limits or Limits()
         self._inbox = queue.Queue()
-        self._next: collections.deque[Submission] = collections.deque()
-        self._transactions = 0
-        self._rows = 0
-        self._silent = False
+        self._deferred: collections.deque[Submission] = collections.deque()
+        self._transaction_count = 0
+        self._row_count = 0
+        self._is_unresponsive = False
 
     @property
-    def silent(self) -> bool:
-        """Whether the last transaction got no answer that settles it.
+    def is_unresponsive(self) -> bool:
+        """Whether the last transaction ended without a known outcome.
 
-        Callers who can do without should not submit while this holds; the
-        writes that have to be made find out when the table answers again.
+        Callers with optional writes should not submit them while this is true.
+        The required writes detect when the table answers again.
         """
-        return self._silent
+        return self._is_unresponsive
 
     @property
     def transactions(self) -> int:
-        """Transactions tried so far; copies of one count once."""
-        return self._transactions
+        """Number of transactions sent so far; retries are not counted."""
+        return self._transaction_count
 
     @property
-    def rows(self) -> int:
-        """Rows that surely took effect so far."""
-        return self._rows
+    def row_count(self) -> int:
+        """Number of rows that certainly took effect so far."""
+        return self._row_count
 
     def submit(self, put: platform.Put, deadline: float) -> Submission:
-        """Hands over a put.
+        """Submits a put.
 
         Args:
             put: goes into the next transaction.
-            deadline: monotonic seconds; a put that waited longer is not sent.
+            deadline: monotonic seconds; a put that waits longer is not sent.
         """
         submission = Submission(put, deadline)
-        if self._inbox.qsize() >= self._limits.waiting:
-            submission.tell(platform.Unavailable("too many writes wait"))
+        if self._inbox.qsize() >= self._limits.max_waiting:
+            submission.set_outcome(
+                platform.Unavailable("too many writes are waiting")
+            )
         else:
             self._inbox.put(submission)
         return submission
@@ -132,8 +135,8 @@
         """Waits for a put's outcome until its deadline.
 
         Returns:
-            ``Conflict`` has the row as found; ``Unavailable`` means that the
-            put surely has no effect.
+            The outcome. ``Conflict`` contains the row as found; ``Unavailable``
+            means that the put certainly has no effect.
         """
         return submission.wait(submission.deadline - self._clock.monotonic())
 
@@ -144,96 +147,102 @@
         return self.wait(self.submit(put, deadline))
 
     def run(self) -> None:
-        """Commits what is submitted, for ever."""
+        """Commits submitted puts forever."""
         while True:
             self._send(self._collect())
 
     def _collect(self) -> list[Submission]:
-        """Waits for a put and takes along what else has arrived."""
-        waiting, self._next = self._next, collections.deque()
+        """Waits for a put and returns it with the others that have arrived."""
+        waiting, self._deferred = self._deferred, collections.deque()
         if not waiting:
             waiting.append(self._inbox.get())
         while not self._inbox.empty():
             waiting.append(self._inbox.get())
         batch: dict[str, Submission] = {}
-        text = 0
+        text_size = 0
         for submission in waiting:
             if submission.deadline <= self._clock.monotonic():
-                submission.tell(platform.Unavailable("waited too long"))
+                submission.set_outcome(
+                    platform.Unavailable("the write waited past its deadline")
+                )
                 continue
-            text += _text(submission.put)
-            full = len(batch) >= self._limits.rows or (
-                bool(batch) and text > self._limits.text
+            text_size += _text_size(submission.put)
+            is_full = len(batch) >= self._limits.max_rows or (
+                bool(batch) and text_size > self._limits.max_text
             )
-            # A transaction puts a row once, and the puts of one row keep
-            # their order: the second one waits for the next transaction.
-            if full or submission.put.key in batch:
-                self._next.append(submission)
+            # A transaction may put a row only once, and the puts of one row
+            # keep their order. The second one waits for the next transaction.
+            if is_full or submission.put.key in batch:
+                self._deferred.append(submission)
             else:
                 batch[submission.put.key] = submission
         return list(batch.values())
 
     def _send(self, batch: list[Submission]) -> None:
         while batch:
-            self._transactions += 1
+            self._transaction_count += 1
             outcome = commits.settle(
                 self._table,
                 platform.Transaction(
-                    ids.new_id(self._source),
+                    ids.new_id(self._rng),
                     tuple(submission.put for submission in batch),
                 ),
                 self._clock,
-                self._clock.monotonic() + self._limits.settle_s,
+                self._clock.monotonic() + self._limits.commit_timeout_s,
                 exclusive=True,
             )
             if isinstance(outcome, platform.Conflict):
-                self._silent = False
-                batch = _tell_conflicts(batch, outcome)
+                self._is_unresponsive = False
+                batch = _report_conflicts(batch, outcome)
                 continue
             if isinstance(outcome, platform.Committed):
-                self._rows += len(batch)
+                self._row_count += len(batch)
             for submission in batch:
-                submission.tell(outcome)
-            self._silent = isinstance(outcome, platform.OutcomeUnknown)
-            if self._silent:
+                submission.set_outcome(outcome)
+            self._is_unresponsive = isinstance(outcome, platform.OutcomeUnknown)
+            if self._is_unresponsive:
                 self._refuse_waiting()
             return
 
     def _refuse_waiting(self) -> None:
-        """Tells the puts that wait that they have no effect.
+        """Reports to the waiting puts that they have no effect.
 
-        The failure guarded against: the table takes calls and answers none.
-        Each transaction then takes its whole time limit, and what waits would
-        learn only near its deadline that it was never sent.
+        This guards against the following failure: the table accepts calls and
+        answers none. Each transaction then takes its full time limit, and a
+        waiting put would only learn near its deadline that it was never sent.
         """
-        waiting, self._next = self._next, collections.deque()
+        waiting, self._deferred = self._deferred, collections.deque()
         while not self._inbox.empty():
             waiting.append(self._inbox.get())
         for submission in waiting:
-            submission.tell(platform.Unavailable("the table does not answer"))
+            submission.set_outcome(
+                platform.Unavailable("the table does not answer")
+            )
 
 
-def _tell_conflicts(
+def _report_conflicts(
     batch: list[Submission], conflict: platform.Conflict
 ) -> list[Submission]:
-    """Tells those whose rows differ; returns the others.
+    """Sets the outcome of puts whose rows differ; returns the other puts.
 
     Raises:
         errors.InvariantError: the table names no row of the transaction.
     """
     found = {row.key: row for row in conflict.found}
-    rest = []
+    remaining = []
     for submission in batch:
         row = found.get(submission.put.key)
         if row is None:
-            rest.append(submission)
+            remaining.append(submission)
         else:
-            submission.tell(platform.Conflict((row,)))
-    if len(rest) == len(batch):
-        raise errors.InvariantError("a conflict names no row of its puts")
-    return rest
+            submission.set_outcome(platform.Conflict((row,)))
+    if len(remaining) == len(batch):
+        raise errors.InvariantError(
+            "the table reported a conflict without any row of the transaction"
+        )
+    return remaining
 
 
-def _text(put: platform.Put) -> int:
+def _text_size(put: platform.Put) -> int:
     values = (put.value or {}).values()
     return sum(len(value) for value in values if isinstance(value, str))
--- a/tests/common/claim_world.py
+++ b/tests/common/claim_world.py
@@ -19,7 +19,7 @@
 from vanillaswitch.protocol import requests
 
 RETENTION_S = 86_400.0
-CALM_S = 400.0
+CONTACT_S = 400.0
 WATCH_S = 4.0
 
 
@@ -55,19 +55,19 @@
 class _Entry:
     """One boot of an entry."""
 
-    def __init__(self, world: "World", name: str, boot: str):
+    def __init__(self, harness: "World", name: str, boot: str):
         self.name = name
         self.boot = boot
-        self.link = _Link(world.table)
+        self.link = _Link(harness.table)
         self.cut_from_peers = False
         self.parts = claims.make_parts(
             claim_rules.Holder(name, boot, f"peer-{name}"),
             self.link,
-            world.objects,
-            lambda peer, query, _: world.ask(self, peer, query),
-            lambda: world.members(self),
-            world.clock,
-            world.source,
+            harness.objects,
+            lambda peer, query, _: harness.ask(self, peer, query),
+            lambda: harness.members(self),
+            harness.clock,
+            harness.rng,
             lambda: RETENTION_S,
         )
         self.claims = claims.Claims(self.parts)
@@ -95,7 +95,7 @@
 
     def __init__(self, names=("a", "b", "c")):
         self.clock = clocks.ManualClock()
-        self.source = random.Random(5)
+        self.rng = random.Random(5)
         self.table = ForgetfulTable()
         self.objects = objects_module.MemoryObjects()
         self.runs: collections.Counter[tuple[str, str]] = collections.Counter()
@@ -104,10 +104,10 @@
         self._boots = 0
         for name in names:
             self.restart(name)
-        self.pass_calm(CALM_S)
+        self.advance_in_contact(CONTACT_S)
         self.issued_ms = int(self.clock.wall() * 1000)
 
-    def pass_calm(self, seconds: float) -> None:
+    def advance_in_contact(self, seconds: float) -> None:
         """Passes time in which all entries watch their peers."""
         for _ in range(int(seconds / WATCH_S)):
             self.clock.advance(WATCH_S)
--- a/tests/cover/test_claim_company.py
+++ b/tests/cover/test_claim_company.py
@@ -28,9 +28,9 @@
 
 @hypothesis.given(st.lists(_REPLIES, max_size=4))
 def test_not_run_needs_the_whole_word_of_each_entry(replies):
-    reply = claim_witness.judge(replies, ("a", "b"), NEEDED_S)
+    reply = claim_witness.combine_replies(replies, ("a", "b"), NEEDED_S)
     states = [one.state for one in replies if one]
-    if reply == claim_rules.UNAVAILABLE:
+    if reply == claim_rules.CLAIMS_UNAVAILABLE:
         assert len(states) == len(replies)
         assert set(states) <= {peers.ClaimState.RELEASED}
         assert all(one.unbroken_s >= NEEDED_S for one in replies)
@@ -46,11 +46,13 @@
     stranger = dataclasses.replace(word, entries=("a", "c"))
     young = dataclasses.replace(word, unbroken_s=9.9)
     unknown = peers.ClaimReply("q", peers.ClaimState.UNKNOWN, None, 10.0)
-    calm = claim_witness.judge([word, word], ("a", "b"), NEEDED_S)
-    assert calm == claim_rules.UNAVAILABLE
+    calm = claim_witness.combine_replies([word, word], ("a", "b"), NEEDED_S)
+    assert calm == claim_rules.CLAIMS_UNAVAILABLE
     for flaw in (stranger, young, unknown, None):
-        reply = claim_witness.judge([word, flaw], ("a", "b"), NEEDED_S)
-        assert reply == claim_rules.UNREADABLE
+        reply = claim_witness.combine_replies(
+            [word, flaw], ("a", "b"), NEEDED_S
+        )
+        assert reply == claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
 
 
 def member(name="a", address="1", standing="alive", **changes):
@@ -62,44 +64,52 @@
     return peer_membership.Member(last, standing, 0.0, 0.0)
 
 
-def since(*looks, wait_s=1.0):
+def unbroken_since(*looks, wait_s=1.0):
     """Returns since when nobody was missed, after looks at members."""
-    company = claim_company.Company(0.0)
+    contact = claim_company.EntryContact(0.0)
     now = 0.0
     for members in looks:
         now += wait_s
         members = {one.last.process: one for one in members}
-        company = claim_company.observe(company, members, now)
-    return company.since
+        contact = claim_company.observe(contact, members, now)
+    return contact.unbroken_since
 
 
 def test_a_calm_fleet_is_unbroken_since_the_start():
-    assert since([member()], [member(), member("b", "2")], [member()] * 2) == 3
-    assert since([member()], [member()], [member(), member("b", "2")]) == 0
+    assert (
+        unbroken_since([member()], [member(), member("b", "2")], [member()] * 2)
+        == 3
+    )
+    assert (
+        unbroken_since([member()], [member()], [member(), member("b", "2")])
+        == 0
+    )
 
 
 def test_an_entry_that_is_not_well_breaks_it():
     for standing in ("suspect", "gone"):
-        assert since([member()], [member(standing=standing)]) == 2
+        assert unbroken_since([member()], [member(standing=standing)]) == 2
     other = member("b", "2", "gone", role=peers.Role.CONTROLLER)
-    assert since([member()], [member(), other]) == 0
+    assert unbroken_since([member()], [member(), other]) == 0
     retired = (peer_membership.Retired("old", 1, 0.0),)
     replaced = dataclasses.replace(member(), retired=retired)
-    assert since([member()], [replaced]) == 2
+    assert unbroken_since([member()], [replaced]) == 2
 
 
 def test_an_entry_that_vanished_is_missed_until_its_address_is_used():
     """It may be cut off from its peers, and still run what callers send."""
-    assert since([member()], [], []) == 3
-    assert since([member()], [], [member("b", "2")]) == 3
-    assert since([member()], [], [member("b", "1")]) == 2
+    assert unbroken_since([member()], [], []) == 3
+    assert unbroken_since([member()], [], [member("b", "2")]) == 3
+    assert unbroken_since([member()], [], [member("b", "1")]) == 2
 
 
 def test_an_entry_that_said_farewell_is_not_missed():
     left = member(standing="gone", leaving=True)
-    assert since([member()], [left], [], []) == 2
+    assert unbroken_since([member()], [left], [], []) == 2
 
 
 def test_a_pause_of_our_own_breaks_it():
-    paused_s = claim_company.LONGEST_GAP_S + 1
-    assert since([member()], [member()], wait_s=paused_s) == 2 * paused_s
+    paused_s = claim_company.MAX_OBSERVATION_GAP_S + 1
+    assert (
+        unbroken_since([member()], [member()], wait_s=paused_s) == 2 * paused_s
+    )
--- a/tests/cover/test_claim_expiry.py
+++ b/tests/cover/test_claim_expiry.py
@@ -13,7 +13,7 @@
 from vanillaswitch.state import keys
 from vanillaswitch.state import rows
 
-KEPT_MS = (config.LONGEST_RETENTION_S + claim_expiry.MARGIN_S) * 1000
+KEPT_MS = (config.LONGEST_RETENTION_S + claim_expiry.CLOCK_MARGIN_S) * 1000
 NOW_MS = 2 * KEPT_MS
 
 
@@ -34,8 +34,10 @@
     table.commit(platform.Transaction("t", tuple(puts)))
     after = ""
     deleted = 0
-    for _ in range(1 + len(old) // claim_expiry.PAGE_ROWS):
-        page = claim_expiry.expire_page(table, random.Random(1), NOW_MS, after)
+    for _ in range(1 + len(old) // claim_expiry.ROWS_PER_PAGE):
+        page = claim_expiry.delete_expired_page(
+            table, random.Random(1), NOW_MS, after
+        )
         deleted += page.deleted
         after = page.next_after
     assert after == ""
--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -34,7 +34,7 @@
 
     def __init__(self):
         super().__init__()
-        self.world = claim_world.World(self.names)
+        self.harness = claim_world.World(self.names)
         self.open: list[claim_world.Attempt] = []
         self.answers: dict[str, requests.Answer] = {}
         self.sent: set[str] = set()
@@ -45,11 +45,11 @@
         try:
             self._heal_all()
             self._check_table()
-            for name in self.world.entries:
+            for name in self.harness.entries:
                 for caller in list(self.sent):
                     self._check_final(name, caller)
         finally:
-            self.world.close()
+            self.harness.close()
 
     def _check_final(self, name, caller):
         reply = self._check_reply(name, caller)
@@ -59,15 +59,15 @@
             assert reply.outcome is requests.Outcome.UNKNOWN
 
     def _living(self):
-        return {entry.boot for entry in self.world.entries.values()}
+        return {entry.boot for entry in self.harness.entries.values()}
 
     def _check_reply(self, name, caller):
-        request = self.world.request(caller=caller)
-        reply = self.world.begin(name, request)
+        request = self.harness.request(caller=caller)
+        reply = self.harness.begin(name, request)
         ran = caller in self.sent
         if isinstance(reply, claims.Proceed):
             assert not ran
-            entry = self.world.entries[name]
+            entry = self.harness.entries[name]
             self.open.append(claim_world.Attempt(entry, request, reply.ticket))
         elif isinstance(reply, claims.Replay):
             assert reply.answer == self.answers[caller]
@@ -75,7 +75,7 @@
             assert ran
         elif reply.outcome is requests.Outcome.NOT_RUN:
             # It speaks of the key: no attempt at any entry ran, or may yet.
-            assert reply == claim_rules.UNAVAILABLE
+            assert reply == claim_rules.CLAIMS_UNAVAILABLE
             assert not ran
             assert caller not in {a.request.caller for a in self.open}
         return reply
@@ -93,7 +93,7 @@
         if attempt.answer is None:
             if data.draw(st.booleans()):
                 self.sent.add(caller)
-                self.world.run(attempt)
+                self.harness.run(attempt)
                 return
             self.open.remove(attempt)
             attempt.entry.claims.release(attempt.ticket)
@@ -108,10 +108,10 @@
 
     @stateful.rule(name=NAMES)
     def kill(self, name):
-        old = self.world.entries[name]
-        self.world.restart(name)
+        old = self.harness.entries[name]
+        self.harness.restart(name)
         # What the dead boot had under way in the network stays under way.
-        self.world.entries[name].link.faults = old.link.faults
+        self.harness.entries[name].link.faults = old.link.faults
         self.open = [a for a in self.open if a.entry is not old]
 
     @stateful.rule(
@@ -121,11 +121,11 @@
     )
     def fail_the_table(self, name, fault, calls):
         """Commits have no effect, or one that is not answered or is late."""
-        setattr(self.world.entries[name].link.faults, fault, calls)
+        setattr(self.harness.entries[name].link.faults, fault, calls)
 
     @stateful.rule(name=NAMES, cut=st.booleans(), late=st.booleans())
     def write_in_background(self, name, cut, late):
-        entry = self.world.entries[name]
+        entry = self.harness.entries[name]
         entry.cut_from_peers = cut
         if late:
             entry.link.faults.release_delayed()
@@ -134,28 +134,28 @@
     @stateful.rule(seconds=st.sampled_from((1.0, 3600.0)))
     def pass_time(self, seconds):
         """Far past every deadline and lease, still within the retention."""
-        if self.world.clock.wall() * 1000 < self.world.issued_ms + 4e7:
-            self.world.clock.advance(seconds)
+        if self.harness.clock.wall() * 1000 < self.harness.issued_ms + 4e7:
+            self.harness.clock.advance(seconds)
 
     @stateful.rule()
-    def pass_calm(self):
+    def advance_in_contact(self):
         """Every process watches its peers, long enough to vouch again."""
-        self.world.pass_calm(claim_world.CALM_S)
+        self.harness.advance_in_contact(claim_world.CONTACT_S)
 
     def _heal_all(self):
-        for entry in self.world.entries.values():
+        for entry in self.harness.entries.values():
             faults = entry.link.faults
             faults.down = entry.cut_from_peers = False
             faults.lose_answers = faults.delay_effect = 0
             faults.release_delayed()
-        for entry in self.world.entries.values():
+        for entry in self.harness.entries.values():
             assert entry.parts.ledger.flush(10.0) == 0
 
     def _check_table(self):
         """No claim of a living boot stands without a request under way."""
         under_way = {(a.entry.boot, a.request.caller) for a in self.open}
         living = self._living()
-        for row in self.world.table.scan(keys.CLAIMS).rows:
+        for row in self.harness.table.scan(keys.CLAIMS).rows:
             claim = rows.load(rows.Claim, row.value)
             if claim.state is peers.ClaimState.CLAIMED and claim.boot in living:
                 assert (claim.boot, row.key.split("/")[1]) in under_way
@@ -178,73 +178,73 @@
 
 
 @pytest.fixture
-def world():
+def harness():
     made = claim_world.World()
     yield made
     made.close()
 
 
 @pytest.mark.parametrize("step", ["claimed", "sent", "finished", "written"])
-def test_a_killed_entry_leaves_the_truth(world, step):
+def test_a_killed_entry_leaves_the_truth(harness, step):
     """The desk's order vanishes with the entry that had it, and asks another.
 
     The entry is killed after it claimed, sent, had the answer, or wrote it.
     Nobody else can tell the first three apart, so the desk hears that the
     outcome is unknown; after the last it gets the first answer.
     """
-    attempt = world.attempt("a")
+    attempt = harness.attempt("a")
     if step != "claimed":
-        world.run(attempt)
+        harness.run(attempt)
     if step in ("finished", "written"):
         attempt.entry.claims.finish(attempt.ticket, attempt.answer)
     if step == "written":
         attempt.entry.write_all()
-    world.restart("a")
+    harness.restart("a")
     for name in ("a", "b"):
-        reply = world.begin(name)
+        reply = harness.begin(name)
         if step == "written":
             assert reply == claims.Replay(attempt.answer)
         else:
             assert reply.outcome is requests.Outcome.UNKNOWN
 
 
-def test_a_reused_address_does_not_free_the_claim_of_another(world):
+def test_a_reused_address_does_not_free_the_claim_of_another(harness):
     """A second veil would be cut by asking the wrong process.
 
     Entry a sends the order and is replaced by a new boot at its address. The
     new boot gave up a claim of its own under the key while the table was cut
     off. Its "released" is no word on the old boot's claim.
     """
-    attempt = world.attempt("a")
-    world.run(attempt)
-    reborn = world.restart("a")
+    attempt = harness.attempt("a")
+    harness.run(attempt)
+    reborn = harness.restart("a")
     reborn.link.faults.drop_calls = 10**6
     reborn.link.read = lambda _: platform.Unavailable("cut off")
-    assert world.begin("a") == claim_rules.UNREADABLE
-    assert world.begin("b").outcome is requests.Outcome.UNKNOWN
+    assert harness.begin("a") == claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
+    assert harness.begin("b").outcome is requests.Outcome.UNKNOWN
 
 
-def test_a_released_claim_runs_elsewhere_while_its_holder_is_cut_off(world):
+def test_a_released_claim_runs_elsewhere_while_its_holder_is_cut_off(harness):
     """A refused order can be placed elsewhere though the table missed that.
 
     Entry a claims, can't send, and loses the table before it can write its
     release; it says "not run". Asked by b, it says so again, b takes over,
     and a's write, when it comes, does not undo b's claim.
     """
-    first = world.attempt("a")
+    first = harness.attempt("a")
     first.entry.link.faults.down = True
     first.entry.claims.release(first.ticket)
-    second = world.attempt("b")
+    second = harness.attempt("b")
     first.entry.link.faults.down = False
     first.entry.write_all()
-    assert world.begin("a") == claim_rules.IN_PROGRESS
-    world.finish(second)
-    assert world.begin("a") == claims.Replay(second.answer)
+    assert harness.begin("a") == claim_rules.IN_PROGRESS
+    harness.finish(second)
+    assert harness.begin("a") == claims.Replay(second.answer)
 
 
 @pytest.mark.parametrize("reclaims", [False, True])
 @pytest.mark.parametrize("arrives_first", [False, True])
-def test_a_late_claim_does_not_stand(world, reclaims, arrives_first):
+def test_a_late_claim_does_not_stand(harness, reclaims, arrives_first):
     """An order refused as not run must not block its key until it expires.
 
     The write of the claim, new or over a released one, is answered by
@@ -252,61 +252,61 @@
     before that or after. Until it is written, the entry claims nothing more.
     The desk comes back elsewhere when it was told to.
     """
-    entry = world.entries["a"]
+    entry = harness.entries["a"]
     slow_down = functools.partial(
         setattr, entry.link.faults, "delay_effect", 99
     )
     if reclaims:
-        first = world.attempt("b")
+        first = harness.attempt("b")
         first.entry.link.faults.down = True
         first.entry.claims.release(first.ticket)
-        world.before_reply = slow_down
+        harness.before_reply = slow_down
     else:
         slow_down()
-    assert world.begin("a") == claim_rules.UNAVAILABLE
+    assert harness.begin("a") == claim_rules.CLAIMS_UNAVAILABLE
     entry.link.faults.delay_effect = 0
-    world.before_reply = lambda: None
-    assert world.begin("a") == claim_rules.UNAVAILABLE
+    harness.before_reply = lambda: None
+    assert harness.begin("a") == claim_rules.CLAIMS_UNAVAILABLE
     if arrives_first:
         entry.link.faults.release_delayed()
     assert entry.claims.flush(1.0) == 0
     entry.link.faults.release_delayed()
     entry.cut_from_peers = True
-    world.entries["b"].link.faults.down = False
-    world.entries["b"].write_all()
-    world.clock.advance(claim_rules.RETRY_AFTER_S)
-    world.attempt("b")
+    harness.entries["b"].link.faults.down = False
+    harness.entries["b"].write_all()
+    harness.clock.advance(claim_rules.RETRY_AFTER_S)
+    harness.attempt("b")
 
 
-def test_the_same_key_of_another_caller_is_independent(world):
+def test_the_same_key_of_another_caller_is_independent(harness):
     """Two shops that number their orders alike do not meet."""
     for caller in ("tacoma", "olympia"):
-        attempt = world.attempt("a", world.request(caller=caller))
-        world.finish(attempt)
-        reply = world.begin("b", world.request(caller=caller))
+        attempt = harness.attempt("a", harness.request(caller=caller))
+        harness.finish(attempt)
+        reply = harness.begin("b", harness.request(caller=caller))
         assert reply == claims.Replay(attempt.answer)
 
 
-def test_a_key_used_for_another_request_is_refused(world):
+def test_a_key_used_for_another_request_is_refused(harness):
     """A till that repeats a key for a second order hears so, and no more."""
-    world.attempt("a")
-    other = world.request(body=b"two veils")
-    assert world.begin("a", other) == claim_rules.KEY_REUSED
-    assert world.begin("b", other) == claim_rules.KEY_REUSED
+    harness.attempt("a")
+    other = harness.request(body=b"two veils")
+    assert harness.begin("a", other) == claim_rules.KEY_REUSED
+    assert harness.begin("b", other) == claim_rules.KEY_REUSED
 
 
-def test_a_request_past_the_retention_is_refused_and_its_claim_expires(world):
+def test_a_request_past_the_retention_is_refused_and_its_claim_expires(harness):
     """A till replays last week's orders after its claims were deleted.
 
     The row is gone, so nothing shows that the order ran; its time of issue
     does, and the request is refused rather than run again.
     """
-    attempt = world.attempt("a")
-    world.finish(attempt)
+    attempt = harness.attempt("a")
+    harness.finish(attempt)
     attempt.entry.write_all()
     for seconds, left in ((claim_world.RETENTION_S + 1, 1), (3600, 0)):
-        world.clock.advance(seconds)
-        now_ms = int(world.clock.wall() * 1000)
-        claim_expiry.expire_page(world.table, world.source, now_ms)
-        assert len(world.table.scan(keys.CLAIMS).rows) == left
-        assert world.begin("b") == claim_rules.TOO_OLD
+        harness.clock.advance(seconds)
+        now_ms = int(harness.clock.wall() * 1000)
+        claim_expiry.delete_expired_page(harness.table, harness.rng, now_ms)
+        assert len(harness.table.scan(keys.CLAIMS).rows) == left
+        assert harness.begin("b") == claim_rules.TOO_OLD
--- a/tests/failures/test_frozen_holder.py
+++ b/tests/failures/test_frozen_holder.py
@@ -9,28 +9,32 @@
 
 
 @pytest.fixture
-def world():
+def harness():
     made = claim_world.World(("a", "b"))
     yield made
     made.close()
 
 
-def test_asking_a_frozen_holder_costs_a_bounded_time(world):
+def test_asking_a_frozen_holder_costs_a_bounded_time(harness):
     """A clerk with a minute to spare waits it out for "unknown".
 
     Entry a is frozen with her charge: connections to it open and nothing
     comes back. Entry b waits for its word a few times at most.
     """
-    world.attempt("a")
+    harness.attempt("a")
     waits = []
 
     def no_reply(_peer, _query, timeout_s):
         waits.append(timeout_s)
-        world.clock.advance(timeout_s)
+        harness.clock.advance(timeout_s)
 
-    world.entries["b"].parts.lookup._ask = no_reply
-    assert world.begin("b", world.request()) == claim_rules.HOLDER_SILENT
-    assert 0 < sum(waits) <= claim_lookup.ROUNDS * claim_lookup.ASK_S
+    harness.entries["b"].parts.lookup._query_claim = no_reply
+    assert (
+        harness.begin("b", harness.request()) == claim_rules.HOLDER_UNREACHABLE
+    )
+    assert (
+        0 < sum(waits) <= claim_lookup.MAX_READS * claim_lookup.QUERY_TIMEOUT_S
+    )
 
 
 def test_a_successor_of_the_same_name_asks_the_one_before_it():
@@ -42,10 +46,10 @@
     """
     before = claim_rules.Holder("a", "boot-1", "10.0.0.1:7000")
     claimed = peers.ClaimState.CLAIMED
-    row = claim_rules.claim_row(before, claimed, "digest", 0)
+    row = claim_rules.make_claim_row(before, claimed, "digest", 0)
     successor = claim_rules.Holder("a", "boot-2", "10.0.0.2:7000")
-    found = claim_rules.judge(row, successor, "digest")
-    assert found == claim_rules.AskHolder()
+    found = claim_rules.classify_claim(row, successor, "digest")
+    assert found == claim_rules.HeldElsewhere()
     restarted = claim_rules.Holder("a", "boot-2", "10.0.0.1:7000")
-    found = claim_rules.judge(row, restarted, "digest")
-    assert found == claim_rules.UNKNOWN
+    found = claim_rules.classify_claim(row, restarted, "digest")
+    assert found == claim_rules.OUTCOME_UNKNOWN
--- a/tests/failures/test_ledger_memory.py
+++ b/tests/failures/test_ledger_memory.py
@@ -15,19 +15,19 @@
     unknown, weighed nothing in the count of what is kept to be replayed, so
     each of them was kept for good.
     """
-    world = claim_world.World(("a",))
-    ledger = world.entries["a"].parts.ledger
-    ledger._limits = claim_ledger.Limits(recent_bytes=4096)
+    harness = claim_world.World(("a",))
+    ledger = harness.entries["a"].parts.ledger
+    ledger._limits = claim_ledger.Limits(max_recent_bytes=4096)
     for number in range(64):
-        attempt = world.attempt("a", world.request(f"k{number}"))
+        attempt = harness.attempt("a", harness.request(f"k{number}"))
         if number % 2:
             attempt.entry.claims.lost(attempt.ticket)
         else:
             attempt.entry.claims.finish(attempt.ticket, answer(body))
         attempt.entry.write_all()
-    world.close()
-    assert ledger.unwritten == 0
-    assert ledger.known <= 16
+    harness.close()
+    assert ledger.unwritten_count == 0
+    assert ledger.known_count <= 16
 
 
 def answer(body):
--- a/tests/failures/test_retention_raised.py
+++ b/tests/failures/test_retention_raised.py
@@ -30,9 +30,9 @@
     now_ms = 10 * _LONGEST_S * 1000
     issued_ms = now_ms - age_s * 1000
     done = peers.ClaimState.DONE
-    claim = claim_rules.claim_row(_HOLDER, done, "digest", issued_ms)
+    claim = claim_rules.make_claim_row(_HOLDER, done, "digest", issued_ms)
     row = platform.Row("once/c/s/k", 1, rows.dump(claim), "token")
-    deleted = claim_expiry.expired((row,), now_ms)
+    deleted = claim_expiry.expiry_deletes((row,), now_ms)
     if deleted:
         asked_ms = now_ms + later_s * 1000
         assert claim_expiry.too_old(issued_ms, asked_ms, retention_s)
