--- a/src/vanillaswitch/coordination/once/claim_ledger.py
+++ b/src/vanillaswitch/coordination/once/claim_ledger.py
@@ -249,7 +249,7 @@
             self._mark_written(row_key)
             return
         claim = rows.load(rows.Claim, found.value)
-        is_own = claim.boot == self._holder.boot
+        is_own = claim.boot == self._holder.boot_id
         if is_own and claim.state is peers.ClaimState.CLAIMED:
             self._open[row_key] = dataclasses.replace(
                 self._open[row_key], version=found.version
--- a/src/vanillaswitch/coordination/once/claim_rules.py
+++ b/src/vanillaswitch/coordination/once/claim_rules.py
@@ -80,14 +80,14 @@
     """A process that claims requests.
 
     Attributes:
-        entry: name of the process.
-        boot: random id of this start of the process.
-        peer: "ip:port" of its peer port.
+        process: name of the process.
+        boot_id: random id of this start of the process.
+        peer_address: "ip:port" of its peer port.
     """
 
-    entry: str
-    boot: str
-    peer: str
+    process: str
+    boot_id: str
+    peer_address: str
 
 
 @dataclasses.dataclass(frozen=True)
@@ -143,14 +143,18 @@
         return Unclaimed()
     if claim.state is peers.ClaimState.UNKNOWN:
         return OUTCOME_UNKNOWN
-    if claim.boot == requester.boot:
+    if claim.boot == requester.boot_id:
         return OwnClaim()
     # This guards against the following failure: a process was restarted, or
     # replaced at its address, while it held the claim. It may have sent the
     # request, and it is gone, because only one process can listen at an
     # address. A process with our name at another address may still be shutting
     # down and knows the outcome.
-    return OUTCOME_UNKNOWN if claim.peer == requester.peer else HeldElsewhere()
+    return (
+        OUTCOME_UNKNOWN
+        if claim.peer == requester.peer_address
+        else HeldElsewhere()
+    )
 
 
 def make_claim_row(
@@ -164,9 +168,9 @@
     """Returns the row of a claim; omits a body that is stored as an object."""
     claim = rows.Claim(
         state=state,
-        entry=holder.entry,
-        boot=holder.boot,
-        peer=holder.peer,
+        entry=holder.process,
+        boot=holder.boot_id,
+        peer=holder.peer_address,
         digest=request_digest,
         issued_ms=issued_ms,
     )
--- a/src/vanillaswitch/coordination/once/claim_witness.py
+++ b/src/vanillaswitch/coordination/once/claim_witness.py
@@ -48,7 +48,7 @@
 MAX_CONCURRENT_CHECKS = 32
 
 Members = Callable[[], Mapping[str, peer_membership.Member]]
-CheckResult = claims.Replay | requests.Refusal
+PeerCheckResult = claims.Replay | requests.Refusal
 
 
 class ClaimHistory:
@@ -68,7 +68,7 @@
             holder: this process.
             members: returns the current members as this process sees them.
             query_claim: sends a query to a peer; see
-            ``claim_lookup.ClaimLookup``.
+                ``claim_lookup.ClaimLookup``.
             clock: measures the history's length and the age of requests.
             rng: random source for query ids.
         """
@@ -141,7 +141,7 @@
 
     def check_with_peers(
         self, row_key: str, request_digest: str, issued_ms: int, deadline: float
-    ) -> CheckResult:
+    ) -> PeerCheckResult:
         """Returns what is known of a key without the table.
 
         Blocks for at most ``QUERY_TIMEOUT_S``, and not at all if the replies of
@@ -177,7 +177,7 @@
         request_digest: str,
         needed_s: float,
         deadline: float,
-    ) -> CheckResult:
+    ) -> PeerCheckResult:
         started_at = self._clock.monotonic()
         timeout_s = min(QUERY_TIMEOUT_S, deadline - started_at)
         if timeout_s <= 0:
@@ -186,7 +186,7 @@
         replies = self._query_entries(
             queried, row_key, request_digest, timeout_s
         )
-        boots = {self._holder.boot, *(entry.boot for entry in queried)}
+        boots = {self._holder.boot_id, *(entry.boot for entry in queried)}
         result = combine_replies(replies, boots, needed_s)
         # After a pause, the other entries may no longer keep the key free for
         # us.
@@ -242,7 +242,7 @@
     replies: Iterable[peers.ClaimReply | None],
     boots: Iterable[str],
     needed_s: float,
-) -> CheckResult:
+) -> PeerCheckResult:
     """Combines the replies of all other entries.
 
     Args:
@@ -255,18 +255,18 @@
         never held the claim, forgot nothing and kept contact since before the
         request was issued, and know of no live entry that was not queried.
     """
-    replies = list(replies)
+    received = list(replies)
     known_boots = set(boots)
-    for reply in replies:
+    for reply in received:
         if reply is None:
             continue
         if reply.state is peers.ClaimState.DONE:
             if reply.answer is None:
                 return claim_rules.ANSWER_UNAVAILABLE
             return claims.Replay(reply.answer)
-    if any(r and r.state is peers.ClaimState.CLAIMED for r in replies):
+    if any(r and r.state is peers.ClaimState.CLAIMED for r in received):
         return claim_rules.IN_PROGRESS
-    if all(_denies_claim(reply, known_boots, needed_s) for reply in replies):
+    if all(_denies_claim(reply, known_boots, needed_s) for reply in received):
         return claim_rules.CLAIMS_UNAVAILABLE
     return claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
 
--- a/src/vanillaswitch/coordination/once/claims.py
+++ b/src/vanillaswitch/coordination/once/claims.py
@@ -192,7 +192,7 @@
             return self._witness.reply_without_record(query)
         if (
             record is None
-            or query.boot not in ("", self._holder.boot)
+            or query.boot not in ("", self._holder.boot_id)
             or query.digest != record.digest
         ):
             return peers.ClaimReply(query.query, peers.ClaimState.UNKNOWN)
--- a/tests/common/claim_world.py
+++ b/tests/common/claim_world.py
@@ -1,4 +1,4 @@
-"""Entries over one table, and a minion that counts what it runs."""
+"""Entries that share one table, and a minion that counts its runs."""
 
 import collections
 import dataclasses
@@ -20,14 +20,14 @@
 
 RETENTION_S = 86_400.0
 CONTACT_S = 400.0
-WATCH_S = 4.0
+WATCH_INTERVAL_S = 4.0
 
 
 class ForgetfulTable(table_module.MemoryTable):
-    """Takes each copy of a transaction for a new one.
+    """A table that treats each copy of a transaction as a new one.
 
-    The interface does not promise that a table knows a token again, so what
-    holds only with such a table is not proved.
+    The interface does not guarantee that a table recognises a token again, so
+    tests must not depend on it.
     """
 
     def _apply(self, transaction):
@@ -36,7 +36,7 @@
 
 
 class _Link:
-    """One entry's way to the shared table, with faults of its own."""
+    """One entry's connection to the shared table, with its own faults."""
 
     def __init__(self, table: platform.Table):
         self.faults = faults_module.Faults()
@@ -64,7 +64,7 @@
             claim_rules.Holder(name, boot, f"peer-{name}"),
             self.link,
             harness.objects,
-            lambda peer, query, _: harness.ask(self, peer, query),
+            lambda peer, query, _: harness.query_claim(self, peer, query),
             lambda: harness.members(self),
             harness.clock,
             harness.rng,
@@ -82,7 +82,7 @@
 
 @dataclasses.dataclass
 class Attempt:
-    """A claimed request on its way through an entry."""
+    """A claimed request that an entry is processing."""
 
     entry: _Entry
     request: requests.Request
@@ -91,7 +91,7 @@
 
 
 class World:
-    """All that the tests of claims share."""
+    """The entries, table, object store and clock shared by claim tests."""
 
     def __init__(self, names=("a", "b", "c")):
         self.clock = clocks.ManualClock()
@@ -108,24 +108,24 @@
         self.issued_ms = int(self.clock.wall() * 1000)
 
     def advance_in_contact(self, seconds: float) -> None:
-        """Passes time in which all entries watch their peers."""
-        for _ in range(int(seconds / WATCH_S)):
-            self.clock.advance(WATCH_S)
+        """Advances the clock while all entries observe their peers."""
+        for _ in range(int(seconds / WATCH_INTERVAL_S)):
+            self.clock.advance(WATCH_INTERVAL_S)
             for entry in self.entries.values():
                 entry.parts.witness.watch()
 
-    def members(self, asker: _Entry) -> dict[str, peer_membership.Member]:
-        """Returns the other entries, as one sees them that hears them all."""
+    def members(self, observer: _Entry) -> dict[str, peer_membership.Member]:
+        """Returns the other entries as members that are all alive."""
         now = self.clock.monotonic()
         alive = peer_membership.Standing.ALIVE
         return {
             name: peer_membership.Member(_heartbeat(entry), alive, now, now)
             for name, entry in self.entries.items()
-            if entry is not asker
+            if entry is not observer
         }
 
     def restart(self, name: str) -> _Entry:
-        """Kills the entry, if there is one; a new boot takes its place."""
+        """Replaces an entry by a new boot, and kills the old one if any."""
         if name in self.entries:
             self.entries[name].kill()
         self._boots += 1
@@ -138,7 +138,7 @@
             entry.kill()
 
     def request(self, key="k", caller="tacoma", body=b"one veil"):
-        """Makes an order that has a second to be answered."""
+        """Returns a request with a deadline in one second."""
         return requests.Request(
             request_id="r",
             caller=caller,
@@ -154,7 +154,7 @@
         )
 
     def run(self, attempt: Attempt, body: bytes = b"done") -> requests.Answer:
-        """The minion runs the request; it counts, and must see it once."""
+        """Runs the request at the minion; fails if it runs a second time."""
         name = (attempt.request.caller, attempt.request.key)
         self.runs[name] += 1
         assert self.runs[name] == 1, f"{name} ran twice"
@@ -164,27 +164,27 @@
         return attempt.answer
 
     def finish(self, attempt: Attempt, body: bytes = b"done"):
-        """The minion runs the request, and the whole answer comes back."""
+        """Runs the request at the minion and completes its claim."""
         answer = self.run(attempt, body)
         attempt.entry.claims.finish(attempt.ticket, answer)
         return answer
 
     def begin(self, name: str, request=None):
-        """Asks an entry to begin a request."""
+        """Begins a request at an entry and returns the result."""
         return self.entries[name].claims.begin(request or self.request())
 
     def attempt(self, name: str, request=None) -> Attempt:
-        """Begins a request that must get the claim."""
+        """Begins a request, which must get the claim."""
         request = request or self.request()
         begun = self.begin(name, request)
         assert isinstance(begun, claims_protocol.Proceed), begun
         return Attempt(self.entries[name], request, begun.ticket)
 
-    def ask(self, asker: _Entry, peer: str, query: peers.ClaimQuery):
-        """Carries a query to the living process at an address."""
+    def query_claim(self, sender: _Entry, peer: str, query: peers.ClaimQuery):
+        """Passes a query to the live entry at an address."""
         self.before_reply()
         holder = self.entries.get(peer.removeprefix("peer-"))
-        if holder is None or holder.cut_from_peers or asker.cut_from_peers:
+        if holder is None or holder.cut_from_peers or sender.cut_from_peers:
             return None
         return holder.claims.answer_query(query)
 
--- a/tests/cover/test_claim_company.py
+++ b/tests/cover/test_claim_company.py
@@ -1,4 +1,4 @@
-"""For how long an entry has missed no other one, and what their words mean."""
+"""Contact with the other entries, and how their replies are combined."""
 
 import dataclasses
 
@@ -27,7 +27,7 @@
 
 
 @hypothesis.given(st.lists(_REPLIES, max_size=4))
-def test_not_run_needs_the_whole_word_of_each_entry(replies):
+def test_not_run_needs_a_denial_from_each_entry(replies):
     reply = claim_witness.combine_replies(replies, ("a", "b"), NEEDED_S)
     states = [one.state for one in replies if one]
     if reply == claim_rules.CLAIMS_UNAVAILABLE:
@@ -41,16 +41,20 @@
         assert peers.ClaimState.DONE in states
 
 
-def test_the_words_of_a_calm_fleet_are_evidence_and_any_flaw_spoils_them():
-    word = peers.ClaimReply("q", peers.ClaimState.RELEASED, None, 10.0, ("a",))
-    stranger = dataclasses.replace(word, entries=("a", "c"))
-    young = dataclasses.replace(word, unbroken_s=9.9)
+def test_denials_prove_not_run_unless_one_is_flawed():
+    denial = peers.ClaimReply(
+        "q", peers.ClaimState.RELEASED, None, 10.0, ("a",)
+    )
+    unqueried_entry = dataclasses.replace(denial, entries=("a", "c"))
+    too_short = dataclasses.replace(denial, unbroken_s=9.9)
     unknown = peers.ClaimReply("q", peers.ClaimState.UNKNOWN, None, 10.0)
-    calm = claim_witness.combine_replies([word, word], ("a", "b"), NEEDED_S)
-    assert calm == claim_rules.CLAIMS_UNAVAILABLE
-    for flaw in (stranger, young, unknown, None):
+    result = claim_witness.combine_replies(
+        [denial, denial], ("a", "b"), NEEDED_S
+    )
+    assert result == claim_rules.CLAIMS_UNAVAILABLE
+    for flawed in (unqueried_entry, too_short, unknown, None):
         reply = claim_witness.combine_replies(
-            [word, flaw], ("a", "b"), NEEDED_S
+            [denial, flawed], ("a", "b"), NEEDED_S
         )
         assert reply == claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
 
@@ -64,18 +68,18 @@
     return peer_membership.Member(last, standing, 0.0, 0.0)
 
 
-def unbroken_since(*looks, wait_s=1.0):
-    """Returns since when nobody was missed, after looks at members."""
+def unbroken_since(*observations, wait_s=1.0):
+    """Returns the start of the unbroken contact after some observations."""
     contact = claim_company.EntryContact(0.0)
     now = 0.0
-    for members in looks:
+    for members in observations:
         now += wait_s
         members = {one.last.process: one for one in members}
         contact = claim_company.observe(contact, members, now)
     return contact.unbroken_since
 
 
-def test_a_calm_fleet_is_unbroken_since_the_start():
+def test_contact_with_a_healthy_fleet_is_unbroken():
     assert (
         unbroken_since([member()], [member(), member("b", "2")], [member()] * 2)
         == 3
@@ -86,7 +90,7 @@
     )
 
 
-def test_an_entry_that_is_not_well_breaks_it():
+def test_an_unhealthy_entry_interrupts_the_contact():
     for standing in ("suspect", "gone"):
         assert unbroken_since([member()], [member(standing=standing)]) == 2
     other = member("b", "2", "gone", role=peers.Role.CONTROLLER)
@@ -96,19 +100,19 @@
     assert unbroken_since([member()], [replaced]) == 2
 
 
-def test_an_entry_that_vanished_is_missed_until_its_address_is_used():
-    """It may be cut off from its peers, and still run what callers send."""
+def test_a_vanished_entry_is_missing_until_its_address_is_reused():
+    """It may only be cut off from its peers and still serve callers."""
     assert unbroken_since([member()], [], []) == 3
     assert unbroken_since([member()], [], [member("b", "2")]) == 3
     assert unbroken_since([member()], [], [member("b", "1")]) == 2
 
 
-def test_an_entry_that_said_farewell_is_not_missed():
+def test_an_entry_that_announced_leaving_is_not_missing():
     left = member(standing="gone", leaving=True)
     assert unbroken_since([member()], [left], [], []) == 2
 
 
-def test_a_pause_of_our_own_breaks_it():
+def test_a_pause_of_this_process_interrupts_the_contact():
     paused_s = claim_company.MAX_OBSERVATION_GAP_S + 1
     assert (
         unbroken_since([member()], [member()], wait_s=paused_s) == 2 * paused_s
--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A charge runs at most once, whichever entry is asked and whatever fails."""
+"""A request runs at most once, whichever entry gets it and whatever fails."""
 
 import functools
 
@@ -22,12 +22,12 @@
 
 
 class _AtMostOnce(stateful.RuleBasedStateMachine):
-    """An order is asked for again and again while all around it fails.
+    """Retries one request per caller at all entries while faults are injected.
 
-    A bride's veil is ordered under one key. The desk asks whichever entry
-    answers; entries are killed or paused at each step, cut off from the table
-    or from each other, answers are lost and writes take effect late. She must
-    never pay for two veils, nor hear "not run" of one that is being cut.
+    Each caller sends its request under one key to any entry, again and again.
+    Entries are killed or paused at each step or cut off from the table or from
+    each other, answers are lost and commits take effect late. The request must
+    never run twice, and "not run" must never be reported for one that runs.
     """
 
     names = ("a", "b")
@@ -35,70 +35,73 @@
     def __init__(self):
         super().__init__()
         self.harness = claim_world.World(self.names)
-        self.open: list[claim_world.Attempt] = []
+        self.open_attempts: list[claim_world.Attempt] = []
         self.answers: dict[str, requests.Answer] = {}
         self.sent: set[str] = set()
         self.finished: dict[str, str] = {}
 
     def teardown(self):
-        """Heals everything; then only the truth may be told."""
+        """Removes all faults and checks the final result of each request."""
         try:
             self._heal_all()
-            self._check_table()
+            self._check_no_orphaned_claims()
             for name in self.harness.entries:
                 for caller in list(self.sent):
-                    self._check_final(name, caller)
+                    self._check_final_result(name, caller)
         finally:
             self.harness.close()
 
-    def _check_final(self, name, caller):
-        reply = self._check_reply(name, caller)
-        if self.finished.get(caller) in self._living():
+    def _check_final_result(self, name, caller):
+        reply = self._check_result(name, caller)
+        if self.finished.get(caller) in self._live_boots():
             assert isinstance(reply, claims.Replay)
         elif not isinstance(reply, claims.Replay):
             assert reply.outcome is requests.Outcome.UNKNOWN
 
-    def _living(self):
+    def _live_boots(self):
         return {entry.boot for entry in self.harness.entries.values()}
 
-    def _check_reply(self, name, caller):
+    def _check_result(self, name, caller):
         request = self.harness.request(caller=caller)
         reply = self.harness.begin(name, request)
         ran = caller in self.sent
         if isinstance(reply, claims.Proceed):
             assert not ran
             entry = self.harness.entries[name]
-            self.open.append(claim_world.Attempt(entry, request, reply.ticket))
+            self.open_attempts.append(
+                claim_world.Attempt(entry, request, reply.ticket)
+            )
         elif isinstance(reply, claims.Replay):
             assert reply.answer == self.answers[caller]
         elif reply.outcome is requests.Outcome.RAN:
             assert ran
         elif reply.outcome is requests.Outcome.NOT_RUN:
-            # It speaks of the key: no attempt at any entry ran, or may yet.
+            # This refers to the key: no attempt at any entry ran or may still
+            # run.
             assert reply == claim_rules.CLAIMS_UNAVAILABLE
             assert not ran
-            assert caller not in {a.request.caller for a in self.open}
+            assert caller not in {a.request.caller for a in self.open_attempts}
         return reply
 
     @stateful.rule(name=NAMES, caller=CALLERS)
-    def ask(self, name, caller):
-        self._check_reply(name, caller)
+    def send_request(self, name, caller):
+        self._check_result(name, caller)
 
     @stateful.rule(data=st.data())
-    @stateful.precondition(lambda self: self.open)
-    def go_on(self, data):
-        """A holder, paused until now, takes its next step."""
-        attempt = data.draw(st.sampled_from(self.open))
+    @stateful.precondition(lambda self: self.open_attempts)
+    def continue_attempt(self, data):
+        """A holder that was paused until now takes its next step."""
+        attempt = data.draw(st.sampled_from(self.open_attempts))
         caller = attempt.request.caller
         if attempt.answer is None:
             if data.draw(st.booleans()):
                 self.sent.add(caller)
                 self.harness.run(attempt)
                 return
-            self.open.remove(attempt)
+            self.open_attempts.remove(attempt)
             attempt.entry.claims.release(attempt.ticket)
             return
-        self.open.remove(attempt)
+        self.open_attempts.remove(attempt)
         if data.draw(st.booleans()):
             self.answers[caller] = attempt.answer
             self.finished[caller] = attempt.entry.boot
@@ -110,17 +113,19 @@
     def kill(self, name):
         old = self.harness.entries[name]
         self.harness.restart(name)
-        # What the dead boot had under way in the network stays under way.
+        # Calls that the killed boot has already sent may still take effect.
         self.harness.entries[name].link.faults = old.link.faults
-        self.open = [a for a in self.open if a.entry is not old]
+        self.open_attempts = [
+            a for a in self.open_attempts if a.entry is not old
+        ]
 
     @stateful.rule(
         name=NAMES,
         fault=st.sampled_from(("down", "lose_answers", "delay_effect")),
         calls=st.sampled_from((0, 1, 99)),
     )
-    def fail_the_table(self, name, fault, calls):
-        """Commits have no effect, or one that is not answered or is late."""
+    def inject_table_fault(self, name, fault, calls):
+        """Commits have no effect, lose their answers or take effect late."""
         setattr(self.harness.entries[name].link.faults, fault, calls)
 
     @stateful.rule(name=NAMES, cut=st.booleans(), late=st.booleans())
@@ -133,13 +138,13 @@
 
     @stateful.rule(seconds=st.sampled_from((1.0, 3600.0)))
     def pass_time(self, seconds):
-        """Far past every deadline and lease, still within the retention."""
+        """Time passes all deadlines and leases, but not the retention."""
         if self.harness.clock.wall() * 1000 < self.harness.issued_ms + 4e7:
             self.harness.clock.advance(seconds)
 
     @stateful.rule()
     def advance_in_contact(self):
-        """Every process watches its peers, long enough to vouch again."""
+        """Entries keep contact for long enough to report "not run" again."""
         self.harness.advance_in_contact(claim_world.CONTACT_S)
 
     def _heal_all(self):
@@ -151,14 +156,19 @@
         for entry in self.harness.entries.values():
             assert entry.parts.ledger.flush(10.0) == 0
 
-    def _check_table(self):
-        """No claim of a living boot stands without a request under way."""
-        under_way = {(a.entry.boot, a.request.caller) for a in self.open}
-        living = self._living()
+    def _check_no_orphaned_claims(self):
+        """Each open claim of a live boot belongs to a request in progress."""
+        in_progress = {
+            (a.entry.boot, a.request.caller) for a in self.open_attempts
+        }
+        live_boots = self._live_boots()
         for row in self.harness.table.scan(keys.CLAIMS).rows:
             claim = rows.load(rows.Claim, row.value)
-            if claim.state is peers.ClaimState.CLAIMED and claim.boot in living:
-                assert (claim.boot, row.key.split("/")[1]) in under_way
+            if (
+                claim.state is peers.ClaimState.CLAIMED
+                and claim.boot in live_boots
+            ):
+                assert (claim.boot, row.key.split("/")[1]) in in_progress
 
 
 TestAtMostOnce = _AtMostOnce.TestCase
@@ -167,14 +177,14 @@
 )
 
 
-class _AtThreeEntries(_AtMostOnce):
-    """The same with three: faults meet less often, and more can disagree."""
+class _AtMostOnceWithThreeEntries(_AtMostOnce):
+    """Three entries: faults coincide less often, more entries can disagree."""
 
     names = ("a", "b", "c")
 
 
-TestAtThreeEntries = _AtThreeEntries.TestCase
-TestAtThreeEntries.settings = TestAtMostOnce.settings
+TestAtMostOnceWithThreeEntries = _AtMostOnceWithThreeEntries.TestCase
+TestAtMostOnceWithThreeEntries.settings = TestAtMostOnce.settings
 
 
 @pytest.fixture
@@ -184,52 +194,53 @@
     made.close()
 
 
-@pytest.mark.parametrize("step", ["claimed", "sent", "finished", "written"])
-def test_a_killed_entry_leaves_the_truth(harness, step):
-    """The desk's order vanishes with the entry that had it, and asks another.
+@pytest.mark.parametrize(
+    "killed_after", ["claimed", "sent", "finished", "written"]
+)
+def test_outcome_after_an_entry_is_killed(harness, killed_after):
+    """An entry is killed after it claimed, sent, got the answer or wrote it.
 
-    The entry is killed after it claimed, sent, had the answer, or wrote it.
-    Nobody else can tell the first three apart, so the desk hears that the
-    outcome is unknown; after the last it gets the first answer.
+    The other entries can't distinguish the first three cases, so they report an
+    unknown outcome. Once the answer is written, a retry gets it.
     """
     attempt = harness.attempt("a")
-    if step != "claimed":
+    if killed_after != "claimed":
         harness.run(attempt)
-    if step in ("finished", "written"):
+    if killed_after in ("finished", "written"):
         attempt.entry.claims.finish(attempt.ticket, attempt.answer)
-    if step == "written":
+    if killed_after == "written":
         attempt.entry.write_all()
     harness.restart("a")
     for name in ("a", "b"):
         reply = harness.begin(name)
-        if step == "written":
+        if killed_after == "written":
             assert reply == claims.Replay(attempt.answer)
         else:
             assert reply.outcome is requests.Outcome.UNKNOWN
 
 
-def test_a_reused_address_does_not_free_the_claim_of_another(harness):
-    """A second veil would be cut by asking the wrong process.
+def test_a_reused_address_does_not_release_the_previous_claim(harness):
+    """Guards against a second run caused by a reply of the wrong process.
 
-    Entry a sends the order and is replaced by a new boot at its address. The
-    new boot gave up a claim of its own under the key while the table was cut
-    off. Its "released" is no word on the old boot's claim.
+    Entry a sends the request and is replaced by a new boot at its address. The
+    new boot releases a claim of its own under the same key while it is cut off
+    from the table. Its RELEASED does not refer to the old boot's claim.
     """
     attempt = harness.attempt("a")
     harness.run(attempt)
-    reborn = harness.restart("a")
-    reborn.link.faults.drop_calls = 10**6
-    reborn.link.read = lambda _: platform.Unavailable("cut off")
+    new_boot = harness.restart("a")
+    new_boot.link.faults.drop_calls = 10**6
+    new_boot.link.read = lambda _: platform.Unavailable("cut off")
     assert harness.begin("a") == claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
     assert harness.begin("b").outcome is requests.Outcome.UNKNOWN
 
 
 def test_a_released_claim_runs_elsewhere_while_its_holder_is_cut_off(harness):
-    """A refused order can be placed elsewhere though the table missed that.
+    """A refused request can run elsewhere although its release is not written.
 
-    Entry a claims, can't send, and loses the table before it can write its
-    release; it says "not run". Asked by b, it says so again, b takes over,
-    and a's write, when it comes, does not undo b's claim.
+    Entry a claims, can't send the request, and loses the table before it can
+    write the release. It reports "not run". It replies the same to a query of
+    b, which takes the claim over. The late write of a must not undo b's claim.
     """
     first = harness.attempt("a")
     first.entry.link.faults.down = True
@@ -244,25 +255,27 @@
 
 @pytest.mark.parametrize("reclaims", [False, True])
 @pytest.mark.parametrize("arrives_first", [False, True])
-def test_a_late_claim_does_not_stand(harness, reclaims, arrives_first):
-    """An order refused as not run must not block its key until it expires.
-
-    The write of the claim, new or over a released one, is answered by
-    nothing; the entry refuses, and writes that it gave up. The claim arrives
-    before that or after. Until it is written, the entry claims nothing more.
-    The desk comes back elsewhere when it was told to.
+def test_a_delayed_claim_does_not_block_its_key(
+    harness, reclaims, arrives_first
+):
+    """A request refused as not run must not block its key until expiry.
+
+    The insert of the claim, or the put over a released one, gets no answer. The
+    entry refuses the request and writes the release, before or after the claim
+    takes effect. Until the release is written, the entry doesn't claim the key
+    again. After the given delay the caller retries at another entry.
     """
     entry = harness.entries["a"]
-    slow_down = functools.partial(
+    delay_commits = functools.partial(
         setattr, entry.link.faults, "delay_effect", 99
     )
     if reclaims:
         first = harness.attempt("b")
         first.entry.link.faults.down = True
         first.entry.claims.release(first.ticket)
-        harness.before_reply = slow_down
+        harness.before_reply = delay_commits
     else:
-        slow_down()
+        delay_commits()
     assert harness.begin("a") == claim_rules.CLAIMS_UNAVAILABLE
     entry.link.faults.delay_effect = 0
     harness.before_reply = lambda: None
@@ -279,7 +292,7 @@
 
 
 def test_the_same_key_of_another_caller_is_independent(harness):
-    """Two shops that number their orders alike do not meet."""
+    """Keys of different callers don't conflict."""
     for caller in ("tacoma", "olympia"):
         attempt = harness.attempt("a", harness.request(caller=caller))
         harness.finish(attempt)
@@ -288,7 +301,7 @@
 
 
 def test_a_key_used_for_another_request_is_refused(harness):
-    """A till that repeats a key for a second order hears so, and no more."""
+    """A key that is reused for a different request gets "key-reused"."""
     harness.attempt("a")
     other = harness.request(body=b"two veils")
     assert harness.begin("a", other) == claim_rules.KEY_REUSED
@@ -296,10 +309,10 @@
 
 
 def test_a_request_past_the_retention_is_refused_and_its_claim_expires(harness):
-    """A till replays last week's orders after its claims were deleted.
+    """A caller retries a request after its claim was deleted.
 
-    The row is gone, so nothing shows that the order ran; its time of issue
-    does, and the request is refused rather than run again.
+    No row shows that the request ran. It is refused because of its time of
+    issue, instead of being run again.
     """
     attempt = harness.attempt("a")
     harness.finish(attempt)
--- a/tests/failures/test_frozen_holder.py
+++ b/tests/failures/test_frozen_holder.py
@@ -1,4 +1,4 @@
-"""The process that holds a claim answers nothing, or not any more."""
+"""The holder of a claim does not answer, or does not run any more."""
 
 import pytest
 
@@ -15,11 +15,11 @@
     made.close()
 
 
-def test_asking_a_frozen_holder_costs_a_bounded_time(harness):
-    """A clerk with a minute to spare waits it out for "unknown".
+def test_querying_a_frozen_holder_takes_bounded_time(harness):
+    """A caller with a long deadline must not wait all of it for "unknown".
 
-    Entry a is frozen with her charge: connections to it open and nothing
-    comes back. Entry b waits for its word a few times at most.
+    Entry a freezes while it holds the claim: connections to it open, but no
+    replies arrive. Entry b queries it only a few times.
     """
     harness.attempt("a")
     waits = []
@@ -37,16 +37,17 @@
     )
 
 
-def test_a_successor_of_the_same_name_asks_the_one_before_it():
-    """A charge that is being finished is said to be lost for good.
+def test_a_successor_with_the_same_name_queries_its_predecessor():
+    """A request in progress must not be reported as lost for good.
 
-    An entry gets a successor of its name, at another address, while it shuts
-    down with a charge in flight. Asked again there, the clerk must not hear
-    a last word: the one before it still knows. At its own address it is gone.
+    A process of the same name starts at another address while its predecessor
+    shuts down with a request in flight. The predecessor still knows the
+    outcome, so the successor has to query it. At the same address it is surely
+    gone.
     """
-    before = claim_rules.Holder("a", "boot-1", "10.0.0.1:7000")
+    predecessor = claim_rules.Holder("a", "boot-1", "10.0.0.1:7000")
     claimed = peers.ClaimState.CLAIMED
-    row = claim_rules.make_claim_row(before, claimed, "digest", 0)
+    row = claim_rules.make_claim_row(predecessor, claimed, "digest", 0)
     successor = claim_rules.Holder("a", "boot-2", "10.0.0.2:7000")
     found = claim_rules.classify_claim(row, successor, "digest")
     assert found == claim_rules.HeldElsewhere()
--- a/tests/failures/test_ledger_memory.py
+++ b/tests/failures/test_ledger_memory.py
@@ -1,4 +1,4 @@
-"""An entry that lives long keeps bounded memory of the charges it made."""
+"""A long-running entry keeps bounded memory of its claims."""
 
 import pytest
 
@@ -8,12 +8,11 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"paid"])
-def test_written_charges_are_forgotten_whatever_their_answers(body):
-    """After some weeks an entry runs out of memory, and takes charges along.
+def test_written_claims_are_evicted_regardless_of_their_answers(body):
+    """Guards against an entry that runs out of memory after some weeks.
 
-    Charges that a minion answers without a body, or whose outcome is
-    unknown, weighed nothing in the count of what is kept to be replayed, so
-    each of them was kept for good.
+    Claims with an empty answer or an unknown outcome counted as zero bytes of
+    the records kept for replays, so they were never evicted.
     """
     harness = claim_world.World(("a",))
     ledger = harness.entries["a"].parts.ledger
@@ -23,12 +22,12 @@
         if number % 2:
             attempt.entry.claims.lost(attempt.ticket)
         else:
-            attempt.entry.claims.finish(attempt.ticket, answer(body))
+            attempt.entry.claims.finish(attempt.ticket, make_answer(body))
         attempt.entry.write_all()
     harness.close()
     assert ledger.unwritten_count == 0
     assert ledger.known_count <= 16
 
 
-def answer(body):
+def make_answer(body):
     return requests.Answer(200, (), body)
--- a/tests/failures/test_lost_answers.py
+++ b/tests/failures/test_lost_answers.py
@@ -1,4 +1,4 @@
-"""What a caller hears when an answer was lost on the way."""
+"""What a caller gets when an answer was lost on the way."""
 
 import pytest
 
@@ -16,11 +16,11 @@
     made.close()
 
 
-def test_a_lost_answer_of_the_table_does_not_refuse_the_charge(harness):
-    """A charge is refused since its own claim is in the way.
+def test_a_lost_table_answer_does_not_refuse_the_request(harness):
+    """Guards against a request that is refused because of its own claim.
 
-    The insert takes effect and its answer is lost. Sent again, it conflicts
-    with its first copy; the row's token shows that the claim is ours.
+    The insert takes effect and its answer is lost. The retry conflicts with the
+    first copy. The row's token shows that the claim is ours.
     """
     harness.entries["a"].link.faults.lose_answers = 1
     attempt = harness.attempt("a")
@@ -30,12 +30,12 @@
 
 @pytest.mark.parametrize("size", [10, 200_000])
 @pytest.mark.parametrize("written", [False, True])
-def test_the_whole_first_answer_is_given_again(harness, size, written):
-    """The clerk's connection breaks after the charge; she asks again.
+def test_a_retry_gets_the_complete_first_answer(harness, size, written):
+    """A caller's connection breaks after the request ran, and it retries.
 
-    The run is over, its answer never reached her. She asks the same entry or
-    another, before or after the answer is in the table, and must get it whole
-    or hear that it ran; a large answer travels by the object store only.
+    It retries at the same entry or another, before or after the answer is in
+    the table. It must get the complete answer or a report that the request ran.
+    A large answer is available to other entries only through the object store.
     """
     attempt = harness.attempt("a")
     answer = harness.finish(attempt, b"x" * size)
@@ -49,10 +49,10 @@
 
 
 def test_a_large_answer_waits_for_the_object_store(harness):
-    """The object store is down when a long answer is to be kept.
+    """The object store is down when a large answer has to be stored.
 
-    The charge must not be marked as done without its answer, so the claim
-    stays with its entry until the store is back; then any entry replays it.
+    The claim must not become DONE without its answer, so it stays with its
+    entry until the store is back. After that, any entry replays the answer.
     """
     harness.objects.faults.down = True
     attempt = harness.attempt("a")
@@ -65,11 +65,12 @@
     assert harness.begin("b") == claims.Replay(answer)
 
 
-def test_a_silent_minion_leaves_the_outcome_unknown_everywhere(harness):
-    """The minion ran the charge and its connection went silent.
+def test_an_unresponsive_minion_leaves_the_outcome_unknown_everywhere(harness):
+    """A minion runs the request, but its connection stops responding.
 
-    The entry can't know that it ran. It never sends again, says so for good,
-    and so does each other entry, whether by asking it or by the table.
+    The entry can't know that the request ran. It never sends it again and
+    reports the outcome as unknown for good. The other entries report the same,
+    from a query or from the table.
     """
     attempt = harness.attempt("a")
     harness.run(attempt)
@@ -82,11 +83,11 @@
     assert harness.begin("b") == claim_rules.OUTCOME_UNKNOWN
 
 
-def test_a_holder_cut_off_from_its_peers_is_not_overruled(harness):
-    """The holder is paused or cut off, far past every deadline.
+def test_a_holder_cut_off_from_its_peers_keeps_its_claim(harness):
+    """A holder is paused or cut off for much longer than every deadline.
 
-    Its claim has no term: whoever is asked says that the outcome is unknown.
-    When the holder wakes and finishes, its answer is the one that is given.
+    Claims don't expire, so each entry reports an unknown outcome. Once the
+    holder resumes and finishes, its answer is replayed.
     """
     attempt = harness.attempt("a")
     for name in ("a", "b"):
@@ -99,11 +100,11 @@
     assert harness.begin("b") == claims.Replay(attempt.answer)
 
 
-def test_an_answer_written_while_its_holder_was_asked_is_given(harness):
-    """The clerk asks just as the first answer is on its way to the table.
+def test_an_answer_written_during_the_query_is_replayed(harness):
+    """A caller retries while the first answer is being written to the table.
 
-    The other entry reads the claim as running and asks the holder, which is
-    stopping and does not reply, but has written the answer meanwhile.
+    The other entry reads an open claim and queries the holder, which is
+    shutting down and does not reply, but has written the answer meanwhile.
     """
     attempt = harness.attempt("a")
     harness.finish(attempt)
@@ -112,11 +113,12 @@
     assert harness.begin("b") == claims.Replay(attempt.answer)
 
 
-def test_an_outage_refuses_new_charges_and_keeps_finished_ones(harness):
-    """The table goes down while a charge runs, and stays down for long.
+def test_an_outage_refuses_new_requests_and_replays_finished_ones(harness):
+    """The table fails while a request runs, and stays unavailable for long.
 
-    The finished charge is given again by its entry all along; a new one is
-    refused as not run at once. After the outage the answer gets written.
+    The entry replays the finished request's answer during the outage and
+    refuses a new request as not run at once. After the outage, the answer is
+    written.
     """
     attempt = harness.attempt("a")
     attempt.entry.link.faults.down = True
@@ -136,8 +138,8 @@
     assert harness.begin("b") == claims.Replay(attempt.answer)
 
 
-def test_a_ticket_is_settled_once(harness):
-    """A path that released what it had sent would let it run twice."""
+def test_a_claim_is_settled_only_once(harness):
+    """Releasing a claim after its request was sent would allow a second run."""
     attempt = harness.attempt("a")
     attempt.entry.claims.lost(attempt.ticket)
     with pytest.raises(errors.InvariantError):
--- a/tests/failures/test_not_run_of_a_key.py
+++ b/tests/failures/test_not_run_of_a_key.py
@@ -1,4 +1,4 @@
-"""While the table is away, "not run" is said of a key only with evidence."""
+"""During a table outage, "not run" is reported only if that is certain."""
 
 import pytest
 
@@ -17,23 +17,24 @@
     made.close()
 
 
-def lose_the_table(harness):
+def disconnect_table(harness):
     for entry in harness.entries.values():
         entry.link.faults.down = True
 
 
-@pytest.mark.parametrize("end", ["killed", "cut off", "replaced elsewhere"])
-def test_a_charge_that_ran_at_a_lost_entry_is_not_said_not_run(harness, end):
-    """A clerk is told "not run", makes a new charge, and the port pays twice.
+@pytest.mark.parametrize("loss", ["killed", "cut off", "replaced elsewhere"])
+def test_not_run_is_not_reported_for_a_run_at_a_lost_entry(harness, loss):
+    """Guards against a wrong "not run", after which the caller pays twice.
 
-    Her charge ran at an entry, whose answer was lost with the table gone. She
-    asks another one with the same key. The entry that ran it was killed and
-    started again, is cut off from its peers, or came back elsewhere.
+    A request ran at an entry, but its answer was lost together with the table.
+    The caller retries at another entry with the same key. The entry that ran
+    the request was restarted, is cut off from its peers, or was replaced at
+    another address.
     """
     attempt = harness.attempt("a")
     harness.run(attempt)
-    lose_the_table(harness)
-    match end:
+    disconnect_table(harness)
+    match loss:
         case "killed":
             harness.restart("a")
         case "cut off":
@@ -48,14 +49,14 @@
         harness.advance_in_contact(claim_world.CONTACT_S)
 
 
-def test_a_charge_is_answered_by_its_entry_through_the_outage(harness):
-    """The clerk's connection breaks in an outage; she asks another entry.
+def test_the_holder_reports_the_outcome_during_an_outage(harness):
+    """A caller's connection breaks during an outage, and it retries elsewhere.
 
-    The first one lives and knows what became of the charge: it runs, or here
-    is its answer. Both say so although the table can't be read.
+    The first entry is alive and knows the state of the request: in progress, or
+    completed with an answer. Both entries report it without the table.
     """
     attempt = harness.attempt("a")
-    lose_the_table(harness)
+    disconnect_table(harness)
     assert harness.begin("b") == claim_rules.IN_PROGRESS
     harness.finish(attempt)
     assert harness.begin("b") == claims.Replay(attempt.answer)
@@ -63,32 +64,31 @@
     assert harness.begin("b", new) == claim_rules.CLAIMS_UNAVAILABLE
 
 
-def test_an_answer_that_is_too_large_to_tell_was_run(harness):
-    """A long receipt can't be fetched in the outage, and the charge ran."""
+def test_a_run_with_a_large_answer_is_reported_as_run(harness):
+    """A large answer can't be fetched in the outage, but the request ran."""
     attempt = harness.attempt("a")
-    lose_the_table(harness)
+    disconnect_table(harness)
     harness.finish(attempt, b"x" * 200_000)
     assert harness.begin("b") == claim_rules.ANSWER_UNAVAILABLE
 
 
-def test_a_charge_that_was_released_was_not_run(harness):
-    """A charge that no minion took is asked for again in an outage."""
+def test_a_released_request_is_reported_as_not_run(harness):
+    """A request that no minion accepted is retried during an outage."""
     attempt = harness.attempt("a")
-    lose_the_table(harness)
+    disconnect_table(harness)
     attempt.entry.claims.release(attempt.ticket)
     for name in ("a", "b"):
         assert harness.begin(name) == claim_rules.CLAIMS_UNAVAILABLE
 
 
 @pytest.mark.parametrize("remembered", [2, 100])
-def test_a_claim_that_fell_out_of_memory_is_not_said_not_run(
+def test_not_run_is_not_reported_for_a_forgotten_claim(
     harness, monkeypatch, remembered
 ):
-    """A busy entry has forgotten the charge that it made before the outage.
+    """An entry must not report "not run" for a claim that it has evicted.
 
-    It made more charges since than it can remember, or remembers their names
-    only. It must not take what it does not remember for what it never did,
-    whether it or a peer is asked.
+    Either it has made more claims than it remembers, or it remembers only their
+    keys. This holds whether the entry itself or a peer gets the retry.
     """
     monkeypatch.setattr(claim_witness, "MAX_REMEMBERED_CLAIMS", remembered)
     ledger = harness.entries["a"].parts.ledger
@@ -96,72 +96,72 @@
         harness.finish(harness.attempt("a", harness.request(f"k{number}")))
     ledger.write_all()
     ledger._recent.clear()
-    lose_the_table(harness)
+    disconnect_table(harness)
     for key in ("k0", "k3"):
         for name in ("a", "b"):
             reply = harness.begin(name, harness.request(key))
             assert reply == claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
 
 
-def test_a_key_is_not_claimed_while_another_relies_on_it_that_it_is_free(
+def test_a_key_reported_as_unclaimed_is_not_claimed_at_once(
     harness,
 ):
-    """The clerk's two attempts meet the end of an outage.
+    """Two attempts under one key coincide with the end of an outage.
 
-    Entry b asks a, which says "never"; the table is back for a, which gets
-    the other attempt before b has answered. Were it run, b's "not run" would
-    be untrue. Asked again after that time, the charge runs.
+    Entry b queries a, which replies that the key was never claimed. The table
+    returns for a, and a gets the other attempt before b has replied. If a ran
+    it, the "not run" of b would be false. A later retry runs.
     """
     harness.entries["b"].link.faults.down = True
     name = keys.claim("tacoma", "fabric-store", "k")
-    said = []
+    results = []
 
-    def ask_meanwhile():
+    def claim_meanwhile():
         harness.before_reply = lambda: None
         reply = harness.entries["a"].claims.answer_query(
             peers.ClaimQuery("q", name, "")
         )
         assert reply.state is peers.ClaimState.RELEASED
-        said.append(harness.begin("a"))
+        results.append(harness.begin("a"))
 
-    harness.before_reply = ask_meanwhile
+    harness.before_reply = claim_meanwhile
     assert harness.begin("b") == claim_rules.CLAIMS_UNAVAILABLE
-    assert said == [claim_rules.IN_PROGRESS]
+    assert results == [claim_rules.IN_PROGRESS]
     harness.clock.advance(claim_rules.RETRY_AFTER_S)
     harness.attempt("a")
 
 
-def test_a_clock_that_is_ahead_does_not_make_a_charge_young(harness):
-    """A till's clock is minutes ahead; its charge ran at an entry now dead.
+def test_the_age_of_a_request_allows_for_fast_caller_clocks(harness):
+    """A caller's clock is ahead, and its request ran at an entry that died.
 
-    By its stamp the charge was issued after the entry was replaced. The
-    entries allow for as much as they accept.
+    By its time of issue, the request seems to be younger than the replacement
+    of the entry. Entries allow for the largest difference that they accept.
     """
     harness.issued_ms += 300_000
     attempt = harness.attempt("a")
     harness.run(attempt)
     harness.restart("a")
     harness.advance_in_contact(300)
-    lose_the_table(harness)
+    disconnect_table(harness)
     assert harness.begin("b") == claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
 
 
-def test_many_refusals_ask_only_so_often(harness, monkeypatch):
-    """An outage under load must not turn into a storm among the entries.
+def test_queries_to_peers_are_bounded(harness, monkeypatch):
+    """An outage under load must not flood the entries with queries.
 
-    Where no word of the others can be evidence, nobody is asked at all; else
-    a bounded number of charges asks at a time.
+    If no replies could prove anything, no queries are sent. Otherwise only a
+    bounded number of requests queries the peers at a time.
     """
-    lose_the_table(harness)
-    asked = []
-    harness.before_reply = lambda: asked.append(1)
+    disconnect_table(harness)
+    queries = []
+    harness.before_reply = lambda: queries.append(1)
     monkeypatch.setattr(claim_witness, "MAX_CONCURRENT_CHECKS", 0)
     assert harness.begin("b") == claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
     monkeypatch.undo()
     harness.restart("b")
-    lose_the_table(harness)
+    disconnect_table(harness)
     assert (
         harness.begin("b", harness.request("new"))
         == claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
     )
-    assert asked == []
+    assert queries == []
--- a/tests/failures/test_retention_raised.py
+++ b/tests/failures/test_retention_raised.py
@@ -1,4 +1,4 @@
-"""The retention of claims is changed while claims come and go."""
+"""The retention is changed while claims are created and deleted."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -21,11 +21,11 @@
     later_s=st.integers(0, _LONGEST_S),
     retention_s=st.integers(1, _LONGEST_S),
 )
-def test_no_deleted_claim_can_be_met_again(age_s, later_s, retention_s):
-    """A charge of last week is made again after the retention was raised.
+def test_no_deleted_claim_can_be_requested_again(age_s, later_s, retention_s):
+    """Guards against a second run after the retention was raised.
 
-    Its claim was deleted under the shorter retention. The till asks again;
-    under the longer one, its key is young enough, and no claim is in the way.
+    A claim is deleted under the shorter retention. Under the longer one, a
+    retry of its request is young enough again, and no claim prevents the run.
     """
     now_ms = 10 * _LONGEST_S * 1000
     issued_ms = now_ms - age_s * 1000
--- a/tests/failures/test_silent_table.py
+++ b/tests/failures/test_silent_table.py
@@ -1,4 +1,4 @@
-"""The table takes calls and answers nothing, for as long as it likes."""
+"""The table accepts calls but does not answer, for any length of time."""
 
 import pytest
 
@@ -14,8 +14,8 @@
     made.close()
 
 
-def silence(harness):
-    """Has each call of the table run into its time limit of two seconds."""
+def make_table_unresponsive(harness):
+    """Makes each call to the table time out after two seconds."""
 
     def time_out(outcome):
         harness.clock.advance(2.0)
@@ -27,40 +27,39 @@
     link.read = lambda _: time_out(platform.Unavailable("no answer"))
 
 
-def heal(harness):
+def restore_table(harness):
     link = harness.entries["a"].link
     del link.commit, link.read
 
 
-def test_charges_are_refused_at_once_while_the_table_is_silent(harness):
-    """Each clerk waits out her whole deadline to hear that nothing was run.
+def test_requests_are_refused_at_once_if_the_table_is_unresponsive(harness):
+    """Guards against callers that wait until their deadlines for "not run".
 
-    The first charge finds out that the table answers nothing, and has no time
-    left to ask the other entries. Those after it have no better chance, and
-    must not wait for it one by one; when a write that was left over gets
-    through, charges run again.
+    The first request finds that the table does not answer, and has no time left
+    to query the other entries. The next requests must not repeat that wait one
+    by one. Once a pending write succeeds, requests run again.
     """
-    silence(harness)
+    make_table_unresponsive(harness)
     assert harness.begin("a") == claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
-    known = harness.clock.monotonic()
+    started_at = harness.clock.monotonic()
     for key in ("k2", "k3"):
         reply = harness.begin("a", harness.request(key))
         assert reply == claim_rules.CLAIMS_UNAVAILABLE
-    assert harness.clock.monotonic() == known
-    heal(harness)
+    assert harness.clock.monotonic() == started_at
+    restore_table(harness)
     harness.entries["a"].write_all()
     harness.attempt("a", harness.request("k2"))
 
 
-def test_a_refusal_does_not_wait_for_a_silent_table(harness):
-    """A charge that no minion takes is refused a second late.
+def test_a_release_does_not_wait_for_an_unresponsive_table(harness):
+    """Guards against a refusal that is delayed by a second.
 
-    The claim of the charge is to be released before "not run" is said, and
-    the table is known to be silent: the entry answers for the claim itself.
+    A claim has to be released before "not run" is reported. The table is known
+    to be unresponsive, so the entry itself replies to queries for the claim.
     """
     attempt = harness.attempt("a")
-    silence(harness)
+    make_table_unresponsive(harness)
     harness.begin("a", harness.request("k2"))
-    known = harness.clock.monotonic()
+    started_at = harness.clock.monotonic()
     attempt.entry.claims.release(attempt.ticket)
-    assert harness.clock.monotonic() == known
+    assert harness.clock.monotonic() == started_at
