--- a/src/vanillaswitch/coordination/once/claim_witness.py
+++ b/src/vanillaswitch/coordination/once/claim_witness.py
@@ -151,7 +151,7 @@
             row_key: key of the claim's row.
             request_digest: digest of the request.
             issued_ms: when the caller first issued the request.
-            deadline: monotonic seconds; replies are awaited no longer.
+            deadline: monotonic seconds until which to wait for replies.
         """
         self.watch()
         age_s = max(0.0, self._clock.wall() - issued_ms / 1000)
@@ -248,7 +248,7 @@
     Args:
         replies: one for each entry that was queried; None if none arrived.
         boots: boots of the entries that were queried, and our own.
-        needed_s: how long each entry must have had all claims and contacts.
+        needed_s: how long each entry must have kept all claims and contacts.
 
     Returns:
         ``CLAIMS_UNAVAILABLE``, which means "not run", only if all of them
