--- a/src/vanillaswitch/cli/config.py
+++ b/src/vanillaswitch/cli/config.py
@@ -12,7 +12,7 @@
 from vanillaswitch.cli import console
 from vanillaswitch.coordination.configuration import rollout
 from vanillaswitch.coordination.entry import routing
-from vanillaswitch.coordination.workloads import rooms
+from vanillaswitch.coordination.workloads import worker_capacity
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import peers
 from vanillaswitch.state import canonical
@@ -109,22 +109,22 @@
     with console.refusing(as_json):
         config = _read(folder)
         with console.connect(ctx, address) as platform:
-            controllers = rollout.peer_addresses(platform.table)
+            controllers = rollout.controller_addresses(platform.table)
             outcome = rollout.apply(
                 platform,
                 clocks.SystemClock(),
                 random.SystemRandom(),
                 config,
                 author or getpass.getuser(),
-                started_from or rollout.NONE_YET,
+                started_from or rollout.NO_CONFIG_NUMBER,
             )
         applied = _accepted(outcome)
         _hand_over(controllers, applied, config)
         console.tell(
             as_json,
-            {"number": applied.number, "in_force": applied.in_force},
+            {"number": applied.number, "in_force": applied.newest_number},
             f"accepted as number {applied.number}, "
-            f"in force: number {applied.in_force}",
+            f"in force: number {applied.newest_number}",
         )
 
 
@@ -161,8 +161,8 @@
 def _read(folder: pathlib.Path) -> config_lib.Config:
     loaded = folder_lib.read(folder)
     variants = {
-        "routing": routing.policies.names,
-        "placement": rooms.ORDERS.names,
+        "routing": routing.POLICY_REGISTRY.names,
+        "placement": worker_capacity.ORDERS.names,
     }
     return check_lib.check(loaded, variants)
 
@@ -173,7 +173,7 @@
             return outcome
         case rollout.Conflict():
             raise errors.ApplyConflictError(
-                outcome.started_from, outcome.found, outcome.changes
+                outcome.base_number, outcome.newest_number, outcome.changes
             )
         case rollout.Undecided():
             raise errors.PlatformUnavailableError(
@@ -197,7 +197,7 @@
     before any process has read the change. All would go on with the one
     before until the table is back. A few that have it pass it on to the rest.
     """
-    if not controllers or applied.in_force != applied.number:
+    if not controllers or applied.newest_number != applied.number:
         return
     # Imported here, so that `config check` opens no sockets.
     from vanillaswitch.transport import hand_over
--- a/src/vanillaswitch/cli/console.py
+++ b/src/vanillaswitch/cli/console.py
@@ -138,7 +138,7 @@
     head = rollout.read_head(source.table)
     if isinstance(head, platform.Unavailable):
         raise errors.PlatformUnavailableError(head.reason)
-    if head.row.number == rollout.NONE_YET:
+    if head.row.number == rollout.NO_CONFIG_NUMBER:
         return InForce(head.row, None)
     body = rollout.load_body(source.objects, head.row.digest)
     if body is None:
@@ -220,7 +220,7 @@
     Raises:
         errors.PlatformUnavailableError: the platform gave no answer.
     """
-    fleet = fleet_state.read(source)
+    fleet = fleet_state.read_with_statuses(source)
     if isinstance(fleet, platform.Unavailable):
         raise errors.PlatformUnavailableError(fleet.reason)
     return fleet
--- a/src/vanillaswitch/cli/fleet.py
+++ b/src/vanillaswitch/cli/fleet.py
@@ -10,10 +10,10 @@
 from vanillaswitch.cli import console
 from vanillaswitch.coordination.maintenance import budgets
 from vanillaswitch.coordination.maintenance import changes
-from vanillaswitch.coordination.maintenance import explain
+from vanillaswitch.coordination.maintenance import decision_records
 from vanillaswitch.coordination.maintenance import fleet_state
-from vanillaswitch.coordination.maintenance import pool_needs
-from vanillaswitch.coordination.workloads import cordon_control
+from vanillaswitch.coordination.maintenance import pool_demand
+from vanillaswitch.coordination.workloads import operator_cordons
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
@@ -40,9 +40,10 @@
         fleet = console.read_fleet(source)
     standings = _standings(fleet, config)
     held = {
-        pool: len(workers) for pool, workers in pool_needs.held(fleet).items()
+        pool: len(workers)
+        for pool, workers in pool_demand.workers_by_pool(fleet).items()
     }
-    needs = pool_needs.needs(fleet, config)
+    needs = pool_demand.required_workers(fleet, config)
     told: dict[str, Any] = {
         "budgets": [
             {**rows.dump(one), "headroom": one.headroom} for one in standings
@@ -73,10 +74,12 @@
     SUBJECT is wave/NAME, pool/NAME, job/NAME or instance/NAME.
     """
     with console.connected(ctx, address, as_json) as source:
-        found = source.table.read([explain.key_of(subject)])
+        found = source.table.read([decision_records.history_key(subject)])
         if isinstance(found, platform.Unavailable):
             raise errors.PlatformUnavailableError(found.reason)
-    history = explain.history(found.rows[0] if found.rows else None)
+    history = decision_records.decode_history(
+        found.rows[0] if found.rows else None
+    )
     lines = [_decision_text(decision) for decision in history.entries]
     console.tell(
         as_json,
@@ -109,7 +112,7 @@
         config = console.in_force(source)
         fleet = console.read_fleet(source)
         request = _request(worker, reason, operator)
-        _commit(source, fleet, cordon_control.cordon(fleet, config, request))
+        _commit(source, fleet, operator_cordons.cordon(fleet, config, request))
     console.tell(as_json, {"cordoned": worker}, f"{worker} is cordoned")
 
 
@@ -132,16 +135,16 @@
     with console.connected(ctx, address, as_json) as source:
         fleet = console.read_fleet(source)
         request = _request(worker, reason, operator)
-        _commit(source, fleet, cordon_control.uncordon(fleet, request))
+        _commit(source, fleet, operator_cordons.uncordon(fleet, request))
     console.tell(as_json, {"uncordoned": worker}, f"{worker} takes new tasks")
 
 
 def _request(
     worker: str, reason: str, operator: str | None
-) -> cordon_control.Request:
+) -> operator_cordons.CordonRequest:
     who = operator or getpass.getuser()
     wall_s = clocks.SystemClock().wall()
-    return cordon_control.Request(worker, reason, who, wall_s)
+    return operator_cordons.CordonRequest(worker, reason, who, wall_s)
 
 
 def _commit(
@@ -158,16 +161,16 @@
 
 def _standings(
     fleet: fleet_state.Fleet, config: config_lib.Config
-) -> list[budgets.Standing]:
+) -> list[budgets.BudgetStatus]:
     kinds = (platform.InstanceKind.MINION, platform.InstanceKind.WORKER)
     return [
-        budgets.standing(fleet, config, service, kind)
+        budgets.budget_status(fleet, config, service, kind)
         for service in sorted(config.services)
         for kind in kinds
     ]
 
 
-def _standing_text(one: budgets.Standing) -> str:
+def _standing_text(one: budgets.BudgetStatus) -> str:
     reasons = "".join(
         f"\n  {name}: {why}" for name, why in sorted(one.down.items())
     )
@@ -177,7 +180,7 @@
     )
 
 
-def _decision_text(decision: explain.Decision) -> str:
+def _decision_text(decision: decision_records.Decision) -> str:
     when = datetime.datetime.fromtimestamp(decision.wall_s, datetime.UTC)
     figures = ", ".join(
         f"{name} {value:g}" for name, value in decision.figures.items()
--- a/src/vanillaswitch/cli/wave.py
+++ b/src/vanillaswitch/cli/wave.py
@@ -11,7 +11,7 @@
 from vanillaswitch.cli import exits
 from vanillaswitch.coordination.maintenance import changes
 from vanillaswitch.coordination.maintenance import fleet_state
-from vanillaswitch.coordination.maintenance import wave_control
+from vanillaswitch.coordination.maintenance import wave_commands
 from vanillaswitch.coordination.maintenance import wave_plan
 from vanillaswitch.coordination.maintenance import wave_state
 from vanillaswitch.internal import clock as clocks
@@ -37,7 +37,7 @@
 @console.platform_option
 @click.option(
     "--order",
-    type=click.Choice(wave_plan.ORDERS.names),
+    type=click.Choice(wave_plan.ORDER_STRATEGIES.names),
     default=wave_plan.DEFAULT_ORDER,
     show_default=True,
     help="How instances are put into rounds.",
@@ -53,7 +53,7 @@
         spec = config.waves.get(name)
         if spec is None:
             raise errors.WaveRefusedError(f"there is no wave {name!r}")
-        planned = wave_plan.plan(
+        planned = wave_plan.plan_wave(
             console.read_fleet(source), config, spec, order
         )
     console.tell(as_json, rows.dump(planned), _plan_text(planned))
@@ -79,7 +79,7 @@
         config = console.in_force(source)
         fleet = console.read_fleet(source)
         request = _request(name, operator)
-        changed = wave_control.start(fleet, config, request)
+        changed = wave_commands.start(fleet, config, request)
         _commit(source, fleet, changed)
     _tell_wave(as_json, name, changed.waves[name])
 
@@ -100,7 +100,7 @@
     """Pauses a wave: what it has begun is finished, nothing more begins."""
     with console.connected(ctx, address, as_json) as source:
         fleet = console.read_fleet(source)
-        changed = wave_control.pause(fleet, _request(name, operator))
+        changed = wave_commands.pause(fleet, _request(name, operator))
         _commit(source, fleet, changed)
     _tell_wave(as_json, name, changed.waves[name])
 
@@ -117,7 +117,7 @@
     with console.connected(ctx, address, as_json) as source:
         fleet = console.read_fleet(source)
         waves = {
-            key: fleet.joined(key)
+            key: fleet.wave_with_done(key)
             for key in sorted(fleet.waves)
             if name in (None, key)
         }
@@ -128,8 +128,8 @@
     console.tell(as_json, told, "\n".join(lines) or "no wave was started")
 
 
-def _request(name: str, operator: str | None) -> wave_control.Request:
-    return wave_control.Request(
+def _request(name: str, operator: str | None) -> wave_commands.WaveRequest:
+    return wave_commands.WaveRequest(
         name,
         operator or getpass.getuser(),
         clocks.SystemClock().wall(),
--- a/src/vanillaswitch/coordination/commits.py
+++ b/src/vanillaswitch/coordination/commit_retries.py
@@ -29,12 +29,12 @@
 MAX_BACKOFF_S = 0.5
 
 
-def settle(
+def commit_with_retries(
     table: platform.Table,
     transaction: platform.Transaction,
     clock: clocks.Clock,
     deadline: float,
-    exclusive: bool = False,
+    exclusive_writer: bool = False,
 ) -> platform.CommitOutcome:
     """Commits a transaction, and retries it while its outcome is unknown.
 
@@ -60,14 +60,14 @@
             return outcome
         if isinstance(outcome, platform.Conflict):
             return (
-                _resolve_conflict(outcome, transaction, exclusive)
+                _resolve_conflict(outcome, transaction, exclusive_writer)
                 if in_doubt
                 else outcome
             )
         if isinstance(outcome, platform.Unavailable) and not in_doubt:
             return outcome
         in_doubt = True
-        resolved = _read_back(table, transaction, exclusive)
+        resolved = _read_back(table, transaction, exclusive_writer)
         if resolved is not None:
             return resolved
         if clock.monotonic() + backoff_s >= deadline:
--- a/src/vanillaswitch/coordination/configuration/config_task.py
+++ b/src/vanillaswitch/coordination/configuration/config_sync.py
@@ -41,7 +41,7 @@
     unreadable: int = 0
 
 
-class ConfigTask:
+class ConfigSync:
     """Polls the table and exchanges configurations with peers.
 
     Attributes:
@@ -82,7 +82,7 @@
 
     def poll(self) -> None:
         """Applies the configuration in the table if it is newer."""
-        if self._view.number == rollout.NONE_YET:
+        if self._view.number == rollout.NO_CONFIG_NUMBER:
             self._broadcast(peers.ConfigRequest(1))
         head = rollout.read_head(self._table)
         if isinstance(head, platform.Unavailable):
@@ -137,7 +137,7 @@
         request: peers.ConfigRequest,
         reply: Callable[[peers.Message], None],
     ) -> None:
-        if rollout.NONE_YET < request.version <= self._view.number:
+        if rollout.NO_CONFIG_NUMBER < request.version <= self._view.number:
             reply(
                 peers.ConfigBody(
                     self._view.number, self._view.digest, self._body
--- a/src/vanillaswitch/coordination/configuration/rollout.py
+++ b/src/vanillaswitch/coordination/configuration/rollout.py
@@ -8,7 +8,7 @@
 import dataclasses
 import random
 
-from vanillaswitch.coordination import commits
+from vanillaswitch.coordination import commit_retries
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import ids
 from vanillaswitch.protocol import platform as platform_module
@@ -18,7 +18,7 @@
 from vanillaswitch.state import keys
 from vanillaswitch.state import rows
 
-NONE_YET = 0
+NO_CONFIG_NUMBER = 0
 """Number of the head while no configuration was applied yet."""
 
 SETTLE_TIMEOUT_S = 10.0
@@ -42,7 +42,9 @@
     row: rows.ConfigHead
 
 
-NO_HEAD = Head(platform_module.ABSENT, rows.ConfigHead(NONE_YET, "", "", 0.0))
+NO_HEAD = Head(
+    platform_module.ABSENT, rows.ConfigHead(NO_CONFIG_NUMBER, "", "", 0.0)
+)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -58,7 +60,7 @@
 
     number: int
     digest: str
-    in_force: int
+    newest_number: int
 
 
 @dataclasses.dataclass(frozen=True)
@@ -71,8 +73,8 @@
         changes: dotted paths that changed since ``started_from``.
     """
 
-    started_from: int
-    found: int
+    base_number: int
+    newest_number: int
     changes: tuple[str, ...]
 
 
@@ -141,7 +143,7 @@
     return _commit_head(platform, clock, head, attempt, author)
 
 
-def peer_addresses(table: platform_module.Table) -> tuple[str, ...]:
+def controller_addresses(table: platform_module.Table) -> tuple[str, ...]:
     """Returns the peer addresses of some controllers.
 
     An accepted configuration is sent to them directly, and they pass it on.
@@ -215,7 +217,7 @@
 ) -> bytes | None:
     """Fetches a body; returns None if it is missing, unavailable or damaged."""
     found = objects.get(digest)
-    if not isinstance(found, platform_module.Body):
+    if not isinstance(found, platform_module.ObjectContent):
         return None
     # A truncated or corrupted body has another digest.
     if canonical.digest(found.content) != digest:
@@ -239,7 +241,9 @@
 ) -> ApplyOutcome:
     transaction = next_head_transaction(head, attempt, author, clock.wall())
     deadline = clock.monotonic() + SETTLE_TIMEOUT_S
-    outcome = commits.settle(platform.table, transaction, clock, deadline)
+    outcome = commit_retries.commit_with_retries(
+        platform.table, transaction, clock, deadline
+    )
     if isinstance(outcome, platform_module.Unavailable):
         return outcome
     if isinstance(outcome, platform_module.Committed):
@@ -275,7 +279,7 @@
     digests = {a.number: a.digest for a in head.recent}
     newest = _load_config(objects, head.digest)
     known = _load_config(objects, digests.get(started_from, ""))
-    if newest is None or (known is None and started_from != NONE_YET):
+    if newest is None or (known is None and started_from != NO_CONFIG_NUMBER):
         return (UNREADABLE_CHANGES,)
     return tuple(change.path for change in diff.diff(known, newest))
 
--- a/src/vanillaswitch/coordination/control/controller.py
+++ b/src/vanillaswitch/coordination/control/controller.py
@@ -19,11 +19,11 @@
 import gevent.event
 
 from vanillaswitch import errors
-from vanillaswitch.coordination.control import duties
+from vanillaswitch.coordination.control import controller_session
+from vanillaswitch.coordination.control import duty_assignment
 from vanillaswitch.coordination.control import duty_names
-from vanillaswitch.coordination.control import holdings
-from vanillaswitch.coordination.control import leases
-from vanillaswitch.coordination.control import membership
+from vanillaswitch.coordination.control import held_duties
+from vanillaswitch.coordination.control import session_leases
 from vanillaswitch.internal import clock as clock_lib
 from vanillaswitch.internal import logs
 from vanillaswitch.internal import registry
@@ -33,14 +33,14 @@
 from vanillaswitch.state import keys
 from vanillaswitch.state import settings as settings_lib
 
-STEP_S = 0.5
+STEP_PAUSE_S = 0.5
 """Pause between two steps of a duty."""
 
-IDLE_S = 2.0
+IDLE_PAUSE_S = 2.0
 """Pause after a step that found nothing to do; see ``Context.rest``."""
 
 
-def _ignore_fence(fence: duties.Fence) -> None:
+def _ignore_fence(fence: duty_assignment.Fence) -> None:
     del fence
 
 
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Context:
+class DutyContext:
     """Everything that a step of a duty uses.
 
     Attributes:
@@ -70,11 +70,11 @@
     rng: random.Random
     config: config_lib.Config
     broadcast: Callable[[peers.Message], None]
-    memory: dict[str, Any] = dataclasses.field(default_factory=dict)
-    drop: Callable[[duties.Fence], None] = _ignore_fence
-    leased: Callable[[], bool] = _always_leased
+    soft_state: dict[str, Any] = dataclasses.field(default_factory=dict)
+    release_duty: Callable[[duty_assignment.Fence], None] = _ignore_fence
+    has_lease: Callable[[], bool] = _always_leased
 
-    def rest(self, is_idle: bool, min_pause_s: float = 0.0) -> None:
+    def set_pause(self, is_idle: bool, min_pause_s: float = 0.0) -> None:
         """Sets the pause before the next step of the duty.
 
         Args:
@@ -83,43 +83,45 @@
             min_pause_s: lower bound on the pause, which limits the rate of
                 reads.
         """
-        pause_s = IDLE_S if is_idle else STEP_S
-        self.memory[_NEXT_PAUSE_S] = max(pause_s, min_pause_s)
+        pause_s = IDLE_PAUSE_S if is_idle else STEP_PAUSE_S
+        self.soft_state[_NEXT_PAUSE_S] = max(pause_s, min_pause_s)
 
 
 Broadcast = Callable[[peers.Message], None]
 ConfigSource = Callable[[], config_lib.Config | None]
-Step = Callable[[Context, str, duties.Fence], None]
+DutyStep = Callable[[DutyContext, str, duty_assignment.Fence], None]
 
-STEPS: registry.Registry[Step] = registry.Registry("duty")
-KEEPALIVES: registry.Registry[Step] = registry.Registry("duty keepalive")
+DUTY_STEPS: registry.Registry[DutyStep] = registry.Registry("duty")
+DUTY_KEEPALIVES: registry.Registry[DutyStep] = registry.Registry(
+    "duty keepalive"
+)
 
 
-def duty(kind: str) -> Callable[[Step], Step]:
+def duty_step(kind: str) -> Callable[[DutyStep], DutyStep]:
     """Registers the step of a duty kind, which runs while the duty is held.
 
     Each write of the step must include ``fence.check``.
     """
-    return STEPS.register(kind)
+    return DUTY_STEPS.register(kind)
 
 
-def keepalive(kind: str) -> Callable[[Step], Step]:
+def duty_keepalive(kind: str) -> Callable[[DutyStep], DutyStep]:
     """Registers the keepalive of a duty kind, for outages of the table.
 
     It runs in place of the step while the session lease has expired and the
     row, as last read, names no other holder. It may only do work that is
     idempotent and needs no table, such as renewing leases of tasks by message.
     """
-    return KEEPALIVES.register(kind)
+    return DUTY_KEEPALIVES.register(kind)
 
 
-def pause_after(memory: Mapping[str, Any]) -> float:
+def next_step_pause_s(memory: Mapping[str, Any]) -> float:
     """Returns the pause before the next step of a duty, in seconds.
 
     Args:
         memory: soft state of the duty.
     """
-    pause_s: float = memory.get(_NEXT_PAUSE_S, STEP_S)
+    pause_s: float = memory.get(_NEXT_PAUSE_S, STEP_PAUSE_S)
     return pause_s
 
 
@@ -145,19 +147,21 @@
             config: returns the configuration in force, None before the first.
             broadcast: sends a message to every peer.
         """
-        self._renewal_pause_s = settings.lease_s / leases.RENEWALS_PER_TERM
+        self._renewal_pause_s = (
+            settings.lease_s / session_leases.RENEWALS_PER_TERM
+        )
         self._platform = outside
         self._clock = clock
         self._rng = rng
         self._config = config
         self._broadcast = broadcast
-        self._session = membership.ControllerSession(
+        self._session = controller_session.ControllerSession(
             settings, outside.table, clock, rng
         )
         self._stopping = gevent.event.Event()
         self._fatal_error: errors.InvariantError | None = None
         self.counters: collections.Counter[str] = collections.Counter()
-        self._held_duties = holdings.HeldDuties(self._session, self.counters)
+        self._held_duties = held_duties.HeldDuties(self._session, self.counters)
 
     @property
     def name(self) -> str:
@@ -170,12 +174,12 @@
         return self._session.boot
 
     @property
-    def leased(self) -> bool:
+    def has_lease(self) -> bool:
         """Whether the session lease is held now."""
         return self._session.has_lease
 
     @property
-    def fences(self) -> dict[str, duties.Fence]:
+    def fences(self) -> dict[str, duty_assignment.Fence]:
         """The fence of each duty held when the table was last read."""
         return self._held_duties.fences
 
@@ -195,9 +199,11 @@
         self.resign()
 
     @contextlib.contextmanager
-    def _duty_tasks(self) -> Iterator[dict[duties.Fence, gevent.Greenlet]]:
+    def _duty_tasks(
+        self,
+    ) -> Iterator[dict[duty_assignment.Fence, gevent.Greenlet]]:
         """Yields a dict for the tasks of held duties; ends them on exit."""
-        tasks: dict[duties.Fence, gevent.Greenlet] = {}
+        tasks: dict[duty_assignment.Fence, gevent.Greenlet] = {}
         try:
             yield tasks
             gevent.joinall(list(tasks.values()), timeout=self._renewal_pause_s)
@@ -205,7 +211,7 @@
             gevent.killall(list(tasks.values()))
 
     def _spawn_missing_tasks(
-        self, tasks: dict[duties.Fence, gevent.Greenlet]
+        self, tasks: dict[duty_assignment.Fence, gevent.Greenlet]
     ) -> None:
         for fence in [fence for fence, task in tasks.items() if task.dead]:
             del tasks[fence]
@@ -233,8 +239,8 @@
         held = self._held_duties.get(name)
         if held is None:
             return
-        step_registry = STEPS if self.leased else KEEPALIVES
-        kind = duty_names.kind(name)
+        step_registry = DUTY_STEPS if self.has_lease else DUTY_KEEPALIVES
+        kind = duty_names.kind_of(name)
         config = self._config()
         if config is None or kind not in step_registry.names:
             return
@@ -252,7 +258,7 @@
 
     def resign(self) -> None:
         """Hands every duty over and deletes the session row."""
-        if not self.leased or not self._session.read_sessions():
+        if not self.has_lease or not self._session.read_sessions():
             return
         successors = self._session.live_controllers()
         successors.pop(self.name, None)
@@ -261,7 +267,7 @@
         self._held_duties.clear()
         self._session.delete_session()
 
-    def _run_duty(self, name: str, fence: duties.Fence) -> None:
+    def _run_duty(self, name: str, fence: duty_assignment.Fence) -> None:
         """Runs the steps of one duty while it is held with this fence."""
         while (
             self._held_duties.is_held(name, fence)
@@ -269,20 +275,22 @@
         ):
             self.step(name)
             held = self._held_duties.get(name)
-            self._clock.sleep(pause_after(held.soft_state if held else {}))
+            self._clock.sleep(
+                next_step_pause_s(held.soft_state if held else {})
+            )
 
     def _context(
-        self, held: holdings.HeldDuty, config: config_lib.Config
-    ) -> Context:
-        return Context(
+        self, held: held_duties.HeldDuty, config: config_lib.Config
+    ) -> DutyContext:
+        return DutyContext(
             platform=self._platform,
             clock=self._clock,
             rng=self._rng,
             config=config,
             broadcast=self._broadcast,
-            memory=held.soft_state,
-            drop=self._held_duties.release,
-            leased=lambda: self.leased,
+            soft_state=held.soft_state,
+            release_duty=self._held_duties.release,
+            has_lease=lambda: self.has_lease,
         )
 
     def _rebalance(self, members: dict[str, str]) -> None:
@@ -295,12 +303,16 @@
         outcome = self._platform.table.scan(keys.DUTIES)
         if config is None or isinstance(outcome, platform.Unavailable):
             return
-        table = duties.build_table(duty_names.of_config(config), outcome.rows)
+        table = duty_assignment.build_table(
+            duty_names.of_config(config), outcome.rows
+        )
         self._held_duties.apply_table(table)
-        if self.leased and self._session.may_rebalance:
+        if self.has_lease and self._session.may_rebalance:
             self._held_duties.rebalance(table, members)
 
-    def _log_failure(self, held: holdings.HeldDuty, error: Exception) -> None:
+    def _log_failure(
+        self, held: held_duties.HeldDuty, error: Exception
+    ) -> None:
         text = repr(error)
         if held.soft_state.get(_LAST_FAILURE) != text:
             held.soft_state[_LAST_FAILURE] = text
--- a/src/vanillaswitch/coordination/control/membership.py
+++ b/src/vanillaswitch/coordination/control/controller_session.py
@@ -3,8 +3,8 @@
 import dataclasses
 import random
 
-from vanillaswitch.coordination import commits
-from vanillaswitch.coordination.control import leases
+from vanillaswitch.coordination import commit_retries
+from vanillaswitch.coordination.control import session_leases
 from vanillaswitch.internal import clock as clock_lib
 from vanillaswitch.internal import ids
 from vanillaswitch.protocol import platform
@@ -41,9 +41,9 @@
             data_centre=settings.data_centre,
             renewals=0,
         )
-        self._lease = leases.Lease(session)
+        self._lease = session_leases.Lease(session)
         self._first_granted_at: float | None = None
-        self._watch = leases.Watch()
+        self._watch = session_leases.Watch()
 
     @property
     def name(self) -> str:
@@ -70,16 +70,18 @@
         if self._first_granted_at is None:
             return False
         waited_s = self._clock.monotonic() - self._first_granted_at
-        return waited_s >= self._term_s / leases.RENEWALS_PER_TERM
+        return waited_s >= self._term_s / session_leases.RENEWALS_PER_TERM
 
     def renew(self) -> None:
         """Renews the lease, unless another start has taken the row."""
         if self._lease.superseded:
             return
         sent_at = self._clock.monotonic()
-        self._lease, put = leases.prepare_renewal(self._lease, self._name)
+        self._lease, put = session_leases.prepare_renewal(
+            self._lease, self._name
+        )
         outcome = self.commit((put,))
-        self._lease = leases.apply_renewal(
+        self._lease = session_leases.apply_renewal(
             self._lease, outcome, sent_at, self._term_s
         )
         if self._first_granted_at is None and self.has_lease:
@@ -92,14 +94,14 @@
         if isinstance(found, platform.Unavailable):
             return False
         answered_at = self._clock.monotonic()
-        self._watch = leases.observe(
+        self._watch = session_leases.observe(
             self._watch, found.rows, sent_at, answered_at, self._term_s
         )
         return True
 
     def live_controllers(self) -> dict[str, str]:
         """Returns the boot id of each controller whose lease may be valid."""
-        return leases.live_controllers(self._watch, self._term_s)
+        return session_leases.live_controllers(self._watch, self._term_s)
 
     def delete_dead_sessions(self) -> None:
         """Deletes the rows of controllers that have been dead for long.
@@ -107,7 +109,7 @@
         The live controller with the first name does this for all. It is
         harmless if another controller tries as well.
         """
-        puts = leases.dead_session_deletes(
+        puts = session_leases.dead_session_deletes(
             self._watch, DELETE_AFTER_TERMS * self._term_s
         )
         first = min(self.live_controllers(), default="")
@@ -123,6 +125,8 @@
     def commit(self, puts: tuple[platform.Put, ...]) -> platform.CommitOutcome:
         """Commits writes; gives up after one renewal interval."""
         transaction = platform.Transaction(ids.new_id(self._rng), puts)
-        timeout_s = self._term_s / leases.RENEWALS_PER_TERM
+        timeout_s = self._term_s / session_leases.RENEWALS_PER_TERM
         deadline = self._clock.monotonic() + timeout_s
-        return commits.settle(self._table, transaction, self._clock, deadline)
+        return commit_retries.commit_with_retries(
+            self._table, transaction, self._clock, deadline
+        )
--- a/src/vanillaswitch/coordination/control/duties.py
+++ b/src/vanillaswitch/coordination/control/duty_assignment.py
@@ -33,7 +33,7 @@
         """The condition that every transaction under the duty includes."""
         return platform.Check(self.key, self.version)
 
-    def broken_by(self, outcome: platform.CommitOutcome) -> bool:
+    def is_rejected_by(self, outcome: platform.CommitOutcome) -> bool:
         """Returns whether a commit was rejected because the duty was lost."""
         if not isinstance(outcome, platform.Conflict):
             return False
@@ -78,7 +78,7 @@
     return DutyRecord(name, row.version, rows.load(rows.Duty, row.value))
 
 
-def score(duty: str, member: str) -> int:
+def rendezvous_weight(duty: str, member: str) -> int:
     """Returns the rendezvous hashing weight of a controller for a duty."""
     digest = hashlib.blake2b(f"{duty}\0{member}".encode(), digest_size=8)
     return int.from_bytes(digest.digest())
@@ -110,7 +110,9 @@
     free_slots = {m: sizes[m] - min(len(held[m]), sizes[m]) for m in members}
     for name in sorted(table.keys() - assigned.keys()):
         candidates = [member for member in members if free_slots[member] > 0]
-        member = max(candidates, key=lambda m, n=name: (score(n, m), m))  # type: ignore[misc]
+        member = max(
+            candidates, key=lambda m, n=name: (rendezvous_weight(n, m), m)
+        )  # type: ignore[misc]
         assigned[name] = member
         free_slots[member] -= 1
     return assigned
@@ -125,7 +127,9 @@
         if members.get(record.duty.holder) == record.duty.boot:
             held[record.duty.holder].append(name)
     for member, names in held.items():
-        names.sort(key=lambda name, m=member: (-score(name, m), name))  # type: ignore[misc]
+        names.sort(
+            key=lambda name, m=member: (-rendezvous_weight(name, m), name)
+        )  # type: ignore[misc]
     return held
 
 
--- a/src/vanillaswitch/coordination/control/duty_names.py
+++ b/src/vanillaswitch/coordination/control/duty_names.py
@@ -18,12 +18,12 @@
     return tuple(sorted(names))
 
 
-def kind(name: str) -> str:
+def kind_of(name: str) -> str:
     """Returns the kind of a duty, under which its step is registered."""
     return name.partition("/")[0]
 
 
-def subject(name: str) -> str:
+def subject_of(name: str) -> str:
     """Returns the wave, service or data centre that a duty is for.
 
     It is empty for kinds with only one duty.
--- a/src/vanillaswitch/coordination/control/holdings.py
+++ b/src/vanillaswitch/coordination/control/held_duties.py
@@ -4,8 +4,8 @@
 import dataclasses
 from typing import Any
 
-from vanillaswitch.coordination.control import duties
-from vanillaswitch.coordination.control import membership
+from vanillaswitch.coordination.control import controller_session
+from vanillaswitch.coordination.control import duty_assignment
 from vanillaswitch.internal import logs
 from vanillaswitch.protocol import platform
 
@@ -18,7 +18,7 @@
     """A duty that this process holds, with its soft state."""
 
     name: str
-    fence: duties.Fence
+    fence: duty_assignment.Fence
     soft_state: dict[str, Any]
 
 
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        session: membership.ControllerSession,
+        session: controller_session.ControllerSession,
         counters: collections.Counter[str],
     ):
         """Creates an empty set of duties.
@@ -41,7 +41,7 @@
         self._by_name: dict[str, HeldDuty] = {}
 
     @property
-    def fences(self) -> dict[str, duties.Fence]:
+    def fences(self) -> dict[str, duty_assignment.Fence]:
         """The fence of each held duty, by name."""
         return {name: held.fence for name, held in self._by_name.items()}
 
@@ -49,12 +49,12 @@
         """Returns a held duty; None if it is not held."""
         return self._by_name.get(name)
 
-    def is_held(self, name: str, fence: duties.Fence) -> bool:
+    def is_held(self, name: str, fence: duty_assignment.Fence) -> bool:
         """Returns whether a duty is still held with the same fence."""
         held = self._by_name.get(name)
         return held is not None and held.fence == fence
 
-    def release(self, fence: duties.Fence) -> None:
+    def release(self, fence: duty_assignment.Fence) -> None:
         """Removes the duty with this fence after a write was rejected."""
         for name, held in list(self._by_name.items()):
             if held.fence == fence:
@@ -65,12 +65,14 @@
         """Removes every duty."""
         self._by_name.clear()
 
-    def apply_table(self, table: dict[str, duties.DutyRecord]) -> None:
+    def apply_table(self, table: dict[str, duty_assignment.DutyRecord]) -> None:
         """Adds and removes duties as the table says.
 
         Soft state is kept only while the epoch of the duty stays the same.
         """
-        fences = duties.held_by(table, self._session.name, self._session.boot)
+        fences = duty_assignment.held_by(
+            table, self._session.name, self._session.boot
+        )
         lost = self._by_name.keys() - fences.keys()
         taken = [n for n, f in fences.items() if not self.is_held(n, f)]
         for name in lost:
@@ -88,7 +90,9 @@
             )
 
     def rebalance(
-        self, table: dict[str, duties.DutyRecord], members: dict[str, str]
+        self,
+        table: dict[str, duty_assignment.DutyRecord],
+        members: dict[str, str],
     ) -> None:
         """Takes and hands over duties, many in each transaction.
 
@@ -96,15 +100,15 @@
             table: every duty; updated with the rows that are written.
             members: boot id of each live controller.
         """
-        puts = duties.pending_puts(table, members, self._session.name)
+        puts = duty_assignment.pending_puts(table, members, self._session.name)
         for start in range(0, len(puts), MAX_PUTS_PER_TRANSACTION):
             group = tuple(puts[start : start + MAX_PUTS_PER_TRANSACTION])
             outcome = self._session.commit(group)
             if isinstance(outcome, platform.Conflict):
-                group = duties.without_conflicts(group, outcome)
+                group = duty_assignment.without_conflicts(group, outcome)
                 outcome = self._session.commit(group) if group else outcome
             if isinstance(outcome, platform.Committed):
                 table.update(
-                    duties.records_after_commit(group, outcome.version)
+                    duty_assignment.records_after_commit(group, outcome.version)
                 )
                 self.apply_table(table)
--- a/src/vanillaswitch/coordination/entry/admission.py
+++ b/src/vanillaswitch/coordination/entry/admission.py
@@ -17,15 +17,15 @@
 from collections.abc import Iterator
 import dataclasses
 
-from vanillaswitch.coordination.entry import lanes as lanes_lib
-from vanillaswitch.coordination.entry import reserve as reserve_lib
+from vanillaswitch.coordination.entry import class_queues
+from vanillaswitch.coordination.entry import slot_reserve
 from vanillaswitch.protocol import requests
 
 NO_MINIONS_RETRY_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Slots:
+class SlotCounts:
     """Slot counts of a service as this process knows them.
 
     Attributes:
@@ -44,14 +44,14 @@
 class Start:
     """Start the request: a slot is free."""
 
-    ticket: int
+    request_number: int
 
 
 @dataclasses.dataclass(frozen=True)
 class Refuse:
     """Refuse the request without running it."""
 
-    ticket: int
+    request_number: int
     refusal: requests.Refusal
 
 
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _RunningRequest:
-    class_queue: lanes_lib.ClassQueue
+    class_queue: class_queues.ClassQueue
     started_at: float
 
 
@@ -68,9 +68,9 @@
     """Waiting and running requests of one service in one process."""
 
     def __init__(self) -> None:
-        self._class_queues = lanes_lib.ClassQueues()
+        self._class_queues = class_queues.ClassQueues()
         self._running: dict[int, _RunningRequest] = {}
-        self._reserve = reserve_lib.Reserve()
+        self._reserve = slot_reserve.SlotReserve()
 
     @property
     def waiting(self) -> int:
@@ -85,7 +85,7 @@
         return len(self._running)
 
     @property
-    def first_priority(self) -> int:
+    def highest_waiting_priority(self) -> int:
         """Priority of the most urgent waiting request.
 
         Raises:
@@ -101,13 +101,13 @@
             if class_queue.definition.priority == priority
         )
 
-    def reserve(self, slots: Slots) -> int:
+    def reserved_slots(self, slots: SlotCounts) -> int:
         """Returns the number of free slots closed to long requests."""
         usable = slots.total if slots.usable is None else slots.usable
-        return self._reserve.slots(usable)
+        return self._reserve.reserved_slots(usable)
 
-    def arrive(
-        self, arrival: lanes_lib.Arrival, slots: Slots, now: float
+    def enqueue(
+        self, arrival: class_queues.QueuedRequest, slots: SlotCounts, now: float
     ) -> tuple[Action, ...]:
         """Queues a request and returns the actions that follow.
 
@@ -117,7 +117,7 @@
         return self.poll(slots, now)
 
     def forecast(
-        self, arrival: lanes_lib.Arrival, slots: Slots, now: float
+        self, arrival: class_queues.QueuedRequest, slots: SlotCounts, now: float
     ) -> requests.Refusal | None:
         """Returns the refusal that a request would get now, if any.
 
@@ -140,7 +140,7 @@
             return _too_late(wait_s)
         return None
 
-    def finish(self, ticket: int, now: float, measured: bool) -> None:
+    def remove(self, ticket: int, now: float, record_duration: bool) -> None:
         """Removes a request, whether it is waiting, running or unknown.
 
         Args:
@@ -151,13 +151,13 @@
         running_request = self._running.pop(ticket, None)
         if running_request is None:
             self._class_queues.remove(ticket)
-        elif measured:
+        elif record_duration:
             running_request.class_queue.record_slot_time(
                 now - running_request.started_at
             )
         self._update_reserve(now)
 
-    def poll(self, slots: Slots, now: float) -> tuple[Action, ...]:
+    def poll(self, slots: SlotCounts, now: float) -> tuple[Action, ...]:
         """Starts requests in free slots and refuses those that are too late."""
         self._update_reserve(now)
         if slots.total <= 0:
@@ -165,19 +165,23 @@
         actions: list[Action] = []
         free = slots.free
         while class_queue := self._class_queues.choose_next(
-            free, self.reserve(slots)
+            free, self.reserved_slots(slots)
         ):
             arrival = self._class_queues.pop_oldest(class_queue)
             if _is_too_late(arrival, class_queue, now):
                 wait_s = class_queue.slot_time_s / self._capacity(slots)
-                actions.append(Refuse(arrival.ticket, _too_late(wait_s)))
+                actions.append(
+                    Refuse(arrival.request_number, _too_late(wait_s))
+                )
                 continue
             self._class_queues.account_start(class_queue)
-            self._running[arrival.ticket] = _RunningRequest(class_queue, now)
+            self._running[arrival.request_number] = _RunningRequest(
+                class_queue, now
+            )
             self._update_reserve(now)
-            actions.append(Start(arrival.ticket))
+            actions.append(Start(arrival.request_number))
             free -= 1
-        remaining = Slots(slots.total, free)
+        remaining = SlotCounts(slots.total, free)
         actions.extend(self._prune_waiting(remaining, now))
         return tuple(actions)
 
@@ -186,18 +190,18 @@
             not self._class_queues.is_long(running_request.class_queue)
             for running_request in self._running.values()
         )
-        self._reserve.observe(urgent_count, now)
+        self._reserve.record_urgent(urgent_count, now)
 
-    def _capacity(self, slots: Slots) -> int:
+    def _capacity(self, slots: SlotCounts) -> int:
         """Slots that this process can use: those it holds and the free ones."""
         return max(1, slots.free + len(self._running))
 
     def _refuse_all(self) -> Iterator[Action]:
         for class_queue in self._class_queues:
             for arrival in class_queue.take_all():
-                yield Refuse(arrival.ticket, _no_minions())
+                yield Refuse(arrival.request_number, _no_minions())
 
-    def _prune_waiting(self, slots: Slots, now: float) -> Iterator[Action]:
+    def _prune_waiting(self, slots: SlotCounts, now: float) -> Iterator[Action]:
         """Refuses requests beyond the queue limit or too late to start.
 
         They are refused right away: after waiting until its deadline, the
@@ -210,9 +214,9 @@
             for arrival in class_queue.take_all():
                 wait_s = (ahead_s + class_queue.slot_time_s) / capacity
                 if kept >= class_queue.definition.queue_limit:
-                    yield Refuse(arrival.ticket, _queue_full(wait_s))
+                    yield Refuse(arrival.request_number, _queue_full(wait_s))
                 elif now + wait_s + class_queue.slot_time_s > arrival.deadline:
-                    yield Refuse(arrival.ticket, _too_late(wait_s))
+                    yield Refuse(arrival.request_number, _too_late(wait_s))
                 else:
                     class_queue.waiting.append(arrival)
                     ahead_s += class_queue.slot_time_s
@@ -220,7 +224,9 @@
 
 
 def _is_too_late(
-    arrival: lanes_lib.Arrival, class_queue: lanes_lib.ClassQueue, now: float
+    arrival: class_queues.QueuedRequest,
+    class_queue: class_queues.ClassQueue,
+    now: float,
 ) -> bool:
     """Whether a request that gets a slot now has too little time left.
 
@@ -228,7 +234,7 @@
     is. Otherwise, after a slow period that raised the mean above what callers
     allow, no request of the class would ever run and lower it again.
     """
-    needed = 0.0 if now <= arrival.arrived else class_queue.slot_time_s
+    needed = 0.0 if now <= arrival.arrived_at else class_queue.slot_time_s
     return now + needed >= arrival.deadline
 
 
--- a/src/vanillaswitch/coordination/entry/lanes.py
+++ b/src/vanillaswitch/coordination/entry/class_queues.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Arrival:
+class QueuedRequest:
     """A request that waits for a slot.
 
     Attributes:
@@ -28,10 +28,10 @@
         deadline: monotonic seconds.
     """
 
-    ticket: int
+    request_number: int
     class_name: str
     definition: config_lib.RequestClass
-    arrived: float
+    arrived_at: float
     deadline: float
 
 
@@ -43,7 +43,7 @@
         self._slot_time_s = max(_MIN_SLOT_TIME_S, definition.expected_ms / 1000)
         self._sample_count = 0
         self._credit_s = 0.0
-        self._waiting: collections.deque[Arrival] = collections.deque()
+        self._waiting: collections.deque[QueuedRequest] = collections.deque()
 
     @property
     def definition(self) -> config_lib.RequestClass:
@@ -60,7 +60,7 @@
         return self._slot_time_s
 
     @property
-    def waiting(self) -> collections.deque[Arrival]:
+    def waiting(self) -> collections.deque[QueuedRequest]:
         """The waiting requests, oldest first."""
         return self._waiting
 
@@ -94,7 +94,7 @@
         """
         self._credit_s = max(self._credit_s, 0.0) - self._slot_time_s
 
-    def take_all(self) -> list[Arrival]:
+    def take_all(self) -> list[QueuedRequest]:
         """Empties the queue and returns its requests."""
         taken = list(self._waiting)
         self._waiting.clear()
@@ -120,7 +120,7 @@
         """Iterates over the queues in no particular order."""
         return iter(self._class_queues.values())
 
-    def queue_of(self, arrival: Arrival) -> ClassQueue:
+    def queue_of(self, arrival: QueuedRequest) -> ClassQueue:
         """Returns the queue for a request, creating it if necessary.
 
         Updates the queue's class definition to that of the request.
@@ -142,7 +142,7 @@
         waiting.sort(
             key=lambda queue: (
                 queue.definition.priority,
-                queue.waiting[0].ticket,
+                queue.waiting[0].request_number,
             )
         )
         return waiting
@@ -178,7 +178,7 @@
             for other in self
         )
 
-    def pop_oldest(self, queue: ClassQueue) -> Arrival:
+    def pop_oldest(self, queue: ClassQueue) -> QueuedRequest:
         """Removes and returns the oldest request of a queue."""
         return queue.waiting.popleft()
 
@@ -215,6 +215,6 @@
         """Removes a request from the queue that it waits in, if any."""
         for queue in self:
             for arrival in queue.waiting:
-                if arrival.ticket == ticket:
+                if arrival.request_number == ticket:
                     queue.waiting.remove(arrival)
                     return
--- a/src/vanillaswitch/coordination/entry/dispatch.py
+++ b/src/vanillaswitch/coordination/entry/dispatch.py
@@ -19,10 +19,10 @@
 
 from vanillaswitch import errors
 from vanillaswitch.coordination.entry import admission
+from vanillaswitch.coordination.entry import class_queues
 from vanillaswitch.coordination.entry import dispatch_messages
-from vanillaswitch.coordination.entry import lanes
-from vanillaswitch.coordination.entry import lending
-from vanillaswitch.coordination.entry import slot_book
+from vanillaswitch.coordination.entry import slot_allocator
+from vanillaswitch.coordination.entry import slot_lending
 from vanillaswitch.internal import clock as clock_lib
 from vanillaswitch.protocol import minions as minions_lib
 from vanillaswitch.protocol import requests
@@ -56,8 +56,8 @@
         self,
         clock: clock_lib.Clock,
         rng: random.Random,
-        slots: slot_book.SlotBook,
-        send: Callable[[lending.Envelope], None],
+        slots: slot_allocator.SlotAllocator,
+        send: Callable[[slot_lending.AddressedMessage], None],
     ):
         """Initializes the dispatcher; it works while ``running`` is entered.
 
@@ -70,7 +70,7 @@
         self._clock = clock
         self._slots = slots
         self._send = send
-        self._lending = lending.Lending(rng, slots, self._queue_of)
+        self._lending = slot_lending.SlotLending(rng, slots, self._queue_of)
         self._inbox = gevent.queue.Queue()
         self._tickets = itertools.count(1)
         self._queues: dict[str, admission.ServiceQueue] = {}
@@ -78,11 +78,11 @@
         self._last_poll_at = 0.0
 
     @property
-    def loads(self) -> Mapping[str, int]:
+    def in_flight_by_minion(self) -> Mapping[str, int]:
         """This process's requests in flight, by minion instance, for peers."""
-        return self._slots.loads(self._clock.monotonic())
+        return self._slots.in_flight_by_minion(self._clock.monotonic())
 
-    def handle_peer_message(self, message: lending.Message) -> None:
+    def handle_peer_message(self, message: slot_lending.LoanMessage) -> None:
         """Queues a peer's message about slot loans; never blocks."""
         self._inbox.put(dispatch_messages.PeerMessage(message))
 
@@ -121,7 +121,9 @@
             A handle for the request's slot, and its minion or the refusal.
         """
         arrival = self._make_arrival(request, definition)
-        slot = dispatch_messages.SlotHandle(self._inbox.put, arrival.ticket)
+        slot = dispatch_messages.SlotHandle(
+            self._inbox.put, arrival.request_number
+        )
         reply = gevent.event.AsyncResult()
         self._inbox.put(
             dispatch_messages.Admit(arrival, request.service, reply)
@@ -130,17 +132,19 @@
             yield slot, reply.get()
         finally:
             self._inbox.put(
-                dispatch_messages.Finish(arrival.ticket, slot.attempt_result)
+                dispatch_messages.Finish(
+                    arrival.request_number, slot.attempt_result
+                )
             )
 
     def _make_arrival(
         self, request: requests.Request, definition: config_lib.RequestClass
-    ) -> lanes.Arrival:
-        return lanes.Arrival(
-            ticket=next(self._tickets),
+    ) -> class_queues.QueuedRequest:
+        return class_queues.QueuedRequest(
+            request_number=next(self._tickets),
             class_name=request.request_class,
             definition=definition,
-            arrived=self._clock.monotonic(),
+            arrived_at=self._clock.monotonic(),
             deadline=request.deadline,
         )
 
@@ -186,14 +190,14 @@
         match message:
             case dispatch_messages.Forecast(arrival, service, reply):
                 queue = self._queue_of(service)
-                slots = self._slots.count(service, now)
+                slots = self._slots.count_slots(service, now)
                 reply.set(queue.forecast(arrival, slots, now))
             case dispatch_messages.Admit(arrival, service, reply):
-                self._admitted[arrival.ticket] = _AdmittedRequest(
+                self._admitted[arrival.request_number] = _AdmittedRequest(
                     service, reply
                 )
-                slots = self._slots.count(service, now)
-                actions = self._queue_of(service).arrive(arrival, slots, now)
+                slots = self._slots.count_slots(service, now)
+                actions = self._queue_of(service).enqueue(arrival, slots, now)
                 self._apply(actions, now)
                 self._update_loans(service, now)
             case dispatch_messages.Reassign(
@@ -203,7 +207,9 @@
             case dispatch_messages.Finish(ticket, attempt_result):
                 self._finish(ticket, attempt_result, now)
             case dispatch_messages.PeerMessage(peer_message):
-                services, envelopes = self._lending.take(peer_message, now)
+                services, envelopes = self._lending.handle_message(
+                    peer_message, now
+                )
                 self._send_all(envelopes)
                 for service in services:
                     self._poll(service, now)
@@ -216,23 +222,27 @@
     def _poll(self, service: str, now: float) -> None:
         queue = self._queue_of(service)
         if queue.waiting:
-            self._apply(queue.poll(self._slots.count(service, now), now), now)
+            self._apply(
+                queue.poll(self._slots.count_slots(service, now), now), now
+            )
         self._update_loans(service, now)
 
     def _update_loans(self, service: str, now: float) -> None:
-        self._send_all(self._lending.settle(service, now))
+        self._send_all(self._lending.update_loans(service, now))
 
-    def _send_all(self, envelopes: tuple[lending.Envelope, ...]) -> None:
+    def _send_all(
+        self, envelopes: tuple[slot_lending.AddressedMessage, ...]
+    ) -> None:
         for envelope in envelopes:
             self._send(envelope)
 
     def _apply(self, actions: tuple[admission.Action, ...], now: float) -> None:
         for action in actions:
-            admitted = self._admitted[action.ticket]
+            admitted = self._admitted[action.request_number]
             match action:
                 case admission.Refuse(refusal=refusal):
                     admitted.reply.set(refusal)
-                case admission.Start(ticket=ticket):
+                case admission.Start(request_number=ticket):
                     admitted.reply.set(
                         self._start_request(ticket, admitted, now)
                     )
@@ -254,7 +264,7 @@
         excluded: frozenset[str],
         now: float,
     ) -> minions_lib.Minion | None:
-        minion = self._slots.take(admitted.service, excluded, now, ticket)
+        minion = self._slots.allocate(admitted.service, excluded, now, ticket)
         self._admitted[ticket] = dataclasses.replace(
             admitted, minion=minion, taken_at=now
         )
@@ -263,7 +273,7 @@
     def _reassign(
         self,
         ticket: int,
-        attempt_result: slot_book.Verdict,
+        attempt_result: slot_allocator.AttemptResult,
         excluded: frozenset[str],
         now: float,
     ) -> minions_lib.Minion | None:
@@ -275,7 +285,7 @@
         self,
         ticket: int,
         admitted: _AdmittedRequest,
-        attempt_result: slot_book.Verdict,
+        attempt_result: slot_allocator.AttemptResult,
         now: float,
     ) -> None:
         if admitted.minion:
@@ -284,11 +294,14 @@
             )
 
     def _finish(
-        self, ticket: int, attempt_result: slot_book.Verdict, now: float
+        self,
+        ticket: int,
+        attempt_result: slot_allocator.AttemptResult,
+        now: float,
     ) -> None:
         admitted = self._admitted.pop(ticket)
         self._release_slot(ticket, admitted, attempt_result, now)
         queue = self._queues[admitted.service]
-        measured = attempt_result is not slot_book.Verdict.UNUSED
-        queue.finish(ticket, now, measured=measured)
+        measured = attempt_result is not slot_allocator.AttemptResult.NOT_SENT
+        queue.remove(ticket, now, record_duration=measured)
         self._poll(admitted.service, now)
--- a/src/vanillaswitch/coordination/entry/dispatch_messages.py
+++ b/src/vanillaswitch/coordination/entry/dispatch_messages.py
@@ -6,9 +6,9 @@
 
 import gevent.event
 
-from vanillaswitch.coordination.entry import lanes
-from vanillaswitch.coordination.entry import lending
-from vanillaswitch.coordination.entry import slot_book
+from vanillaswitch.coordination.entry import class_queues
+from vanillaswitch.coordination.entry import slot_allocator
+from vanillaswitch.coordination.entry import slot_lending
 from vanillaswitch.protocol import minions as minions_lib
 
 
@@ -16,7 +16,7 @@
 class Forecast:
     """Asks for the refusal that a request would get now."""
 
-    arrival: lanes.Arrival
+    arrival: class_queues.QueuedRequest
     service: str
     reply: Any
 
@@ -25,7 +25,7 @@
 class Admit:
     """Asks for a slot at a minion."""
 
-    arrival: lanes.Arrival
+    arrival: class_queues.QueuedRequest
     service: str
     reply: Any
 
@@ -35,7 +35,7 @@
     """Releases the slot at a minion and asks for one at another."""
 
     ticket: int
-    attempt_result: slot_book.Verdict
+    attempt_result: slot_allocator.AttemptResult
     excluded: frozenset[str]
     reply: Any
 
@@ -45,14 +45,14 @@
     """Ends a request, which may never have had a slot."""
 
     ticket: int
-    attempt_result: slot_book.Verdict
+    attempt_result: slot_allocator.AttemptResult
 
 
 @dataclasses.dataclass(frozen=True)
 class PeerMessage:
     """A peer's message about slot loans."""
 
-    message: lending.Message
+    message: slot_lending.LoanMessage
 
 
 Message = Forecast | Admit | Reassign | Finish | PeerMessage
@@ -64,14 +64,16 @@
     def __init__(self, send: Callable[[Message], None], ticket: int):
         self._send = send
         self._ticket = ticket
-        self._attempt_result = slot_book.Verdict.UNUSED
+        self._attempt_result = slot_allocator.AttemptResult.NOT_SENT
 
     @property
-    def attempt_result(self) -> slot_book.Verdict:
+    def attempt_result(self) -> slot_allocator.AttemptResult:
         """What the last attempt showed about the current minion."""
         return self._attempt_result
 
-    def record_result(self, attempt_result: slot_book.Verdict) -> None:
+    def record_result(
+        self, attempt_result: slot_allocator.AttemptResult
+    ) -> None:
         """Records what an attempt showed about the current minion."""
         self._attempt_result = attempt_result
 
@@ -85,6 +87,6 @@
         self._send(
             Reassign(self._ticket, self._attempt_result, excluded, reply)
         )
-        self._attempt_result = slot_book.Verdict.UNUSED
+        self._attempt_result = slot_allocator.AttemptResult.NOT_SENT
         minion: minions_lib.Minion | None = reply.get()
         return minion
--- a/src/vanillaswitch/coordination/entry/fleet_task.py
+++ b/src/vanillaswitch/coordination/entry/fleet_refresher.py
@@ -17,7 +17,7 @@
 TICK_S = 0.25
 
 
-class FleetTask:
+class FleetRefresher:
     """Reads instance list and budgets regularly, and at once after a pause."""
 
     def __init__(
@@ -49,7 +49,7 @@
         self._is_available = True
 
     @contextlib.contextmanager
-    def running(self) -> Iterator[None]:
+    def run_refresher(self) -> Iterator[None]:
         """Polls and ticks until the context exits."""
         with supervision.running(self._tick_forever, self._poll_forever):
             try:
@@ -59,23 +59,23 @@
 
     def poll(self) -> bool:
         """Refreshes the view once; returns whether all reads succeeded."""
-        pauses = self._view.pauses
+        pauses = self._view.pause_count
         requested_at = self._clock.monotonic()
         listed = self._instances.list()
         if isinstance(listed, platform.Listings):
-            self._view.take_list(listed.instances, requested_at)
+            self._view.update_instances(listed.instances, requested_at)
         budgets = self._table.scan(keys.BUDGETS)
         if isinstance(budgets, platform.Rows):
             for row in budgets.rows:
-                self._view.take_drain(fleet_view.drain_from_budget(row))
+                self._view.update_drain(fleet_view.drain_from_budget(row))
         is_complete = isinstance(listed, platform.Listings) and isinstance(
             budgets, platform.Rows
         )
-        self._view.refreshed(pauses, requested_at, is_complete)
+        self._view.finish_refresh(pauses, requested_at, is_complete)
         self._log_availability(is_complete)
         return is_complete
 
-    def catch_up(self, timeout_s: float) -> bool:
+    def refresh_after_pause(self, timeout_s: float) -> bool:
         """Refreshes once after a pause; returns whether the view is current.
 
         All senders after the same pause share one refresh. It does not wait
@@ -86,18 +86,18 @@
         one refresh: only the last view and the peers' notices are available,
         and requests must be served during an outage.
         """
-        pauses = self._view.pauses
+        pauses = self._view.pause_count
         if self._pause_refresh is None or self._pause_refresh_count != pauses:
             self._pause_refresh = self._refreshes.spawn(self.poll)
             self._pause_refresh_count = pauses
         self._pause_refresh.join(timeout_s)
-        return self._view.current
+        return self._view.is_current
 
     def _tick_forever(self) -> None:
         while True:
-            self._view.tick(self._clock.monotonic())
-            if not self._view.current:
-                self.catch_up(0)
+            self._view.check_for_pause(self._clock.monotonic())
+            if not self._view.is_current:
+                self.refresh_after_pause(0)
             self._clock.sleep(TICK_S)
 
     def _poll_forever(self) -> None:
--- a/src/vanillaswitch/coordination/entry/fleet_view.py
+++ b/src/vanillaswitch/coordination/entry/fleet_view.py
@@ -14,7 +14,7 @@
 from vanillaswitch.state import keys
 from vanillaswitch.state import rows
 
-PAUSE_S = 2.0
+PAUSE_THRESHOLD_S = 2.0
 """Time without a tick after which the process counts as paused."""
 
 DECLINE_BACKOFF_S = 1.0
@@ -25,7 +25,7 @@
     """The fleet view in memory; its methods never switch to another task."""
 
     def __init__(self) -> None:
-        self._listed: tuple[platform.Listing, ...] | None = None
+        self._instances: tuple[platform.Listing, ...] | None = None
         self._listed_at = -math.inf
         self._drains: dict[str, peers.DrainNotice] = {}
         self._backoff_until: dict[str, float] = {}
@@ -37,22 +37,22 @@
         self._refreshed_pause_count = 0
 
     @property
-    def loaded(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether the instance list was read at least once."""
-        return self._listed is not None
+        return self._instances is not None
 
     @property
-    def current(self) -> bool:
+    def is_current(self) -> bool:
         """Whether a refresh was attempted since the last pause."""
         return self._refreshed_pause_count == self._pause_count
 
     @property
-    def pauses(self) -> int:
+    def pause_count(self) -> int:
         """Number of detected pauses of the process."""
         return self._pause_count
 
     @property
-    def version(self) -> int:
+    def drain_version(self) -> int:
         """Highest commit number of the drains in the view."""
         return max(
             (notice.version for notice in self._drains.values()), default=0
@@ -71,7 +71,7 @@
         """Returns the age of the view; None before the first refresh."""
         return None if self._refreshed_at is None else now - self._refreshed_at
 
-    def tick(self, now: float) -> bool:
+    def check_for_pause(self, now: float) -> bool:
         """Detects pauses of the process; returns whether the view is current.
 
         After a pause, for example of its virtual machine, a process continues
@@ -82,13 +82,15 @@
         """
         if (
             self._last_tick_at is not None
-            and now - self._last_tick_at > PAUSE_S
+            and now - self._last_tick_at > PAUSE_THRESHOLD_S
         ):
             self._pause_count += 1
         self._last_tick_at = now
-        return self.current
+        return self.is_current
 
-    def refreshed(self, pauses: int, now: float, whole: bool) -> None:
+    def finish_refresh(
+        self, pauses: int, now: float, is_complete: bool
+    ) -> None:
         """Records the end of a refresh, which may have failed.
 
         Args:
@@ -97,11 +99,11 @@
             now: monotonic seconds at which the refresh began.
             whole: whether all sources answered.
         """
-        if whole:
+        if is_complete:
             self._refreshed_at = now
         self._refreshed_pause_count = max(self._refreshed_pause_count, pauses)
 
-    def take_list(
+    def update_instances(
         self, listed: tuple[platform.Listing, ...], requested_at: float
     ) -> None:
         """Updates the list of instances unless a later one was read already.
@@ -116,10 +118,10 @@
         if requested_at < self._listed_at:
             return
         self._listed_at = requested_at
-        self._listed = listed
+        self._instances = listed
         self._cache.clear()
 
-    def take_drain(self, notice: peers.DrainNotice) -> bool:
+    def update_drain(self, notice: peers.DrainNotice) -> bool:
         """Applies a drain from a peer or the table; returns whether it is new.
 
         Notices arrive late and out of order, and a read of the table may be
@@ -141,7 +143,7 @@
         }
         self._backoff_until[instance] = now + DECLINE_BACKOFF_S
 
-    def minions(
+    def available_minions(
         self, service: str, config: config_lib.Config, now: float
     ) -> tuple[minions_lib.Minion, ...]:
         """Returns the minions of a service that may get new work.
@@ -157,7 +159,7 @@
         )
         return ready or allowed
 
-    def allows(
+    def is_available(
         self, minion: minions_lib.Minion, config: config_lib.Config
     ) -> bool:
         """Whether a minion chosen earlier may still get new work."""
@@ -182,7 +184,7 @@
         drained = self._drained_instances()
         return tuple(
             _minion(listing, limits)
-            for listing in self._listed or ()
+            for listing in self._instances or ()
             if listing.kind is platform.InstanceKind.MINION
             and listing.service == service
             and listing.state is platform.ListedState.LIVE
@@ -207,7 +209,7 @@
         data_centre=listing.data_centre,
         rack=listing.rack,
         slots=limits.slots_per_minion,
-        connections=limits.connections_per_minion,
+        max_connections=limits.connections_per_minion,
     )
 
 
--- a/src/vanillaswitch/coordination/entry/request_path.py
+++ b/src/vanillaswitch/coordination/entry/request_handler.py
@@ -6,12 +6,12 @@
 import contextlib
 import random
 
-from vanillaswitch.coordination.entry import delivery
 from vanillaswitch.coordination.entry import dispatch
 from vanillaswitch.coordination.entry import fleet_view
-from vanillaswitch.coordination.entry import intake
-from vanillaswitch.coordination.entry import lending
-from vanillaswitch.coordination.entry import slot_book
+from vanillaswitch.coordination.entry import request_sender
+from vanillaswitch.coordination.entry import request_validation
+from vanillaswitch.coordination.entry import slot_allocator
+from vanillaswitch.coordination.entry import slot_lending
 from vanillaswitch.internal import clock as clock_lib
 from vanillaswitch.internal import metrics as metrics_lib
 from vanillaswitch.protocol import claims as claims_lib
@@ -22,7 +22,7 @@
 NOT_READY_RETRY_AFTER_S = 1.0
 
 
-class RequestPath:
+class RequestHandler:
     """Answers requests; ``handle`` blocks only the task that calls it."""
 
     def __init__(
@@ -33,13 +33,15 @@
         config: config_view.ConfigView,
         fleet: fleet_view.FleetView,
         catch_up: Callable[[float], bool],
-        peer_loads: Callable[[], Mapping[str, int]],
-        entries: Callable[[], tuple[str, ...]],
+        peer_in_flight: Callable[[], Mapping[str, int]],
+        live_entries: Callable[[], tuple[str, ...]],
         client: minions.MinionClient,
         claims: claims_lib.ClaimService,
         metrics: metrics_lib.Metrics,
-        boot: str = "",
-        lend: Callable[[lending.Envelope], None] = lambda _: None,
+        boot_id: str = "",
+        send_loan_message: Callable[
+            [slot_lending.AddressedMessage], None
+        ] = lambda _: None,
     ):
         """Connects the components that handle requests.
 
@@ -68,27 +70,33 @@
         self._dispatcher = dispatch.Dispatcher(
             clock,
             rng,
-            slot_book.SlotBook(
-                rng, data_centre, config, fleet, peer_loads, entries, boot
+            slot_allocator.SlotAllocator(
+                rng,
+                data_centre,
+                config,
+                fleet,
+                peer_in_flight,
+                live_entries,
+                boot_id,
             ),
-            lend,
+            send_loan_message,
         )
-        self._sender = delivery.RequestSender(
+        self._sender = request_sender.RequestSender(
             clock, fleet, catch_up, client, metrics.counters
         )
         self._in_flight = 0
 
     @property
-    def loads(self) -> Mapping[str, int]:
+    def in_flight_by_minion(self) -> Mapping[str, int]:
         """This process's requests in flight, by minion instance, for peers."""
-        return self._dispatcher.loads
+        return self._dispatcher.in_flight_by_minion
 
     @property
     def in_flight(self) -> int:
         """Number of requests without a reply yet."""
         return self._in_flight
 
-    def told(self, message: lending.Message) -> None:
+    def handle_peer_message(self, message: slot_lending.LoanMessage) -> None:
         """Queues a peer's message about slot loans; never blocks."""
         self._dispatcher.handle_peer_message(message)
 
@@ -98,7 +106,7 @@
         with self._dispatcher.running():
             yield
 
-    def handle(self, incoming: requests.Incoming) -> requests.Reply:
+    def handle(self, incoming: requests.RawRequest) -> requests.Reply:
         """Returns the complete answer to a request, or the final refusal."""
         self._in_flight += 1
         try:
@@ -106,23 +114,23 @@
         finally:
             self._in_flight -= 1
 
-    def _handle(self, incoming: requests.Incoming) -> requests.Reply:
+    def _handle(self, incoming: requests.RawRequest) -> requests.Reply:
         config = self._config.config
-        if config is None or not self._fleet.loaded:
+        if config is None or not self._fleet.is_loaded:
             return self._count_reply(_NOT_READY)
         wall_ms = int(self._clock.wall() * 1000)
-        request = intake.validate(
+        request = request_validation.validate(
             incoming, config, self._clock.monotonic(), wall_ms
         )
         if isinstance(request, requests.Refusal):
             return self._count_reply(request)
-        configured = delivery.ConfiguredRequest(request, config)
+        configured = request_sender.ConfiguredRequest(request, config)
         reply = (
             self._claim_and_deliver(configured)
-            if request.key
+            if request.idempotency_key
             else self._deliver(configured)
         )
-        elapsed_s = self._clock.monotonic() - incoming.received
+        elapsed_s = self._clock.monotonic() - incoming.received_at
         self._metrics.record(
             request.request_class, request.caller, int(elapsed_s * 1_000_000)
         )
@@ -130,8 +138,8 @@
 
     def _deliver(
         self,
-        configured: delivery.ConfiguredRequest,
-        history: delivery.AttemptHistory | None = None,
+        configured: request_sender.ConfiguredRequest,
+        history: request_sender.AttemptHistory | None = None,
     ) -> requests.Reply:
         admission = self._dispatcher.admit(
             configured.request, configured.definition
@@ -140,11 +148,14 @@
             if isinstance(minion, requests.Refusal):
                 return minion
             return self._sender.deliver(
-                configured, slot, minion, history or delivery.AttemptHistory()
+                configured,
+                slot,
+                minion,
+                history or request_sender.AttemptHistory(),
             )
 
     def _claim_and_deliver(
-        self, configured: delivery.ConfiguredRequest
+        self, configured: request_sender.ConfiguredRequest
     ) -> requests.Reply:
         """Delivers a request under a claim on its idempotency key.
 
@@ -164,13 +175,13 @@
                 return answer
             case requests.Refusal():
                 return begun
-            case claims_lib.Proceed(ticket):
+            case claims_lib.ClaimGranted(ticket):
                 return self._deliver_claimed(ticket, configured)
 
     def _deliver_claimed(
-        self, ticket: str, configured: delivery.ConfiguredRequest
+        self, ticket: str, configured: request_sender.ConfiguredRequest
     ) -> requests.Reply:
-        history = delivery.AttemptHistory()
+        history = request_sender.AttemptHistory()
         try:
             reply = self._deliver(configured, history)
         except BaseException:
@@ -178,21 +189,21 @@
             # process is stopping. If the claim stayed open, retries would
             # be answered "unknown" though the request may not have been sent.
             if history.attempts.may_have_run:
-                self._claims.lost(ticket)
+                self._claims.mark_unknown(ticket)
             else:
                 self._claims.release(ticket)
             raise
         if isinstance(reply, requests.Refusal):
             self._close_claim(ticket, reply)
         else:
-            self._claims.finish(ticket, reply)
+            self._claims.complete(ticket, reply)
         return reply
 
     def _close_claim(self, ticket: str, refusal: requests.Refusal) -> None:
         if refusal.outcome is requests.Outcome.NOT_RUN:
             self._claims.release(ticket)
         else:
-            self._claims.lost(ticket)
+            self._claims.mark_unknown(ticket)
 
     def _count_reply(self, reply: requests.Reply) -> requests.Reply:
         counters = self._metrics.counters
--- a/src/vanillaswitch/coordination/entry/delivery.py
+++ b/src/vanillaswitch/coordination/entry/request_sender.py
@@ -6,7 +6,7 @@
 from vanillaswitch.coordination.entry import dispatch_messages
 from vanillaswitch.coordination.entry import fleet_view
 from vanillaswitch.coordination.entry import retry
-from vanillaswitch.coordination.entry import slot_book
+from vanillaswitch.coordination.entry import slot_allocator
 from vanillaswitch.internal import clock as clock_lib
 from vanillaswitch.internal import metrics as metrics_lib
 from vanillaswitch.protocol import minions as minions_lib
@@ -46,15 +46,15 @@
     """
 
     def __init__(self) -> None:
-        self._attempts = retry.Attempts()
+        self._attempts = retry.AttemptState()
 
     @property
-    def attempts(self) -> retry.Attempts:
+    def attempts(self) -> retry.AttemptState:
         """The attempts so far; one in progress counts as possibly run."""
         return self._attempts
 
     @attempts.setter
-    def attempts(self, attempts: retry.Attempts) -> None:
+    def attempts(self, attempts: retry.AttemptState) -> None:
         self._attempts = attempts
 
 
@@ -109,7 +109,7 @@
             if refusal:
                 return _final_refusal(refusal, configured, history)
             excluded |= {target.instance}
-            if not self._fleet.allows(target, configured.config):
+            if not self._fleet.is_available(target, configured.config):
                 target = slot.reassign(excluded)
                 continue
             outcome = self._send_attempt(configured, target, history)
@@ -133,9 +133,13 @@
         passed, and the view of the fleet may be outdated.
         """
         time_left_s = self._time_left_s(configured)
-        if time_left_s > 0 and not self._fleet.tick(self._clock.monotonic()):
+        if time_left_s > 0 and not self._fleet.check_for_pause(
+            self._clock.monotonic()
+        ):
             is_current = self._catch_up(min(time_left_s, MAX_CATCH_UP_S))
-            if not is_current or not self._fleet.tick(self._clock.monotonic()):
+            if not is_current or not self._fleet.check_for_pause(
+                self._clock.monotonic()
+            ):
                 return _VIEW_STALE
         if self._time_left_s(configured) <= 0:
             return _DEADLINE_PASSED
@@ -150,12 +154,12 @@
         budget = self._retry_budget(configured)
         before = history.attempts
         if not before.count:
-            budget.first_attempt(configured.config.policies.retry_ratio)
-        history.attempts = before.begun()
+            budget.credit_first_attempt(configured.config.policies.retry_ratio)
+        history.attempts = before.with_attempt_started()
         self._counters.add("attempts")
         kind = configured.definition.kind
         time_left_s = self._time_left_s(configured)
-        can_retry = budget.available and retry.may_retry(
+        can_retry = budget.has_token and retry.may_retry(
             kind, history.attempts, time_left_s
         )
         outcome = self._client.send(
@@ -169,8 +173,8 @@
             # connection. Other requests use a new one for retries only.
             fresh=before.count > 0 or kind is config_lib.RequestKind.ONCE,
         )
-        result = retry.effect(outcome, configured.service.not_run_statuses)
-        history.attempts = history.attempts.ended(before, result)
+        result = retry.effect_of(outcome, configured.service.not_run_statuses)
+        history.attempts = history.attempts.with_attempt_ended(before, result)
         return outcome
 
     def _try_take_retry(
@@ -181,7 +185,7 @@
             kind, history.attempts, self._time_left_s(configured)
         ):
             return False
-        if not self._retry_budget(configured).take():
+        if not self._retry_budget(configured).try_take():
             self._counters.add("retries.over-budget")
             return False
         self._counters.add("retries")
@@ -216,21 +220,21 @@
 def _is_declined(
     outcome: minions_lib.SendOutcome, service: config_lib.Service
 ) -> bool:
-    result = retry.effect(outcome, service.not_run_statuses)
+    result = retry.effect_of(outcome, service.not_run_statuses)
     is_answered = isinstance(outcome, minions_lib.Answered)
-    return is_answered and result is retry.Effect.NOT_RUN
+    return is_answered and result is retry.AttemptEffect.NOT_RUN
 
 
 def _attempt_result(
     outcome: minions_lib.SendOutcome, service: config_lib.Service
-) -> slot_book.Verdict:
+) -> slot_allocator.AttemptResult:
     if retry.declines_new_requests(outcome, service.not_run_statuses):
-        return slot_book.Verdict.DECLINED
+        return slot_allocator.AttemptResult.DECLINED
     if isinstance(outcome, minions_lib.Answered):
-        return slot_book.Verdict.ANSWERED
-    if retry.is_failure_of_minion(outcome):
-        return slot_book.Verdict.FAILED
-    return slot_book.Verdict.UNCLEAR
+        return slot_allocator.AttemptResult.ANSWERED
+    if retry.is_minion_failure(outcome):
+        return slot_allocator.AttemptResult.FAILED
+    return slot_allocator.AttemptResult.UNKNOWN
 
 
 def _not_run(status: int, code: str, detail: str) -> requests.Refusal:
@@ -258,9 +262,9 @@
             return _not_run(503, "declined", "The minions declined it.")
         case minions_lib.NotSent():
             return _not_run(503, "unreachable", "No minion was reached.")
-        case minions_lib.Lost(silent=True):
+        case minions_lib.ResponseLost(timed_out=True):
             return _unknown(504, "no-answer", "No answer came in time.")
-        case minions_lib.Lost():
+        case minions_lib.ResponseLost():
             return _unknown(502, "answer-lost", "The answer broke off.")
 
 
--- a/src/vanillaswitch/coordination/entry/intake.py
+++ b/src/vanillaswitch/coordination/entry/request_validation.py
@@ -20,16 +20,16 @@
 MAX_ISSUED_AHEAD_MS = 300_000
 
 _CONTROL_HEADERS = (
-    requests.HEADER_CALLER,
-    requests.HEADER_REQUEST,
+    requests.HEADER_CALLER_ID,
+    requests.HEADER_REQUEST_ID,
     requests.HEADER_TIMEOUT_MS,
-    requests.HEADER_KEY,
+    requests.HEADER_IDEMPOTENCY_KEY,
     requests.HEADER_ISSUED_MS,
 )
 
 
 def validate(
-    incoming: requests.Incoming,
+    incoming: requests.RawRequest,
     config: config_lib.Config,
     now: float,
     wall_ms: int,
@@ -55,12 +55,12 @@
     )
     if refusal:
         return refusal
-    deadline = incoming.received + _timeout_ms(control_headers) / 1000
+    deadline = incoming.received_at + _timeout_ms(control_headers) / 1000
     if deadline <= now:
         return _refusal(504, "deadline-passed", "The deadline has passed.")
     request = requests.Request(
-        request_id=control_headers[requests.HEADER_REQUEST],
-        caller=control_headers[requests.HEADER_CALLER],
+        request_id=control_headers[requests.HEADER_REQUEST_ID],
+        caller=control_headers[requests.HEADER_CALLER_ID],
         service=route_match.service,
         request_class=route_match.request_class,
         method=incoming.method,
@@ -72,7 +72,7 @@
     kind = config.classes[route_match.request_class].kind
     if (
         kind is config_lib.RequestKind.ONCE
-        and requests.HEADER_KEY in control_headers
+        and requests.HEADER_IDEMPOTENCY_KEY in control_headers
     ):
         return _add_idempotency_key(
             request, control_headers, config.policies, wall_ms
@@ -113,7 +113,7 @@
 
 
 def _classify(
-    incoming: requests.Incoming, config: config_lib.Config
+    incoming: requests.RawRequest, config: config_lib.Config
 ) -> _RouteMatch | requests.Refusal:
     segments = _path_segments(incoming.target)
     if segments is None:
@@ -174,7 +174,7 @@
 
 
 def _check_body(
-    incoming: requests.Incoming, policies: config_lib.Policies
+    incoming: requests.RawRequest, policies: config_lib.Policies
 ) -> requests.Refusal | None:
     if len(incoming.body) <= policies.max_body_bytes:
         return None
@@ -186,7 +186,7 @@
 
 
 def _check_names(control_headers: Mapping[str, str]) -> requests.Refusal | None:
-    for header in (requests.HEADER_CALLER, requests.HEADER_REQUEST):
+    for header in (requests.HEADER_CALLER_ID, requests.HEADER_REQUEST_ID):
         if not _is_printable_ascii(
             control_headers.get(header, ""), MAX_NAME_LENGTH
         ):
@@ -241,12 +241,12 @@
     second one. A request issued in the future is refused too, because its
     claim would be deleted too early.
     """
-    key = control_headers[requests.HEADER_KEY]
+    key = control_headers[requests.HEADER_IDEMPOTENCY_KEY]
     if not _is_printable_ascii(key, MAX_KEY_LENGTH):
         return _refusal(
             400,
             "bad-key",
-            f"{requests.HEADER_KEY} must have 1 to {MAX_KEY_LENGTH} "
+            f"{requests.HEADER_IDEMPOTENCY_KEY} must have 1 to {MAX_KEY_LENGTH} "
             "characters.",
         )
     issued_ms = _parse_number(
@@ -258,10 +258,12 @@
             "missing-issued",
             f"{requests.HEADER_ISSUED_MS} is required with a key.",
         )
-    if claim_expiry.too_old(issued_ms, wall_ms, policies.claim_retention_s):
+    if claim_expiry.is_too_old(issued_ms, wall_ms, policies.claim_retention_s):
         return claim_rules.TOO_OLD
     if issued_ms > wall_ms + MAX_ISSUED_AHEAD_MS:
         return _refusal(
             422, "issued-ahead", "The time of issue lies in the future."
         )
-    return dataclasses.replace(request, key=key, issued_ms=issued_ms)
+    return dataclasses.replace(
+        request, idempotency_key=key, issued_ms=issued_ms
+    )
--- a/src/vanillaswitch/coordination/entry/retry.py
+++ b/src/vanillaswitch/coordination/entry/retry.py
@@ -10,10 +10,10 @@
 MAX_ATTEMPTS = 3
 BUDGET_BURST = 10.0
 
-SUSPECT_FAILURES = 3
+FAILURES_TO_SUSPECT = 3
 """Consecutive failures from which a minion is suspected."""
 
-SUSPECT_S = 1.0
+SUSPECT_BACKOFF_S = 1.0
 """Time after a failure during which a suspected minion gets no requests."""
 
 FAILURE_EXPIRY_S = 60.0
@@ -31,17 +31,17 @@
         self._tokens = BUDGET_BURST
 
     @property
-    def available(self) -> bool:
+    def has_token(self) -> bool:
         """Whether there is a token for a retry."""
         return self._tokens >= 1
 
-    def first_attempt(self, ratio: float) -> None:
+    def credit_first_attempt(self, ratio: float) -> None:
         """Adds ``ratio`` tokens for a first attempt, up to the burst limit."""
         self._tokens = min(BUDGET_BURST, self._tokens + ratio)
 
-    def take(self) -> bool:
+    def try_take(self) -> bool:
         """Takes a token for one retry; returns False if there is none."""
-        if not self.available:
+        if not self.has_token:
             return False
         self._tokens -= 1
         return True
@@ -53,7 +53,7 @@
     last_at: float
 
 
-class Suspicion:
+class MinionFailures:
     """Tracks minions that refused or reset several connections in a row.
 
     Such minions get no requests for a short time and then only a few as probes,
@@ -65,7 +65,7 @@
     def __init__(self) -> None:
         self._failures: dict[str, _FailureCount] = {}
 
-    def failed(self, instance: str, now: float) -> None:
+    def record_failure(self, instance: str, now: float) -> None:
         """Records a refused or reset connection."""
         self._failures = {
             name: failures
@@ -75,26 +75,26 @@
         known = self._failures.get(instance, _FailureCount(0, now))
         self._failures[instance] = _FailureCount(known.count + 1, now)
 
-    def answered(self, instance: str) -> None:
+    def record_answer(self, instance: str) -> None:
         """Records a complete answer, which clears the minion's failures."""
         self._failures.pop(instance, None)
 
-    def suspects(self, now: float) -> frozenset[str]:
+    def suspected_instances(self, now: float) -> frozenset[str]:
         """Returns the instances that get no requests for now."""
         return frozenset(
             name
             for name, failures in self._failures.items()
-            if failures.count >= SUSPECT_FAILURES
-            and now < failures.last_at + SUSPECT_S
+            if failures.count >= FAILURES_TO_SUSPECT
+            and now < failures.last_at + SUSPECT_BACKOFF_S
         )
 
-    def is_doubtful(self, instance: str) -> bool:
+    def needs_probe(self, instance: str) -> bool:
         """Whether an instance failed often and has not answered since."""
         failures = self._failures.get(instance)
-        return failures is not None and failures.count >= SUSPECT_FAILURES
+        return failures is not None and failures.count >= FAILURES_TO_SUSPECT
 
 
-class Effect(enum.Enum):
+class AttemptEffect(enum.Enum):
     """What the outcome of an attempt means for the request."""
 
     ANSWERED = "answered"
@@ -102,9 +102,9 @@
     MAY_HAVE_RUN = "may-have-run"
 
 
-def effect(
+def effect_of(
     outcome: minions.SendOutcome, not_run_statuses: tuple[int, ...]
-) -> Effect:
+) -> AttemptEffect:
     """Returns what an outcome means for the request.
 
     Args:
@@ -114,15 +114,15 @@
     match outcome:
         case minions.Answered(answer):
             if answer.status in not_run_statuses:
-                return Effect.NOT_RUN
-            return Effect.ANSWERED
+                return AttemptEffect.NOT_RUN
+            return AttemptEffect.ANSWERED
         case minions.NotSent():
-            return Effect.NOT_RUN
-        case minions.Lost():
-            return Effect.MAY_HAVE_RUN
+            return AttemptEffect.NOT_RUN
+        case minions.ResponseLost():
+            return AttemptEffect.MAY_HAVE_RUN
 
 
-def is_failure_of_minion(outcome: minions.SendOutcome) -> bool:
+def is_minion_failure(outcome: minions.SendOutcome) -> bool:
     """Whether an outcome counts as a failure of the minion.
 
     A connection without any answer does not: some device between the two ends
@@ -131,7 +131,7 @@
     match outcome:
         case minions.NotSent():
             return True
-        case minions.Lost(silent=silent):
+        case minions.ResponseLost(timed_out=silent):
             return not silent
         case minions.Answered():
             return False
@@ -153,7 +153,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Attempts:
+class AttemptState:
     """State of a request after the attempts so far.
 
     Attributes:
@@ -164,23 +164,25 @@
     count: int = 0
     may_have_run: bool = False
 
-    def begun(self) -> "Attempts":
+    def with_attempt_started(self) -> "AttemptState":
         """Returns the state while another attempt is in progress."""
-        return Attempts(self.count + 1, True)
+        return AttemptState(self.count + 1, True)
 
-    def ended(self, before: "Attempts", result: Effect) -> "Attempts":
+    def with_attempt_ended(
+        self, before: "AttemptState", result: AttemptEffect
+    ) -> "AttemptState":
         """Returns the state after the attempt in progress.
 
         Args:
             before: the state before this attempt started.
             result: what its outcome means.
         """
-        ran = before.may_have_run or result is not Effect.NOT_RUN
-        return Attempts(self.count, ran)
+        ran = before.may_have_run or result is not AttemptEffect.NOT_RUN
+        return AttemptState(self.count, ran)
 
 
 def may_retry(
-    kind: config.RequestKind, attempts: Attempts, time_left_s: float
+    kind: config.RequestKind, attempts: AttemptState, time_left_s: float
 ) -> bool:
     """Whether one more attempt is allowed, apart from the retry budget.
 
--- a/src/vanillaswitch/coordination/entry/routing.py
+++ b/src/vanillaswitch/coordination/entry/routing.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Loads:
+class MinionLoads:
     """Use of the minions' slots by instance; absent instances mean zero.
 
     Attributes:
@@ -31,48 +31,56 @@
         loans: slots borrowed from peers minus slots lent to them.
     """
 
-    own: Mapping[str, int]
-    peers: Mapping[str, int]
-    entries: tuple[str, ...] = ("",)
-    loans: Mapping[str, int] = dataclasses.field(default_factory=dict)
+    own_in_flight: Mapping[str, int]
+    peer_in_flight: Mapping[str, int]
+    live_entries: tuple[str, ...] = ("",)
+    net_loans: Mapping[str, int] = dataclasses.field(default_factory=dict)
 
-    def of(self, minion: minions_lib.Minion) -> int:
+    def in_flight_at(self, minion: minions_lib.Minion) -> int:
         """Returns the number of known requests in flight at a minion."""
         name = minion.instance
-        return self.own.get(name, 0) + self.peers.get(name, 0)
+        return self.own_in_flight.get(name, 0) + self.peer_in_flight.get(
+            name, 0
+        )
 
 
-class Policy(Protocol):
+class RoutingPolicy(Protocol):
     """A way to share the minions' slots among entries."""
 
-    def limit(self, minion: minions_lib.Minion, loads: Loads, /) -> int:
+    def slot_limit(
+        self, minion: minions_lib.Minion, loads: MinionLoads, /
+    ) -> int:
         """Returns how many of a minion's slots this process may use."""
 
-    def room(self, minion: minions_lib.Minion, loads: Loads) -> int:
+    def free_slots(self, minion: minions_lib.Minion, loads: MinionLoads) -> int:
         """Returns the number of free slots; negative if overcommitted."""
 
     def choose(
         self,
         candidates: Sequence[minions_lib.Minion],
-        loads: Loads,
+        loads: MinionLoads,
         data_centre: str,
         rng: random.Random,
     ) -> minions_lib.Minion:
         """Returns one of the candidates, each of which has a free slot."""
 
 
-policies: registry.Registry[Policy] = registry.Registry("routing policy")
+POLICY_REGISTRY: registry.Registry[RoutingPolicy] = registry.Registry(
+    "routing policy"
+)
 
 
-def room(policy: Policy, minion: minions_lib.Minion, loads: Loads) -> int:
+def free_slots(
+    policy: RoutingPolicy, minion: minions_lib.Minion, loads: MinionLoads
+) -> int:
     """Returns the free slots of a minion under a policy, 0 or more."""
-    return max(0, policy.room(minion, loads))
+    return max(0, policy.free_slots(minion, loads))
 
 
 def pick_minion(
-    policy: Policy,
+    policy: RoutingPolicy,
     minions: Sequence[minions_lib.Minion],
-    loads: Loads,
+    loads: MinionLoads,
     excluded: Collection[str],
     data_centre: str,
     rng: random.Random,
@@ -90,7 +98,8 @@
     candidates = [
         minion
         for minion in minions
-        if minion.instance not in excluded and room(policy, minion, loads) > 0
+        if minion.instance not in excluded
+        and free_slots(policy, minion, loads) > 0
     ]
     if not candidates:
         return None
@@ -125,16 +134,16 @@
     the same time.
     """
 
-    def limit(self, minion: minions_lib.Minion, _loads: Loads) -> int:
+    def limit(self, minion: minions_lib.Minion, _loads: MinionLoads) -> int:
         return minion.slots
 
-    def room(self, minion: minions_lib.Minion, loads: Loads) -> int:
-        return minion.slots - loads.of(minion)
+    def room(self, minion: minions_lib.Minion, loads: MinionLoads) -> int:
+        return minion.slots - loads.in_flight_at(minion)
 
     def choose(
         self,
         candidates: Sequence[minions_lib.Minion],
-        loads: Loads,
+        loads: MinionLoads,
         data_centre: str,
         rng: random.Random,
     ) -> minions_lib.Minion:
@@ -142,7 +151,7 @@
         return min(
             sampled,
             key=lambda minion: (
-                loads.of(minion),
+                loads.in_flight_at(minion),
                 minion.data_centre != data_centre,
             ),
         )
@@ -155,24 +164,24 @@
     do not affect the slots in this process's share.
     """
 
-    def limit(self, minion: minions_lib.Minion, loads: Loads) -> int:
-        return slot_share(minion.instance, minion.slots, loads.entries)
+    def limit(self, minion: minions_lib.Minion, loads: MinionLoads) -> int:
+        return slot_share(minion.instance, minion.slots, loads.live_entries)
 
-    def room(self, minion: minions_lib.Minion, loads: Loads) -> int:
-        used = loads.own.get(minion.instance, 0)
+    def room(self, minion: minions_lib.Minion, loads: MinionLoads) -> int:
+        used = loads.own_in_flight.get(minion.instance, 0)
         return self.limit(minion, loads) - used
 
     def choose(
         self,
         candidates: Sequence[minions_lib.Minion],
-        loads: Loads,
+        loads: MinionLoads,
         data_centre: str,
         rng: random.Random,
     ) -> minions_lib.Minion:
         return min(
             candidates,
             key=lambda minion: (
-                loads.own.get(minion.instance, 0),
+                loads.own_in_flight.get(minion.instance, 0),
                 minion.data_centre != data_centre,
                 rng.random(),
             ),
@@ -182,12 +191,12 @@
 class _LentShare(_FixedShare):
     """A fixed share, plus whole slots lent between entries on demand."""
 
-    def limit(self, minion: minions_lib.Minion, loads: Loads) -> int:
-        net_lent = loads.loans.get(minion.instance, 0)
+    def limit(self, minion: minions_lib.Minion, loads: MinionLoads) -> int:
+        net_lent = loads.net_loans.get(minion.instance, 0)
         return super().limit(minion, loads) + net_lent
 
 
 LENT_SHARE_POLICY = DEFAULT_POLICY
-policies.register("two-choices")(_TwoChoices())
-policies.register("fixed-share")(_FixedShare())
-policies.register(LENT_SHARE_POLICY)(_LentShare())
+POLICY_REGISTRY.register("two-choices")(_TwoChoices())
+POLICY_REGISTRY.register("fixed-share")(_FixedShare())
+POLICY_REGISTRY.register(LENT_SHARE_POLICY)(_LentShare())
--- a/src/vanillaswitch/coordination/entry/slot_book.py
+++ b/src/vanillaswitch/coordination/entry/slot_allocator.py
@@ -16,17 +16,17 @@
 from vanillaswitch.state import config_view
 
 
-class Verdict(enum.Enum):
+class AttemptResult(enum.Enum):
     """How an attempt ended at the minion that was allocated to it."""
 
     ANSWERED = "answered"
     FAILED = "failed"
     DECLINED = "declined"
-    UNUSED = "unused"
-    UNCLEAR = "unclear"
+    NOT_SENT = "unused"
+    UNKNOWN = "unclear"
 
 
-MAX_LINGER_S = 1.0
+MAX_ABANDONED_S = 1.0
 """Longest time that the slot of an abandoned attempt stays counted."""
 
 MAX_PROBES = 1
@@ -42,7 +42,7 @@
     expires_at: float
 
 
-class SlotBook:
+class SlotAllocator:
     """Slots in use by this process; used by a single task.
 
     Its methods never switch to another task.
@@ -77,11 +77,11 @@
         self._peer_in_flight = peer_in_flight
         self._live_entries = live_entries
         self._own_in_flight: dict[str, int] = {}
-        self._failures = retry.Suspicion()
+        self._failures = retry.MinionFailures()
         self._abandoned: list[_AbandonedSlot] = []
         self._loans = slot_loans.LoanTracker(live_entries()[0], boot_id)
 
-    def loads(self, now: float) -> Mapping[str, int]:
+    def in_flight_by_minion(self, now: float) -> Mapping[str, int]:
         """Returns own requests in flight by minion instance."""
         self._release_expired(now)
         return dict(self._own_in_flight)
@@ -107,7 +107,7 @@
         name = config.policies.routing
         # During a rolling upgrade, the configuration may name a policy that
         # only newer versions of the program have.
-        if name not in routing.policies.names:
+        if name not in routing.POLICY_REGISTRY.names:
             return routing.DEFAULT_POLICY
         return name
 
@@ -120,19 +120,19 @@
             for minion, free in self._free_slots(service, now).items()
         }
 
-    def count(self, service: str, now: float) -> admission.Slots:
+    def count_slots(self, service: str, now: float) -> admission.SlotCounts:
         """Returns the known numbers of slots of a service."""
         free_slots = self._free_slots(service, now)
         if not free_slots:
-            return admission.Slots(0, 0)
+            return admission.SlotCounts(0, 0)
         policy, loads = self._policy(), self._loads()
-        limits = (policy.limit(minion, loads) for minion in free_slots)
+        limits = (policy.slot_limit(minion, loads) for minion in free_slots)
         total = sum(minion.slots for minion in free_slots)
-        return admission.Slots(
+        return admission.SlotCounts(
             total, sum(free_slots.values()), usable=sum(limits)
         )
 
-    def take(
+    def allocate(
         self,
         service: str,
         excluded: frozenset[str],
@@ -169,7 +169,7 @@
     def release(
         self,
         minion: minions_lib.Minion,
-        attempt_result: Verdict,
+        attempt_result: AttemptResult,
         taken_at: float,
         now: float,
         request_number: int = 0,
@@ -190,19 +190,19 @@
         """
         name = minion.instance
         match attempt_result:
-            case Verdict.ANSWERED:
-                self._failures.answered(name)
-            case Verdict.FAILED:
-                self._failures.failed(name, now)
-            case Verdict.DECLINED:
+            case AttemptResult.ANSWERED:
+                self._failures.record_answer(name)
+            case AttemptResult.FAILED:
+                self._failures.record_failure(name, now)
+            case AttemptResult.DECLINED:
                 self._fleet.back_off_from(name, now)
-            case Verdict.UNCLEAR:
-                expires_at = now + min(now - taken_at, MAX_LINGER_S)
+            case AttemptResult.UNKNOWN:
+                expires_at = now + min(now - taken_at, MAX_ABANDONED_S)
                 self._abandoned.append(
                     _AbandonedSlot(request_number, minion, expires_at)
                 )
                 return
-            case Verdict.UNUSED:
+            case AttemptResult.NOT_SENT:
                 pass
         self._add_in_flight(name, -1)
 
@@ -221,15 +221,17 @@
             return {}
         self._release_expired(now)
         policy, loads = self._policy(), self._loads()
-        free_slots = {one: routing.room(policy, one, loads) for one in minions}
-        suspects = self._failures.suspects(now)
+        free_slots = {
+            one: routing.free_slots(policy, one, loads) for one in minions
+        }
+        suspects = self._failures.suspected_instances(now)
         if all(minion.instance in suspects for minion in minions):
             return free_slots
         for minion in minions:
             name = minion.instance
             if name in suspects:
                 free_slots[minion] = 0
-            elif self._failures.is_doubtful(name):
+            elif self._failures.needs_probe(name):
                 free_probes = MAX_PROBES - self._own_in_flight.get(name, 0)
                 free_slots[minion] = max(
                     0, min(free_slots[minion], free_probes)
@@ -275,13 +277,13 @@
         config = self._config.config
         if config is None:
             return ()
-        return self._fleet.minions(service, config, now)
+        return self._fleet.available_minions(service, config, now)
 
-    def _policy(self) -> routing.Policy:
-        return routing.policies.get(self.policy_name)
+    def _policy(self) -> routing.RoutingPolicy:
+        return routing.POLICY_REGISTRY.get(self.policy_name)
 
-    def _loads(self) -> routing.Loads:
-        return routing.Loads(
+    def _loads(self) -> routing.MinionLoads:
+        return routing.MinionLoads(
             self._own_in_flight,
             self._peer_in_flight(),
             self._live_entries(),
--- a/src/vanillaswitch/coordination/entry/lending.py
+++ b/src/vanillaswitch/coordination/entry/slot_lending.py
@@ -10,27 +10,27 @@
 
 from vanillaswitch.coordination.entry import admission
 from vanillaswitch.coordination.entry import routing
-from vanillaswitch.coordination.entry import slot_book
+from vanillaswitch.coordination.entry import slot_allocator
 from vanillaswitch.protocol import peers
 
-Message = peers.SlotAsk | peers.SlotGrant | peers.SlotReturn
+LoanMessage = peers.SlotAsk | peers.SlotGrant | peers.SlotReturn
 
 
 @dataclasses.dataclass(frozen=True)
-class Envelope:
+class AddressedMessage:
     """A message and the process to send it to."""
 
-    process: str
-    message: Message
+    recipient: str
+    message: LoanMessage
 
 
-class Lending:
+class SlotLending:
     """Lends and borrows slots for one process."""
 
     def __init__(
         self,
         rng: random.Random,
-        slots: slot_book.SlotBook,
+        slots: slot_allocator.SlotAllocator,
         queue: Callable[[str], admission.ServiceQueue],
     ):
         """Initializes lending.
@@ -44,7 +44,9 @@
         self._slots = slots
         self._queue = queue
 
-    def settle(self, service: str, now: float) -> tuple[Envelope, ...]:
+    def update_loans(
+        self, service: str, now: float
+    ) -> tuple[AddressedMessage, ...]:
         """Returns idle loans, and requests loans if requests are queued.
 
         Call this after each change of a service's queue or slots.
@@ -56,13 +58,14 @@
             return ()
         loans = self._slots.loans
         queue = self._queue(service)
-        waiting = queue.first_priority if queue.waiting else None
+        waiting = queue.highest_waiting_priority if queue.waiting else None
         envelopes = []
         if loans.has_borrowed(service):
             free_slots = self._slots.free_slots_by_instance(service, now)
             returns = loans.return_idle(service, free_slots, waiting, now)
             envelopes = [
-                Envelope(peer, message) for peer, message in returns.items()
+                AddressedMessage(peer, message)
+                for peer, message in returns.items()
             ]
         peer_entries = self._slots.live_entries[1:]
         if waiting is None or not peer_entries:
@@ -70,12 +73,12 @@
         if loans.may_request(service, waiting, now):
             peer = self._rng.choice(peer_entries)
             ask = loans.new_request(service, queue.waiting, waiting, now)
-            envelopes.append(Envelope(peer, ask))
+            envelopes.append(AddressedMessage(peer, ask))
         return tuple(envelopes)
 
-    def take(
-        self, message: Message, now: float
-    ) -> tuple[frozenset[str], tuple[Envelope, ...]]:
+    def handle_message(
+        self, message: LoanMessage, now: float
+    ) -> tuple[frozenset[str], tuple[AddressedMessage, ...]]:
         """Handles a message from a peer.
 
         Returns:
@@ -87,7 +90,7 @@
                 grant = loans.lend(
                     message, self._idle_instances(message, now), now
                 )
-                return frozenset(), (Envelope(message.process, grant),)
+                return frozenset(), (AddressedMessage(message.process, grant),)
             case peers.SlotGrant():
                 loans.handle_grant(message, now)
                 return frozenset((message.service,)), ()
@@ -105,11 +108,11 @@
         if self._slots.policy_name != routing.LENT_SHARE_POLICY:
             return ()
         queue = self._queue(ask.service)
-        if queue.waiting and queue.first_priority <= ask.priority:
+        if queue.waiting and queue.highest_waiting_priority <= ask.priority:
             return ()
-        slots = self._slots.count(ask.service, now)
+        slots = self._slots.count_slots(ask.service, now)
         may_use_reserve = queue.may_use_reserve(ask.priority)
-        reserved = 0 if may_use_reserve else queue.reserve(slots)
+        reserved = 0 if may_use_reserve else queue.reserved_slots(slots)
         free_slots = dict(self._slots.free_slots_by_instance(ask.service, now))
         idle: list[str] = []
         while len(idle) < min(ask.slots, slots.free - reserved):
--- a/src/vanillaswitch/coordination/entry/reserve.py
+++ b/src/vanillaswitch/coordination/entry/slot_reserve.py
@@ -2,7 +2,7 @@
 
 import math
 
-URGENT_SHARE = 8
+SLOTS_PER_RESERVED_SLOT = 8
 """At least one slot in this many is reserved; the quotient is rounded."""
 
 HEADROOM = 1.0
@@ -16,7 +16,7 @@
 """Time constant of the exponential average of urgent use."""
 
 
-class Reserve:
+class SlotReserve:
     """Average number of slots that urgent requests use.
 
     Running requests are not preempted. If long requests took every slot that
@@ -31,7 +31,7 @@
         self._urgent = 0
         self._observed_at: float | None = None
 
-    def observe(self, urgent: int, now: float) -> None:
+    def record_urgent(self, urgent: int, now: float) -> None:
         """Records the number of urgent requests that run from now on."""
         if self._observed_at is not None:
             decay = math.exp(-max(0.0, now - self._observed_at) / SMOOTHING_S)
@@ -41,12 +41,12 @@
         self._observed_at = now
         self._urgent = urgent
 
-    def slots(self, usable: int) -> int:
+    def reserved_slots(self, usable: int) -> int:
         """Returns the number of free slots closed to long requests.
 
         Args:
             usable: number of slots that this process may use at once.
         """
-        minimum = round(usable / URGENT_SHARE)
+        minimum = round(usable / SLOTS_PER_RESERVED_SLOT)
         expected = self._mean_urgent + min(HEADROOM, self._mean_urgent)
         return max(minimum, round(expected - self._urgent))
--- a/src/vanillaswitch/coordination/fleet/job_requests/job_store.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/job_store.py
@@ -15,7 +15,7 @@
 import itertools
 
 from vanillaswitch import errors
-from vanillaswitch.coordination import commits
+from vanillaswitch.coordination import commit_retries
 from vanillaswitch.coordination.fleet.job_requests import job_rows
 from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.internal import clock as clocks
@@ -181,7 +181,7 @@
             platform.Put(key, platform.ABSENT, document)
             for key, document in rows.items()
         )
-        return commits.settle(
+        return commit_retries.commit_with_retries(
             self._table,
             platform.Transaction(token, puts),
             self._clock,
--- a/src/vanillaswitch/coordination/prompt_table.py
+++ b/src/vanillaswitch/coordination/hedged_table.py
@@ -19,7 +19,7 @@
 
 import gevent
 
-from vanillaswitch.coordination import answer_times
+from vanillaswitch.coordination import hedging_delay
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.protocol import platform
 
@@ -52,14 +52,14 @@
     in_doubt: bool = False
 
 
-class PromptTable:
+class HedgedTable:
     """Implements ``platform.Table`` on top of one that may answer late."""
 
     def __init__(self, table: platform.Table, clock: clocks.Clock):
         self._table = table
         self._clock = clock
-        self._read_delay = answer_times.HedgingDelay()
-        self._write_delay = answer_times.HedgingDelay()
+        self._read_delay = hedging_delay.HedgingDelay()
+        self._write_delay = hedging_delay.HedgingDelay()
         self._pending: dict[str, _PendingCommit] = {}
 
     def read(self, keys: Sequence[str]) -> platform.ReadOutcome:
--- a/src/vanillaswitch/coordination/answer_times.py
+++ b/src/vanillaswitch/coordination/hedging_delay.py
@@ -22,7 +22,7 @@
 """Shortest delay: about fourteen times as long as a write to an idle store, so
 that a store with a short queue gets each write once."""
 
-FIRST_S = 0.3
+INITIAL_DELAY_S = 0.3
 """Delay before the first answer."""
 
 MAX_DELAY_S = 1.0
@@ -42,7 +42,7 @@
     def delay_s(self) -> float:
         """Time without an answer after which to send another copy."""
         if self._mean_s is None:
-            return FIRST_S
+            return INITIAL_DELAY_S
         delay_s = self._mean_s + DEVIATION_FACTOR * self._mean_deviation_s
         return min(MAX_DELAY_S, max(MIN_DELAY_S, delay_s))
 
--- a/src/vanillaswitch/coordination/maintenance/correlation.py
+++ b/src/vanillaswitch/coordination/maintenance/background_failures.py
@@ -2,14 +2,14 @@
 
 import math
 
-SIGNIFICANCE = 0.01
+SIGNIFICANCE_LEVEL = 0.01
 """Probability of stopping a wave because of background failures only."""
 
 _DAY_S = 86_400.0
 
 
 def expected_failures(
-    per_day: float, elapsed_s: float, touched: int, total: int
+    failures_per_day: float, elapsed_s: float, begun_count: int, total: int
 ) -> float:
     """Returns the expected background failures among touched instances.
 
@@ -21,10 +21,10 @@
     """
     if total == 0:
         return 0.0
-    return per_day * (elapsed_s / _DAY_S) * (touched / total)
+    return failures_per_day * (elapsed_s / _DAY_S) * (begun_count / total)
 
 
-def most_explained(mean: float) -> int:
+def max_background_failures(mean: float) -> int:
     """Returns the largest number of failures that the background explains.
 
     It is the smallest k for which more than k events have a probability below
@@ -36,7 +36,7 @@
     count = 0
     term = math.exp(-mean)
     cumulative = term
-    while 1.0 - cumulative >= SIGNIFICANCE:
+    while 1.0 - cumulative >= SIGNIFICANCE_LEVEL:
         count += 1
         term *= mean / count
         if term == 0.0:
--- a/src/vanillaswitch/coordination/maintenance/budgets.py
+++ b/src/vanillaswitch/coordination/maintenance/budgets.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Standing:
+class BudgetStatus:
     """How much of a service's budget is used, for one kind of instance.
 
     Attributes:
@@ -57,7 +57,7 @@
     """
     if member.name in planned:
         return "taken down on purpose"
-    if member.row.phase is not platform.Phase.SERVING:
+    if member.row.phase is not platform.MaintenancePhase.SERVING:
         return f"in maintenance or a move ({member.row.phase})"
     if member.listing is None:
         return "missing from the platform's list"
@@ -67,14 +67,14 @@
     # live. It can't report a status, so a missing status counts as down.
     if member.status is None:
         return "does not answer"
-    if member.status.phase is not platform.Phase.SERVING:
+    if member.status.phase is not platform.MaintenancePhase.SERVING:
         return f"says that it is {member.status.phase}"
     if member.row.cordoned:
         return f"cordoned: {member.row.reason}"
     return None
 
 
-def only_cordoned(
+def is_down_only_by_cordon(
     member: fleet_state.Member, planned: Mapping[str, str]
 ) -> bool:
     """Returns whether a cordon is the only reason why an instance is down.
@@ -96,17 +96,17 @@
     return fleet.groups.get((service, kind), ())
 
 
-def standing(
+def budget_status(
     fleet: fleet_state.Fleet,
     config: config_lib.Config,
     service: str,
     kind: platform.InstanceKind,
-) -> Standing:
+) -> BudgetStatus:
     """Returns the budget status of a service that is in the configuration."""
     planned = fleet.budget(service).row.down
     members = members_of(fleet, service, kind)
     reasons = {m.name: down_reason(m, planned) for m in members}
-    return Standing(
+    return BudgetStatus(
         service,
         kind,
         _configured_count(config, service, kind),
@@ -128,10 +128,10 @@
     """
     if service not in config.services:
         return 0
-    return standing(fleet, config, service, kind).headroom
+    return budget_status(fleet, config, service, kind).headroom
 
 
-def may_have_room(
+def may_have_headroom(
     fleet: fleet_state.Fleet,
     config: config_lib.Config,
     service: str,
@@ -145,7 +145,7 @@
     return len(down) < _max_down(config, service, kind)
 
 
-def planned_domains(
+def domains_in_maintenance(
     members: Iterable[fleet_state.Member], planned: Mapping[str, str]
 ) -> frozenset[str]:
     """Returns the failure domains that have planned downtime."""
@@ -153,11 +153,11 @@
         member.domain
         for member in members
         if member.name in planned
-        or member.row.phase is not platform.Phase.SERVING
+        or member.row.phase is not platform.MaintenancePhase.SERVING
     )
 
 
-def to_return(
+def drains_to_undo(
     fleet: fleet_state.Fleet,
     config: config_lib.Config,
     draining: Iterable[fleet_state.Member],
--- a/src/vanillaswitch/coordination/maintenance/changes.py
+++ b/src/vanillaswitch/coordination/maintenance/changes.py
@@ -3,10 +3,10 @@
 from collections.abc import Mapping
 import dataclasses
 
-from vanillaswitch.coordination import commits
+from vanillaswitch.coordination import commit_retries
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.control import duties
-from vanillaswitch.coordination.maintenance import explain
+from vanillaswitch.coordination.control import duty_assignment
+from vanillaswitch.coordination.maintenance import decision_records
 from vanillaswitch.coordination.maintenance import fleet_cache
 from vanillaswitch.coordination.maintenance import fleet_state
 from vanillaswitch.coordination.maintenance import instance_steps
@@ -41,17 +41,17 @@
     waves: Mapping[str, wave_state.Wave] = dataclasses.field(
         default_factory=dict
     )
-    decisions: tuple[explain.Decision, ...] = ()
+    decisions: tuple[decision_records.Decision, ...] = ()
     unchanged_waves: tuple[str, ...] = ()
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether there is no row to write."""
         return not (self.instances or self.budgets or self.waves)
 
 
 @dataclasses.dataclass(frozen=True)
-class Decided:
+class StepPlan:
     """Result of a planning step.
 
     Attributes:
@@ -60,10 +60,10 @@
     """
 
     changes: Changes
-    calls: tuple[instance_steps.Call, ...]
+    calls: tuple[instance_steps.PlatformCall, ...]
 
 
-class Draft:
+class ChangesBuilder:
     """Collects the changes of one step and updates budget rows to match."""
 
     def __init__(self, fleet: fleet_state.Fleet):
@@ -76,7 +76,7 @@
         self._instances: dict[str, rows.Instance | None] = {}
         self._down: dict[str, dict[str, str]] = {}
         self._waves: dict[str, wave_state.Wave] = {}
-        self._decisions: list[explain.Decision] = []
+        self._decisions: list[decision_records.Decision] = []
         self._unchanged_waves: set[str] = set()
 
     def put_instance(self, name: str, row: rows.Instance) -> None:
@@ -89,7 +89,7 @@
         before = self._fleet.members.get(name)
         if before and before.row.service != row.service:
             self._mark_up(before.row.service, name)
-        if row.phase is platform.Phase.SERVING:
+        if row.phase is platform.MaintenancePhase.SERVING:
             self._mark_up(row.service, name)
         else:
             self._mark_down(row.service, name, row.operation)
@@ -104,11 +104,11 @@
         """Adds a write of a wave's row."""
         self._waves[name] = wave
 
-    def check_wave(self, name: str) -> None:
+    def require_unchanged_wave(self, name: str) -> None:
         """Makes the commit fail if a wave's row has changed since its read."""
         self._unchanged_waves.add(name)
 
-    def explain(self, decision: explain.Decision) -> None:
+    def add_decision(self, decision: decision_records.Decision) -> None:
         """Adds a decision record."""
         self._decisions.append(decision)
 
@@ -139,11 +139,11 @@
             self._down_of_service(service).pop(name, None)
 
 
-def carry_out(
-    context: controller.Context,
-    fence: duties.Fence,
+def commit_and_call(
+    context: controller.DutyContext,
+    fence: duty_assignment.Fence,
     fleet: fleet_state.Fleet,
-    decided: Decided,
+    decided: StepPlan,
 ) -> None:
     """Commits the changes, then calls the platform for recorded operations.
 
@@ -151,7 +151,7 @@
     duty would follow up on an operation without its intent in the table.
     """
     calls = list(decided.calls)
-    if not decided.changes.empty:
+    if not decided.changes.is_empty:
         outcome = commit(context, fence, fleet, decided.changes)
         if isinstance(outcome, platform.Committed):
             calls += _calls_for(decided.changes)
@@ -159,16 +159,16 @@
         instance_steps.send(context.platform.instances, call)
 
 
-def _calls_for(changes: Changes) -> list[instance_steps.Call]:
+def _calls_for(changes: Changes) -> list[instance_steps.PlatformCall]:
     """Returns the platform calls for the operations in committed rows."""
     return [
         instance_steps.call_for(name, row)
         for name, row in sorted(changes.instances.items())
-        if row is not None and instance_steps.is_under_way(row)
+        if row is not None and instance_steps.is_in_progress(row)
     ]
 
 
-def puts(
+def build_puts(
     fleet: fleet_state.Fleet, changes: Changes
 ) -> tuple[platform.Put, ...]:
     """Returns the writes of all changes except the decision records.
@@ -195,8 +195,8 @@
 
 
 def commit(
-    context: controller.Context,
-    fence: duties.Fence,
+    context: controller.DutyContext,
+    fence: duty_assignment.Fence,
     fleet: fleet_state.Fleet,
     changes: Changes,
 ) -> platform.CommitOutcome:
@@ -206,20 +206,23 @@
         The outcome. After a conflict the step must read again and decide anew.
     """
     table = context.platform.table
-    subjects = explain.keys_of(changes.decisions)
+    subjects = decision_records.history_keys(changes.decisions)
     found = table.read(subjects) if subjects else platform.Rows(())
     if isinstance(found, platform.Unavailable):
         return found
     transaction = platform.Transaction(
         ids.new_id(context.rng),
-        puts(fleet, changes) + explain.puts(changes.decisions, found.rows),
+        build_puts(fleet, changes)
+        + decision_records.build_puts(changes.decisions, found.rows),
         (fence.check, *_checks(fleet, changes)),
     )
     deadline = context.clock.monotonic() + COMMIT_TIMEOUT_S
-    outcome = commits.settle(table, transaction, context.clock, deadline)
-    fleet_cache.of(context).record_commit(transaction.puts, outcome)
-    if fence.broken_by(outcome):
-        context.drop(fence)
+    outcome = commit_retries.commit_with_retries(
+        table, transaction, context.clock, deadline
+    )
+    fleet_cache.cache_of(context).record_commit(transaction.puts, outcome)
+    if fence.is_rejected_by(outcome):
+        context.release_duty(fence)
     if isinstance(outcome, platform.Committed):
         _broadcast_drains(context, fleet, changes, outcome.version)
     return outcome
@@ -235,7 +238,7 @@
 
 
 def _broadcast_drains(
-    context: controller.Context,
+    context: controller.DutyContext,
     fleet: fleet_state.Fleet,
     changes: Changes,
     version: int,
--- a/src/vanillaswitch/coordination/maintenance/explain.py
+++ b/src/vanillaswitch/coordination/maintenance/decision_records.py
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class History:
+class DecisionHistory:
     """Row ``decision/<subject>``: the latest decisions, oldest first."""
 
     entries: tuple[Decision, ...] = ()
@@ -65,25 +65,25 @@
     return f"job/{name}"
 
 
-def key_of(subject: str) -> str:
+def history_key(subject: str) -> str:
     """Returns the key of the row with a subject's decisions."""
     return keys.decisions(subject)
 
 
-def keys_of(decisions: Iterable[Decision]) -> tuple[str, ...]:
+def history_keys(decisions: Iterable[Decision]) -> tuple[str, ...]:
     """Returns the keys of the rows to read before calling ``puts``."""
     subjects = {decision.subject for decision in decisions}
     return tuple(keys.decisions(subject) for subject in sorted(subjects))
 
 
-def history(row: platform.Row | None) -> History:
+def decode_history(row: platform.Row | None) -> DecisionHistory:
     """Decodes the decisions of a row; returns an empty history without one."""
     if row is None or row.version == platform.ABSENT:
-        return History()
-    return rows.load(History, row.value)
+        return DecisionHistory()
+    return rows.load(DecisionHistory, row.value)
 
 
-def puts(
+def build_puts(
     decisions: Iterable[Decision], found: Iterable[platform.Row]
 ) -> tuple[platform.Put, ...]:
     """Returns the writes that append decisions to their subjects' rows.
@@ -105,7 +105,7 @@
 def _put(
     row: platform.Row | None, subject: str, new: list[Decision]
 ) -> platform.Put:
-    entries = (*history(row).entries, *new)[-MAX_DECISIONS:]
+    entries = (*decode_history(row).entries, *new)[-MAX_DECISIONS:]
     version = row.version if row else platform.ABSENT
-    value = rows.dump(History(entries))
+    value = rows.dump(DecisionHistory(entries))
     return platform.Put(keys.decisions(subject), version, value)
--- a/src/vanillaswitch/coordination/maintenance/fleet_cache.py
+++ b/src/vanillaswitch/coordination/maintenance/fleet_cache.py
@@ -17,9 +17,9 @@
 import weakref
 
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.maintenance import byte_meter
 from vanillaswitch.coordination.maintenance import fleet_rows
 from vanillaswitch.coordination.maintenance import fleet_state
+from vanillaswitch.coordination.maintenance import read_throttle
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import keys
 
@@ -40,7 +40,7 @@
 """Approximate bytes of one item of each kind on the wire, with its name."""
 
 
-class Cache:
+class FleetCache:
     """Rows and list as last read; soft state of one process.
 
     Attributes:
@@ -48,7 +48,7 @@
     """
 
     def __init__(self) -> None:
-        self.meter = byte_meter.LeakyBucket()
+        self.read_throttle = read_throttle.LeakyBucket()
         self._rows = fleet_rows.FleetRows()
         self._read_versions: dict[str, int] = {}
         self._uncertain_keys: set[str] = set()
@@ -86,7 +86,7 @@
             return False
         return self._read_whole(source, now)
 
-    def settle(
+    def refresh_services(
         self,
         source: platform.Platform,
         services: Collection[str],
@@ -128,14 +128,16 @@
         """Reads a wave's row; returns False if the platform is unavailable."""
         return self._read(source.table, [keys.wave(name)], now)
 
-    def ask(
+    def fetch_statuses(
         self, source: platform.Platform, names: Iterable[str], now: float
     ) -> dict[str, platform.InstanceStatus] | platform.Unavailable:
         """Fetches the current statuses of instances; they are not cached."""
         requested = sorted(set(names))
         if not requested:
             return {}
-        self.meter.charge(CALL_BYTES + len(requested) * STATUS_BYTES, now)
+        self.read_throttle.charge(
+            CALL_BYTES + len(requested) * STATUS_BYTES, now
+        )
         statuses = source.instances.status(requested)
         if isinstance(statuses, platform.Unavailable):
             return statuses
@@ -212,7 +214,7 @@
             return False
         size = sum(_estimated_bytes(row) for row in found.rows)
         asked = len(requested) * NAME_BYTES
-        self.meter.charge(CALL_BYTES + asked + size, now)
+        self.read_throttle.charge(CALL_BYTES + asked + size, now)
         self._rows.merge(found.rows)
         self._rows.drop_missing(before, {row.key for row in found.rows})
         return True
@@ -261,18 +263,18 @@
         size = CALL_BYTES + len(listed.instances) * LISTING_BYTES
         self._list_due = now + size / LIST_BYTES_PER_S
         self._rows.set_list(listed.instances)
-        unknown = [one.instance for one in self.fleet.strangers]
+        unknown = [one.instance for one in self.fleet.unassigned]
         return self._read(source.table, _instance_keys(unknown), now)
 
 
-_caches: weakref.WeakKeyDictionary[platform.Table, Cache] = (
+_caches: weakref.WeakKeyDictionary[platform.Table, FleetCache] = (
     weakref.WeakKeyDictionary()
 )
 
 
-def of(context: controller.Context) -> Cache:
+def cache_of(context: controller.DutyContext) -> FleetCache:
     """Returns the cache of the process in which a step runs."""
-    return _caches.setdefault(context.platform.table, Cache())
+    return _caches.setdefault(context.platform.table, FleetCache())
 
 
 def _instance_keys(names: Iterable[str]) -> list[str]:
--- a/src/vanillaswitch/coordination/maintenance/fleet_rows.py
+++ b/src/vanillaswitch/coordination/maintenance/fleet_rows.py
@@ -30,7 +30,9 @@
                 dict(self._members),
                 dict(self._budgets),
                 dict(self._waves),
-                fleet_state.strangers(self._members, self._listings.values()),
+                fleet_state.unassigned_listings(
+                    self._members, self._listings.values()
+                ),
             )
         return self._fleet
 
--- a/src/vanillaswitch/coordination/maintenance/fleet_state.py
+++ b/src/vanillaswitch/coordination/maintenance/fleet_state.py
@@ -68,7 +68,7 @@
     members: Mapping[str, Member]
     budgets: Mapping[str, Versioned[rows.Budget]]
     waves: Mapping[str, Versioned[wave_state.Wave]]
-    strangers: tuple[platform.Listing, ...] = ()
+    unassigned: tuple[platform.Listing, ...] = ()
 
     @functools.cached_property
     def groups(
@@ -86,7 +86,7 @@
         empty = Versioned(platform.ABSENT, rows.Budget({}))
         return self.budgets.get(service, empty)
 
-    def part(
+    def subset(
         self,
         names: Iterable[str],
         statuses: Mapping[str, platform.InstanceStatus],
@@ -94,9 +94,9 @@
         """Returns the fleet with these members only, and their statuses."""
         kept = {n: self.members[n] for n in names if n in self.members}
         known = {n: one for n, one in statuses.items() if n in kept}
-        return dataclasses.replace(self, members=kept).hearing(known)
+        return dataclasses.replace(self, members=kept).with_statuses(known)
 
-    def hearing(
+    def with_statuses(
         self, statuses: Mapping[str, platform.InstanceStatus]
     ) -> "Fleet":
         """Returns the fleet with the statuses of some of its members."""
@@ -106,14 +106,14 @@
         }
         return dataclasses.replace(self, members={**self.members, **changed})
 
-    def joined(self, wave: str) -> wave_state.Wave:
+    def wave_with_done(self, wave: str) -> wave_state.Wave:
         """Returns a wave's row with all instances that are done so far.
 
         Raises:
             KeyError: the wave was never started.
         """
         row = self.waves[wave].row
-        mark = row.mark(wave)
+        mark = row.completion_mark(wave)
         done = {
             name
             for names in row.rounds
@@ -124,18 +124,22 @@
         return dataclasses.replace(row, done=tuple(sorted({*row.done, *done})))
 
 
-def read(source: platform.Platform) -> Fleet | platform.Unavailable:
+def read_with_statuses(
+    source: platform.Platform,
+) -> Fleet | platform.Unavailable:
     """Reads the whole fleet and fetches all statuses, for operators."""
-    recorded = read_recorded(source)
+    recorded = read_without_statuses(source)
     if isinstance(recorded, platform.Unavailable):
         return recorded
     statuses = source.instances.status(list(recorded.members))
     if isinstance(statuses, platform.Unavailable):
         return statuses
-    return recorded.hearing({one.instance: one for one in statuses})
+    return recorded.with_statuses({one.instance: one for one in statuses})
 
 
-def read_recorded(source: platform.Platform) -> Fleet | platform.Unavailable:
+def read_without_statuses(
+    source: platform.Platform,
+) -> Fleet | platform.Unavailable:
     """Reads rows and list only; the members have no status."""
     found = []
     for prefix in (keys.BUDGETS, keys.INSTANCES, keys.WAVES):
@@ -171,11 +175,11 @@
         members,
         {n: versioned(rows.Budget, row) for n, row in budget_rows.items()},
         {n: versioned(wave_state.Wave, row) for n, row in wave_rows.items()},
-        strangers(members, listed),
+        unassigned_listings(members, listed),
     )
 
 
-def strangers(
+def unassigned_listings(
     members: Container[str], listed: Iterable[platform.Listing]
 ) -> tuple[platform.Listing, ...]:
     """Returns listed minions and workers without a pool, sorted by name."""
--- a/src/vanillaswitch/coordination/maintenance/instance_steps.py
+++ b/src/vanillaswitch/coordination/maintenance/instance_steps.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Call:
+class PlatformCall:
     """Call the platform for an operation that is already recorded."""
 
     action: Action
@@ -51,16 +51,16 @@
     """Wait until the instance has finished the current operation."""
 
 
-Step = Call | Advance | Wait
+Step = PlatformCall | Advance | Wait
 
 _ACTIONS = {
-    platform.Phase.DRAINING: Action.DRAIN,
-    platform.Phase.REBOOTING: Action.REBOOT,
-    platform.Phase.DRAINED: Action.RESUME,
+    platform.MaintenancePhase.DRAINING: Action.DRAIN,
+    platform.MaintenancePhase.REBOOTING: Action.REBOOT,
+    platform.MaintenancePhase.DRAINED: Action.RESUME,
 }
 
 
-def step(
+def next_step(
     name: str,
     row: rows.Instance,
     status: platform.InstanceStatus | None,
@@ -81,25 +81,25 @@
     """
     if status is None or status.operation != row.operation:
         return call_for(name, row)
-    if row.phase is platform.Phase.DRAINING:
+    if row.phase is platform.MaintenancePhase.DRAINING:
         return _after_drain(row, status, undo, target_service, new_operation)
-    if row.phase is platform.Phase.REBOOTING:
+    if row.phase is platform.MaintenancePhase.REBOOTING:
         return _after_reboot(row, status, new_operation)
     return _after_resume(row, status, new_operation)
 
 
-def call_for(name: str, row: rows.Instance) -> Call:
+def call_for(name: str, row: rows.Instance) -> PlatformCall:
     """Returns the platform call for the current phase of an instance."""
-    return Call(_ACTIONS[row.phase], name, row.operation)
+    return PlatformCall(_ACTIONS[row.phase], name, row.operation)
 
 
-def take_down(
+def begin_drain(
     row: rows.Instance, status: platform.InstanceStatus, operation: str
 ) -> rows.Instance:
     """Returns the row that starts the drain of a serving instance."""
     return dataclasses.replace(
         row,
-        phase=platform.Phase.DRAINING,
+        phase=platform.MaintenancePhase.DRAINING,
         operation=operation,
         boots=status.boots,
     )
@@ -112,12 +112,12 @@
     return _with_resume(dataclasses.replace(row, boots=status.boots), operation)
 
 
-def is_under_way(row: rows.Instance) -> bool:
+def is_in_progress(row: rows.Instance) -> bool:
     """Returns whether the instance has a recorded, unfinished operation."""
     return row.phase in _ACTIONS
 
 
-def send(instances: platform.Instances, call: Call) -> None:
+def send(instances: platform.Instances, call: PlatformCall) -> None:
     """Sends a call; the instance's next status shows whether it worked."""
     methods = {
         Action.DRAIN: instances.drain,
@@ -139,14 +139,17 @@
         return Advance(_with_resume(kept, new_operation()))
     # Wait for the jobs: a reboot would cut off those in flight, and a move
     # would leave them running in a pool that no longer counts this worker.
-    if status.phase is not platform.Phase.DRAINED or status.in_flight:
+    if (
+        status.phase is not platform.MaintenancePhase.DRAINED
+        or status.in_flight
+    ):
         return Wait()
     if row.target_pool:
         return Advance(_moved(row, target_service, new_operation()))
     return Advance(
         dataclasses.replace(
             row,
-            phase=platform.Phase.REBOOTING,
+            phase=platform.MaintenancePhase.REBOOTING,
             operation=new_operation(),
             boots=status.boots,
         )
@@ -161,7 +164,10 @@
     # An accepted reboot has not happened yet: right after the call the
     # instance still reports DRAINED. Only a higher boot count shows that it
     # has rebooted.
-    if status.phase is platform.Phase.DRAINED and status.boots > row.boots:
+    if (
+        status.phase is platform.MaintenancePhase.DRAINED
+        and status.boots > row.boots
+    ):
         return Advance(_with_resume(row, new_operation()))
     return Wait()
 
@@ -171,9 +177,9 @@
     status: platform.InstanceStatus,
     new_operation: Callable[[], str],
 ) -> Step:
-    if status.phase is platform.Phase.SERVING:
+    if status.phase is platform.MaintenancePhase.SERVING:
         return Advance(_finished(row))
-    if status.phase is platform.Phase.DRAINED:
+    if status.phase is platform.MaintenancePhase.DRAINED:
         # It accepted the resume and is drained again, so it has rebooted
         # unexpectedly. The operation is done; only a new one resumes it.
         return Advance(_with_resume(row, new_operation()))
@@ -189,11 +195,15 @@
 
 def _with_resume(row: rows.Instance, operation: str) -> rows.Instance:
     return dataclasses.replace(
-        row, phase=platform.Phase.DRAINED, operation=operation
+        row, phase=platform.MaintenancePhase.DRAINED, operation=operation
     )
 
 
 def _finished(row: rows.Instance) -> rows.Instance:
     return dataclasses.replace(
-        row, phase=platform.Phase.SERVING, operation="", wave="", boots=0
+        row,
+        phase=platform.MaintenancePhase.SERVING,
+        operation="",
+        wave="",
+        boots=0,
     )
--- a/src/vanillaswitch/coordination/maintenance/moves.py
+++ b/src/vanillaswitch/coordination/maintenance/move_planner.py
@@ -12,12 +12,12 @@
 from collections.abc import Sequence
 import dataclasses
 
-from vanillaswitch.coordination.maintenance import buffer
+from vanillaswitch.coordination.maintenance import spare_capacity
 from vanillaswitch.internal import registry
 
 
 @dataclasses.dataclass(frozen=True)
-class Worker:
+class PoolWorker:
     """A worker of a pool.
 
     Attributes:
@@ -30,7 +30,7 @@
     name: str
     rack: str
     tasks: int = 0
-    movable: bool = True
+    is_movable: bool = True
 
 
 @dataclasses.dataclass(frozen=True)
@@ -42,16 +42,18 @@
     target: str
 
 
-Held = Mapping[str, Sequence[Worker]]
-Needs = Mapping[str, int]
-Planner = Callable[[Held, Needs], tuple[Move, ...]]
+WorkersByPool = Mapping[str, Sequence[PoolWorker]]
+RequiredWorkers = Mapping[str, int]
+Planner = Callable[[WorkersByPool, RequiredWorkers], tuple[Move, ...]]
 """Maps (workers by pool, required workers by pool) to moves."""
 
-PLANNERS: registry.Registry[Planner] = registry.Registry("planner of moves")
+MOVE_PLANNERS: registry.Registry[Planner] = registry.Registry(
+    "planner of moves"
+)
 DEFAULT_PLANNER = "fewest"
 
 
-def lower_bound(held: Held, needs: Needs) -> int:
+def min_moves(held: WorkersByPool, needs: RequiredWorkers) -> int:
     """Returns the fewest moves after which no further shortage can be filled.
 
     A move fills at most one missing worker, and takes at most one surplus or
@@ -63,8 +65,10 @@
     )
 
 
-@PLANNERS.register("fewest")
-def fewest(held: Held, needs: Needs) -> tuple[Move, ...]:
+@MOVE_PLANNERS.register("fewest")
+def plan_fewest_moves(
+    held: WorkersByPool, needs: RequiredWorkers
+) -> tuple[Move, ...]:
     """Plans the fewest moves, with the spare pool's own need filled last.
 
     Surplus workers of pools and of the spare pool go first, then the remaining
@@ -99,8 +103,10 @@
     return tuple(moves) + _refill_spare(held, needs, surplus)
 
 
-@PLANNERS.register("first-fit")
-def first_fit(held: Held, needs: Needs) -> tuple[Move, ...]:
+@MOVE_PLANNERS.register("first-fit")
+def plan_first_fit(
+    held: WorkersByPool, needs: RequiredWorkers
+) -> tuple[Move, ...]:
     """Fills one pool after another with workers in the order of their names.
 
     It ignores a worker's current pool; it is a baseline for comparisons.
@@ -108,7 +114,9 @@
     pool_of = {w.name: pool for pool, group in held.items() for w in group}
     names = sorted(w.name for group in held.values() for w in group)
     names = [name for name in names if _is_movable(held, pool_of, name)]
-    pools = [pool for pool in sorted(needs) if pool != buffer.SPARE_POOL]
+    pools = [
+        pool for pool in sorted(needs) if pool != spare_capacity.SPARE_POOL
+    ]
     slots = [pool for pool in pools for _ in range(needs[pool])]
     return tuple(
         Move(name, pool_of[name], pool)
@@ -117,27 +125,29 @@
     )
 
 
-def _missing(held: Held, needs: Needs) -> dict[str, int]:
+def _missing(held: WorkersByPool, needs: RequiredWorkers) -> dict[str, int]:
     """Returns the shortage of each pool except the spare pool."""
     shortage = {
         pool: need - len(held.get(pool, ()))
         for pool, need in needs.items()
-        if pool != buffer.SPARE_POOL
+        if pool != spare_capacity.SPARE_POOL
     }
     return {pool: count for pool, count in shortage.items() if count > 0}
 
 
-def _surplus(held: Held, needs: Needs) -> dict[str, list[Worker]]:
+def _surplus(
+    held: WorkersByPool, needs: RequiredWorkers
+) -> dict[str, list[PoolWorker]]:
     """Returns the movable surplus workers by pool, fewest tasks first.
 
     Each worker of the spare pool is surplus.
     """
     surplus = {}
     for pool, workers in held.items():
-        kept = 0 if pool == buffer.SPARE_POOL else needs.get(pool, 0)
+        kept = 0 if pool == spare_capacity.SPARE_POOL else needs.get(pool, 0)
         excess = len(workers) - kept
         free = sorted(
-            (worker for worker in workers if worker.movable),
+            (worker for worker in workers if worker.is_movable),
             key=lambda worker: (worker.tasks, worker.name),
         )
         if excess > 0 and free:
@@ -145,13 +155,15 @@
     return surplus
 
 
-def _choose_source(surplus: Mapping[str, list[Worker]], needs: Needs) -> str:
+def _choose_source(
+    surplus: Mapping[str, list[PoolWorker]], needs: RequiredWorkers
+) -> str:
     """Returns the pool from which the next move takes a worker.
 
     The spare pool comes first if it has more workers than it needs, then the
     pool with the largest surplus, then the rest of the spare pool.
     """
-    spare = buffer.SPARE_POOL
+    spare = spare_capacity.SPARE_POOL
     if len(surplus.get(spare, ())) > needs.get(spare, 0):
         return spare
     pools = [pool for pool in surplus if pool != spare]
@@ -159,10 +171,12 @@
 
 
 def _refill_spare(
-    held: Held, needs: Needs, surplus: Mapping[str, list[Worker]]
+    held: WorkersByPool,
+    needs: RequiredWorkers,
+    surplus: Mapping[str, list[PoolWorker]],
 ) -> tuple[Move, ...]:
     """Moves remaining surplus to the spare pool, up to what it needs."""
-    spare = buffer.SPARE_POOL
+    spare = spare_capacity.SPARE_POOL
     shortage = needs.get(spare, 0) - len(held.get(spare, ()))
     excess = [
         Move(worker.name, pool, spare)
@@ -173,5 +187,7 @@
     return tuple(excess[: max(0, shortage)])
 
 
-def _is_movable(held: Held, pool_of: Mapping[str, str], name: str) -> bool:
-    return any(w.name == name and w.movable for w in held[pool_of[name]])
+def _is_movable(
+    held: WorkersByPool, pool_of: Mapping[str, str], name: str
+) -> bool:
+    return any(w.name == name and w.is_movable for w in held[pool_of[name]])
--- a/src/vanillaswitch/coordination/maintenance/operator_commits.py
+++ b/src/vanillaswitch/coordination/maintenance/operator_commits.py
@@ -7,9 +7,9 @@
 import random
 
 from vanillaswitch import errors
-from vanillaswitch.coordination import commits
+from vanillaswitch.coordination import commit_retries
 from vanillaswitch.coordination.maintenance import changes
-from vanillaswitch.coordination.maintenance import explain
+from vanillaswitch.coordination.maintenance import decision_records
 from vanillaswitch.coordination.maintenance import fleet_state
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import ids
@@ -35,14 +35,16 @@
         errors.PlatformUnavailableError: the platform is unavailable or the
             outcome of the commit is unknown.
     """
-    found = table.read(explain.keys_of(changed.decisions))
+    found = table.read(decision_records.history_keys(changed.decisions))
     if isinstance(found, platform.Unavailable):
         raise errors.PlatformUnavailableError(found.reason)
-    puts = changes.puts(fleet, changed)
-    puts += explain.puts(changed.decisions, found.rows)
+    puts = changes.build_puts(fleet, changed)
+    puts += decision_records.build_puts(changed.decisions, found.rows)
     transaction = platform.Transaction(ids.new_id(rng), puts)
     deadline = clock.monotonic() + COMMIT_TIMEOUT_S
-    outcome = commits.settle(table, transaction, clock, deadline)
+    outcome = commit_retries.commit_with_retries(
+        table, transaction, clock, deadline
+    )
     if isinstance(outcome, platform.Unavailable | platform.OutcomeUnknown):
         raise errors.PlatformUnavailableError(
             f"{outcome.reason}; check the status before trying again"
--- a/src/vanillaswitch/coordination/maintenance/pool_needs.py
+++ b/src/vanillaswitch/coordination/maintenance/pool_demand.py
@@ -3,14 +3,14 @@
 import collections
 from collections.abc import Collection
 
-from vanillaswitch.coordination.maintenance import buffer
 from vanillaswitch.coordination.maintenance import fleet_state
-from vanillaswitch.coordination.maintenance import moves
+from vanillaswitch.coordination.maintenance import move_planner
+from vanillaswitch.coordination.maintenance import spare_capacity
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 
 
-def workers(fleet: fleet_state.Fleet) -> tuple[fleet_state.Member, ...]:
+def list_workers(fleet: fleet_state.Fleet) -> tuple[fleet_state.Member, ...]:
     """Returns all workers, sorted by name."""
     return tuple(
         member
@@ -19,9 +19,9 @@
     )
 
 
-def held(
+def workers_by_pool(
     fleet: fleet_state.Fleet, lost: Collection[str] = ()
-) -> dict[str, list[moves.Worker]]:
+) -> dict[str, list[move_planner.PoolWorker]]:
     """Returns the workers of each pool.
 
     A worker that is moving counts in its target pool.
@@ -30,36 +30,40 @@
         fleet: current state of the fleet.
         lost: workers to leave out, because they need a replacement.
     """
-    pools: dict[str, list[moves.Worker]] = {}
-    for member in workers(fleet):
+    pools: dict[str, list[move_planner.PoolWorker]] = {}
+    for member in list_workers(fleet):
         if member.name in lost:
             continue
         row = member.row
-        serving = row.phase is platform.Phase.SERVING and not row.cordoned
+        serving = (
+            row.phase is platform.MaintenancePhase.SERVING and not row.cordoned
+        )
         tasks = member.status.in_flight if member.status else 0
-        worker = moves.Worker(member.name, member.domain, tasks, serving)
+        worker = move_planner.PoolWorker(
+            member.name, member.domain, tasks, serving
+        )
         pools.setdefault(row.target_pool or row.pool, []).append(worker)
     return pools
 
 
-def needs(
+def required_workers(
     fleet: fleet_state.Fleet, config: config_lib.Config
 ) -> dict[str, int]:
     """Returns the required workers of each pool and of the spare pool."""
     needed = {name: pool.workers for name, pool in config.pools.items()}
-    needed[buffer.SPARE_POOL] = buffer.SIZINGS.get(
-        buffer.DEFAULT_SIZING_POLICY
-    )(demands(fleet, config))
+    needed[spare_capacity.SPARE_POOL] = spare_capacity.SIZING_POLICIES.get(
+        spare_capacity.DEFAULT_SIZING_POLICY
+    )(service_demands(fleet, config))
     return needed
 
 
-def demands(
+def service_demands(
     fleet: fleet_state.Fleet, config: config_lib.Config
-) -> list[buffer.Demand]:
+) -> list[spare_capacity.ServiceDemand]:
     """Returns each service's input for sizing the spare pool."""
     racks: dict[str, dict[str, int]] = {name: {} for name in config.services}
     planned = dict.fromkeys(config.services, 0)
-    for member in workers(fleet):
+    for member in list_workers(fleet):
         service = member.row.service
         if service not in racks:
             continue
@@ -68,7 +72,7 @@
         planned[service] += bool(member.row.wave)
     pools = collections.Counter(p.service for p in config.pools.values())
     return [
-        buffer.Demand(
+        spare_capacity.ServiceDemand(
             name,
             pools[name],
             racks[name],
--- a/src/vanillaswitch/coordination/maintenance/move_duty.py
+++ b/src/vanillaswitch/coordination/maintenance/pool_duty.py
@@ -4,12 +4,12 @@
 from collections.abc import Mapping
 
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.control import duties
+from vanillaswitch.coordination.control import duty_assignment
 from vanillaswitch.coordination.control import duty_names
 from vanillaswitch.coordination.maintenance import changes
 from vanillaswitch.coordination.maintenance import fleet_cache
 from vanillaswitch.coordination.maintenance import fleet_state
-from vanillaswitch.coordination.maintenance import moves
+from vanillaswitch.coordination.maintenance import move_planner
 from vanillaswitch.coordination.maintenance import pool_step
 from vanillaswitch.internal import ids
 from vanillaswitch.protocol import platform
@@ -25,24 +25,26 @@
 _INITIALIZED = "settled-in"
 
 
-@controller.duty(duty_names.POOL_GROUP)
-def step(context: controller.Context, name: str, fence: duties.Fence) -> None:
+@controller.duty_step(duty_names.POOL_GROUP)
+def step(
+    context: controller.DutyContext, name: str, fence: duty_assignment.Fence
+) -> None:
     """Runs one planning step for the pools of a service."""
-    service = duty_names.subject(name)
-    cache = fleet_cache.of(context)
+    service = duty_names.subject_of(name)
+    cache = fleet_cache.cache_of(context)
     view = _build_view(context, cache, service)
     busy = False
     if view is not None:
         decided = pool_step.decide(view)
-        changes.carry_out(context, fence, view.fleet, decided)
-        wrote = not decided.changes.empty
+        changes.commit_and_call(context, fence, view.fleet, decided)
+        wrote = not decided.changes.is_empty
         busy = bool(wrote or decided.calls or view.moves_to_begin)
-    pause_s = cache.meter.pause_s(context.clock.monotonic(), busy)
-    context.rest(not busy, pause_s)
+    pause_s = cache.read_throttle.pause_s(context.clock.monotonic(), busy)
+    context.set_pause(not busy, pause_s)
 
 
 def _build_view(
-    context: controller.Context, cache: fleet_cache.Cache, service: str
+    context: controller.DutyContext, cache: fleet_cache.FleetCache, service: str
 ) -> pool_step.PoolView | None:
     now = context.clock.monotonic()
     if not cache.refresh(context.platform, now):
@@ -50,7 +52,7 @@
     if not _refresh_services(context, cache, service):
         return None
     names = _names_in_scope(cache.fleet, context.config, {service}, service)
-    statuses = cache.ask(context.platform, names, now)
+    statuses = cache.fetch_statuses(context.platform, names, now)
     if isinstance(statuses, platform.Unavailable):
         return None
     down_seconds = _down_seconds(context, names, statuses)
@@ -65,19 +67,19 @@
     # Workers may come from other services, whose statuses are still missing.
     sources = _source_services(cache.fleet, names, moves_to_begin) - {service}
     if sources:
-        if not cache.settle(context.platform, sources - {""}, now):
+        if not cache.refresh_services(context.platform, sources - {""}, now):
             return None
         more_names = _names_in_scope(
             cache.fleet, context.config, sources, service
         )
-        more_statuses = cache.ask(
+        more_statuses = cache.fetch_statuses(
             context.platform, set(more_names) - set(names), now
         )
         if isinstance(more_statuses, platform.Unavailable):
             return None
         names, statuses = {*names, *more_names}, {**statuses, **more_statuses}
         moves_to_begin = _plan_moves(context, cache, service, statuses, lost)
-    fleet = cache.fleet.part(names, statuses)
+    fleet = cache.fleet.subset(names, statuses)
     to_remove = {
         name
         for name, age in down_seconds.items()
@@ -99,7 +101,7 @@
 
 
 def _refresh_services(
-    context: controller.Context, cache: fleet_cache.Cache, service: str
+    context: controller.DutyContext, cache: fleet_cache.FleetCache, service: str
 ) -> bool:
     """Updates the rows that this duty's decisions are based on.
 
@@ -109,14 +111,16 @@
     now = context.clock.monotonic()
     services = {service}
     spare: Collection[str] = ()
-    if not context.memory.get(_INITIALIZED):
+    if not context.soft_state.get(_INITIALIZED):
         services.update(context.config.services)
         spare = _names_in_scope(cache.fleet, context.config, {""}, service)
     elif pool_step.manages_spare(context.config, service):
         found = {m.row.service for m in cache.fleet.members.values()}
         services |= found - context.config.services.keys() - {""}
-    refreshed = cache.settle(context.platform, services, now, spare)
-    context.memory[_INITIALIZED] = refreshed or context.memory.get(_INITIALIZED)
+    refreshed = cache.refresh_services(context.platform, services, now, spare)
+    context.soft_state[_INITIALIZED] = refreshed or context.soft_state.get(
+        _INITIALIZED
+    )
     return refreshed
 
 
@@ -136,21 +140,21 @@
 
 
 def _plan_moves(
-    context: controller.Context,
-    cache: fleet_cache.Cache,
+    context: controller.DutyContext,
+    cache: fleet_cache.FleetCache,
     service: str,
     statuses: Mapping[str, platform.InstanceStatus],
     lost: Collection[str],
-) -> tuple[moves.Move, ...]:
+) -> tuple[move_planner.Move, ...]:
     known = {n: one for n, one in statuses.items() if n in cache.fleet.members}
-    whole = cache.fleet.hearing(known)
+    whole = cache.fleet.with_statuses(known)
     return pool_step.plan_moves(whole, context.config, service, lost)
 
 
 def _source_services(
     fleet: fleet_state.Fleet,
     names: Collection[str],
-    moves_to_begin: Collection[moves.Move],
+    moves_to_begin: Collection[move_planner.Move],
 ) -> set[str]:
     """Returns the services of workers that are moving or about to move."""
     moving = {move.worker for move in moves_to_begin}
@@ -159,7 +163,7 @@
 
 
 def _down_seconds(
-    context: controller.Context,
+    context: controller.DutyContext,
     names: Collection[str],
     statuses: Mapping[str, platform.InstanceStatus],
 ) -> dict[str, float]:
@@ -169,15 +173,15 @@
     which can delay a replacement but never makes it early.
     """
     now = context.clock.monotonic()
-    before = context.memory.get(_DOWN_SINCE, {})
+    before = context.soft_state.get(_DOWN_SINCE, {})
     since = {
         name: before.get(name, now)
         for name in names
         if _is_down(statuses.get(name))
     }
-    context.memory[_DOWN_SINCE] = since
+    context.soft_state[_DOWN_SINCE] = since
     return {name: now - then for name, then in since.items()}
 
 
 def _is_down(status: platform.InstanceStatus | None) -> bool:
-    return status is None or status.phase is platform.Phase.DOWN
+    return status is None or status.phase is platform.MaintenancePhase.DOWN
--- a/src/vanillaswitch/coordination/maintenance/pool_step.py
+++ b/src/vanillaswitch/coordination/maintenance/pool_step.py
@@ -12,13 +12,13 @@
 import dataclasses
 
 from vanillaswitch.coordination.maintenance import budgets
-from vanillaswitch.coordination.maintenance import buffer
 from vanillaswitch.coordination.maintenance import changes
-from vanillaswitch.coordination.maintenance import explain
+from vanillaswitch.coordination.maintenance import decision_records
 from vanillaswitch.coordination.maintenance import fleet_state
 from vanillaswitch.coordination.maintenance import instance_steps
-from vanillaswitch.coordination.maintenance import moves
-from vanillaswitch.coordination.maintenance import pool_needs
+from vanillaswitch.coordination.maintenance import move_planner
+from vanillaswitch.coordination.maintenance import pool_demand
+from vanillaswitch.coordination.maintenance import spare_capacity
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 from vanillaswitch.state import rows
@@ -46,9 +46,9 @@
 
     service: str
     fleet: fleet_state.Fleet
-    whole: fleet_state.Fleet
+    full_fleet: fleet_state.Fleet
     config: config_lib.Config
-    moves_to_begin: tuple[moves.Move, ...]
+    moves_to_begin: tuple[move_planner.Move, ...]
     lost: frozenset[str]
     to_remove: frozenset[str]
     wall_s: float
@@ -89,9 +89,9 @@
     return found.service if found else ""
 
 
-def decide(view: PoolView) -> changes.Decided:
+def decide(view: PoolView) -> changes.StepPlan:
     """Decides the next step for the pools of one service."""
-    draft = changes.Draft(view.fleet)
+    draft = changes.ChangesBuilder(view.fleet)
     calls = _advance_members(view, draft)
     _resume_drained(view, draft)
     _adopt(view, draft)
@@ -99,7 +99,7 @@
     for name in sorted(view.to_remove):
         if view.is_responsible_for(view.fleet.members[name].row):
             draft.delete_instance(name)
-    return changes.Decided(draft.build(), tuple(calls))
+    return changes.StepPlan(draft.build(), tuple(calls))
 
 
 def plan_moves(
@@ -107,7 +107,7 @@
     config: config_lib.Config,
     service: str,
     lost: Collection[str],
-) -> tuple[moves.Move, ...]:
+) -> tuple[move_planner.Move, ...]:
     """Plans the moves that a service's duty has to begin.
 
     Args:
@@ -116,18 +116,20 @@
         service: the duty's service.
         lost: workers to replace.
     """
-    held = pool_needs.held(whole, lost)
+    held = pool_demand.workers_by_pool(whole, lost)
     if not _is_short(held, config, service):
         return ()
-    needs = pool_needs.needs(whole, config)
-    planned = moves.PLANNERS.get(moves.DEFAULT_PLANNER)(held, needs)
+    needs = pool_demand.required_workers(whole, config)
+    planned = move_planner.MOVE_PLANNERS.get(move_planner.DEFAULT_PLANNER)(
+        held, needs
+    )
     return tuple(
         move for move in planned if _is_begun_by(config, service, move.target)
     )
 
 
 def _is_short(
-    held: moves.Held, config: config_lib.Config, service: str
+    held: move_planner.WorkersByPool, config: config_lib.Config, service: str
 ) -> bool:
     """Returns whether this service's duty may have moves to begin."""
     if manages_spare(config, service):
@@ -139,7 +141,7 @@
 
 
 def _is_begun_by(config: config_lib.Config, service: str, target: str) -> bool:
-    if target == buffer.SPARE_POOL:
+    if target == spare_capacity.SPARE_POOL:
         return manages_spare(config, service)
     return service_of_pool(config, target) == service
 
@@ -147,7 +149,7 @@
 def _under_way(view: PoolView) -> Iterator[fleet_state.Member]:
     """Yields members with an operation in progress that no wave manages."""
     for _, member in sorted(view.fleet.members.items()):
-        if not instance_steps.is_under_way(member.row):
+        if not instance_steps.is_in_progress(member.row):
             continue
         # A wave that was removed from the configuration has no duty any more.
         # The instances that it left drained would never serve again.
@@ -157,14 +159,14 @@
 
 
 def _advance_members(
-    view: PoolView, draft: changes.Draft
-) -> list[instance_steps.Call]:
+    view: PoolView, draft: changes.ChangesBuilder
+) -> list[instance_steps.PlatformCall]:
     """Advances operations in progress; returns the platform calls to send."""
     members = list(_under_way(view))
     undone = _moves_to_undo(view, members)
     calls = []
     for member in members:
-        step = instance_steps.step(
+        step = instance_steps.next_step(
             member.name,
             member.row,
             member.status,
@@ -172,7 +174,7 @@
             service_of_pool(view.config, member.row.target_pool),
             view.new_operation,
         )
-        if isinstance(step, instance_steps.Call):
+        if isinstance(step, instance_steps.PlatformCall):
             calls.append(step)
         elif isinstance(step, instance_steps.Advance):
             draft.put_instance(member.name, step.row)
@@ -186,16 +188,18 @@
     draining = [
         member
         for member in members
-        if member.row.phase is platform.Phase.DRAINING
+        if member.row.phase is platform.MaintenancePhase.DRAINING
     ]
-    pools = {*view.config.pools, buffer.SPARE_POOL}
+    pools = {*view.config.pools, spare_capacity.SPARE_POOL}
     without_target = frozenset(
         m.name for m in draining if m.row.target_pool not in pools
     )
-    return without_target | budgets.to_return(view.fleet, view.config, draining)
+    return without_target | budgets.drains_to_undo(
+        view.fleet, view.config, draining
+    )
 
 
-def _resume_drained(view: PoolView, draft: changes.Draft) -> None:
+def _resume_drained(view: PoolView, draft: changes.ChangesBuilder) -> None:
     """Resumes instances that are drained without a planned operation.
 
     An instance that reboots unexpectedly comes back drained and would stay
@@ -203,9 +207,12 @@
     """
     for name, member in sorted(view.fleet.members.items()):
         status = member.status
-        if member.row.phase is not platform.Phase.SERVING or status is None:
+        if (
+            member.row.phase is not platform.MaintenancePhase.SERVING
+            or status is None
+        ):
             continue
-        drained = status.phase is platform.Phase.DRAINED
+        drained = status.phase is platform.MaintenancePhase.DRAINED
         if drained and view.is_responsible_for(member.row):
             row = instance_steps.begin_resume(
                 member.row, status, view.new_operation()
@@ -213,11 +220,11 @@
             draft.put_instance(name, row)
 
 
-def _adopt(view: PoolView, draft: changes.Draft) -> None:
+def _adopt(view: PoolView, draft: changes.ChangesBuilder) -> None:
     """Assigns newly listed instances to their first pool."""
     minions = [
         listing
-        for listing in view.fleet.strangers
+        for listing in view.fleet.unassigned
         if listing.kind is platform.InstanceKind.MINION
         and listing.service == view.service
     ]
@@ -229,26 +236,28 @@
         _adopt_workers(view, draft)
 
 
-def _adopt_workers(view: PoolView, draft: changes.Draft) -> None:
+def _adopt_workers(view: PoolView, draft: changes.ChangesBuilder) -> None:
     """Assigns new workers to pools with a shortage, others to the spare."""
     workers = [
         listing
-        for listing in view.fleet.strangers
+        for listing in view.fleet.unassigned
         if listing.kind is platform.InstanceKind.WORKER
     ][:MAX_ADOPTED_PER_STEP]
-    held = dict(pool_needs.held(view.whole, view.lost))
-    new = [moves.Worker(one.instance, _rack(one)) for one in workers]
+    held = dict(pool_demand.workers_by_pool(view.full_fleet, view.lost))
+    new = [move_planner.PoolWorker(one.instance, _rack(one)) for one in workers]
     # Plan for the new workers only: those of the pools stay where they are.
     fixed = {
-        pool: [dataclasses.replace(one, movable=False) for one in group]
+        pool: [dataclasses.replace(one, is_movable=False) for one in group]
         for pool, group in held.items()
-        if pool != buffer.SPARE_POOL
+        if pool != spare_capacity.SPARE_POOL
     }
-    needs = pool_needs.needs(view.whole, view.config)
-    planned = moves.fewest({**fixed, buffer.SPARE_POOL: new}, needs)
+    needs = pool_demand.required_workers(view.full_fleet, view.config)
+    planned = move_planner.plan_fewest_moves(
+        {**fixed, spare_capacity.SPARE_POOL: new}, needs
+    )
     pools = {move.worker: move.target for move in planned}
     for listing in workers:
-        pool = pools.get(listing.instance, buffer.SPARE_POOL)
+        pool = pools.get(listing.instance, spare_capacity.SPARE_POOL)
         service = service_of_pool(view.config, pool)
         draft.put_instance(listing.instance, _new_row(listing, pool, service))
 
@@ -265,7 +274,7 @@
     return f"{listing.data_centre}/{listing.rack}"
 
 
-def _begin_moves(view: PoolView, draft: changes.Draft) -> None:
+def _begin_moves(view: PoolView, draft: changes.ChangesBuilder) -> None:
     """Starts the drains of planned moves as far as budgets allow."""
     headroom: dict[str, int] = {}
     worker = platform.InstanceKind.WORKER
@@ -282,20 +291,20 @@
         if service in headroom and headroom[service] <= 0:
             continue
         headroom[service] = headroom.get(service, 0) - 1
-        row = instance_steps.take_down(
+        row = instance_steps.begin_drain(
             member.row, member.status, view.new_operation()
         )
         row = dataclasses.replace(row, target_pool=move.target)
         draft.put_instance(move.worker, row)
-        draft.explain(_decision(view, move, headroom))
+        draft.add_decision(_decision(view, move, headroom))
 
 
 def _decision(
-    view: PoolView, move: moves.Move, headroom: Mapping[str, int]
-) -> explain.Decision:
+    view: PoolView, move: move_planner.Move, headroom: Mapping[str, int]
+) -> decision_records.Decision:
     figures = {f"headroom of {name}": float(n) for name, n in headroom.items()}
-    return explain.Decision(
-        explain.pool_subject(move.target),
+    return decision_records.Decision(
+        decision_records.pool_subject(move.target),
         f"{move.worker} comes from {move.source}: a worker is missing",
         "fewest moves",
         figures,
--- a/src/vanillaswitch/coordination/maintenance/wave_boots.py
+++ b/src/vanillaswitch/coordination/maintenance/reboot_times.py
@@ -37,7 +37,7 @@
         name: previous.get(name, now)
         for name, member in fleet.members.items()
         if member.row.wave == wave_name
-        and member.row.phase is platform.Phase.REBOOTING
+        and member.row.phase is platform.MaintenancePhase.REBOOTING
     }
     durations_s = [
         now - start
--- a/src/vanillaswitch/coordination/maintenance/buffer.py
+++ b/src/vanillaswitch/coordination/maintenance/spare_capacity.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Demand:
+class ServiceDemand:
     """Input for sizing the spare pool: the workers and budget of a service.
 
     Attributes:
@@ -30,10 +30,10 @@
     """
 
     service: str
-    pools: int
-    by_rack: Mapping[str, int]
-    allowed: int
-    planned: int = 0
+    pool_count: int
+    workers_by_rack: Mapping[str, int]
+    max_down: int
+    in_maintenance: int = 0
 
     @functools.cached_property
     def shortage_without_loss(self) -> int:
@@ -42,31 +42,33 @@
 
     @functools.cached_property
     def _worker_count(self) -> int:
-        return sum(self.by_rack.values())
+        return sum(self.workers_by_rack.values())
 
     def shortage_after_loss(self, rack: str) -> int:
         """Returns the workers missing beyond the budget after a rack's loss."""
-        return self._shortage(self.by_rack.get(rack, 0))
+        return self._shortage(self.workers_by_rack.get(rack, 0))
 
     def _shortage(self, lost: int) -> int:
-        down = min(self._worker_count, lost + self.planned)
-        return max(0, down - self.allowed)
+        down = min(self._worker_count, lost + self.in_maintenance)
+        return max(0, down - self.max_down)
 
 
-Sizing = Callable[[Sequence[Demand]], int]
+SizingPolicy = Callable[[Sequence[ServiceDemand]], int]
 """Maps the demands of all services to a number of spare workers."""
 
-SIZINGS: registry.Registry[Sizing] = registry.Registry("buffer sizing")
+SIZING_POLICIES: registry.Registry[SizingPolicy] = registry.Registry(
+    "buffer sizing"
+)
 DEFAULT_SIZING_POLICY = "shared"
 
 
-def lower_bound(demands: Sequence[Demand]) -> int:
+def min_spare_size(demands: Sequence[ServiceDemand]) -> int:
     """Returns the smallest sufficient spare: the need of the worst rack."""
     return max(_required_by_rack(demands).values(), default=0)
 
 
-@SIZINGS.register("shared")
-def shared(demands: Sequence[Demand]) -> int:
+@SIZING_POLICIES.register("shared")
+def size_shared_spare(demands: Sequence[ServiceDemand]) -> int:
     """Sizes one spare pool for all services by the need of the worst rack.
 
     With the placement of ``place``, the spare workers outside a lost rack
@@ -74,17 +76,17 @@
     a rack without workers of any service, so the need of the worst rack is
     always enough.
     """
-    return lower_bound(demands)
+    return min_spare_size(demands)
 
 
-@SIZINGS.register("guard-per-pool")
-def size_per_pool(demands: Sequence[Demand]) -> int:
+@SIZING_POLICIES.register("guard-per-pool")
+def size_per_pool(demands: Sequence[ServiceDemand]) -> int:
     """Sizes one spare worker for each pool; a baseline for comparisons."""
-    return sum(demand.pools for demand in demands)
+    return sum(demand.pool_count for demand in demands)
 
 
-def uncovered(
-    demands: Sequence[Demand], spares_by_rack: Mapping[str, int]
+def uncovered_racks(
+    demands: Sequence[ServiceDemand], spares_by_rack: Mapping[str, int]
 ) -> dict[str, int]:
     """Returns the spare workers missing for each rack that is not covered.
 
@@ -101,7 +103,7 @@
     return {rack: gap for rack, gap in gaps.items() if gap > 0}
 
 
-def place(demands: Sequence[Demand], size: int) -> dict[str, int]:
+def place_spares(demands: Sequence[ServiceDemand], size: int) -> dict[str, int]:
     """Places ``size`` spare workers so that no avoidable gap remains.
 
     A rack may hold at most ``size`` minus its own need. Spare workers that
@@ -122,17 +124,17 @@
     return placed
 
 
-def _required_by_rack(demands: Sequence[Demand]) -> dict[str, int]:
+def _required_by_rack(demands: Sequence[ServiceDemand]) -> dict[str, int]:
     """Returns the number of spare workers that the loss of each rack needs.
 
     Most racks have workers of few services. The shortage of all other services
     is the same whichever rack is lost, so it is summed up once.
     """
     base = sum(demand.shortage_without_loss for demand in demands)
-    racks = {rack for demand in demands for rack in demand.by_rack}
+    racks = {rack for demand in demands for rack in demand.workers_by_rack}
     needs = dict.fromkeys(sorted(racks), base)
     for demand in demands:
-        for rack in demand.by_rack:
+        for rack in demand.workers_by_rack:
             needs[rack] += (
                 demand.shortage_after_loss(rack) - demand.shortage_without_loss
             )
--- a/src/vanillaswitch/coordination/maintenance/wave_front.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_candidates.py
@@ -49,7 +49,7 @@
         planned: ``down`` of the service's budget row.
         ready: waiting members that are up.
     """
-    domains_in_use = budgets.planned_domains(members, planned)
+    domains_in_use = budgets.domains_in_maintenance(members, planned)
     if not ready or len(domains_in_use) > 1:
         return []
     domain = min(domains_in_use, default=ready[0].domain)
@@ -75,12 +75,12 @@
     """
     by_service: dict[str, list[fleet_state.Member]] = {}
     for member in waiting_members(wave, whole_fleet):
-        if member.row.phase is platform.Phase.SERVING:
+        if member.row.phase is platform.MaintenancePhase.SERVING:
             by_service.setdefault(member.row.service, []).append(member)
     return {
         service
         for service, ready in by_service.items()
-        if budgets.may_have_room(whole_fleet, config, service, kind)
+        if budgets.may_have_headroom(whole_fleet, config, service, kind)
         and select_one_domain(
             budgets.members_of(whole_fleet, service, kind),
             whole_fleet.budget(service).row.down,
--- a/src/vanillaswitch/coordination/maintenance/wave_control.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_commands.py
@@ -9,7 +9,7 @@
 
 from vanillaswitch import errors
 from vanillaswitch.coordination.maintenance import changes
-from vanillaswitch.coordination.maintenance import explain
+from vanillaswitch.coordination.maintenance import decision_records
 from vanillaswitch.coordination.maintenance import fleet_state
 from vanillaswitch.coordination.maintenance import wave_plan
 from vanillaswitch.coordination.maintenance import wave_state
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Request:
+class WaveRequest:
     """An operator's command for one wave.
 
     Attributes:
@@ -36,7 +36,7 @@
 
 
 def start(
-    fleet: fleet_state.Fleet, config: config_lib.Config, request: Request
+    fleet: fleet_state.Fleet, config: config_lib.Config, request: WaveRequest
 ) -> changes.Changes:
     """Returns the changes that start a wave, or resume an unfinished run.
 
@@ -56,7 +56,7 @@
         return _build_changes(request, wave, "wave started")
     if existing.row.state is State.RUNNING:
         raise errors.WaveRefusedError(f"{request.name} is running already")
-    current = fleet.joined(request.name)
+    current = fleet.wave_with_done(request.name)
     wave = dataclasses.replace(
         current,
         state=State.RUNNING,
@@ -69,7 +69,7 @@
     return _build_changes(request, wave, "wave resumed")
 
 
-def pause(fleet: fleet_state.Fleet, request: Request) -> changes.Changes:
+def pause(fleet: fleet_state.Fleet, request: WaveRequest) -> changes.Changes:
     """Returns the changes that pause a running wave.
 
     Instances that are already in maintenance complete it. No other instance
@@ -83,7 +83,7 @@
         state = existing.row.state if existing else "not started"
         raise errors.WaveRefusedError(f"{request.name} is {state}")
     wave = dataclasses.replace(
-        fleet.joined(request.name),
+        fleet.wave_with_done(request.name),
         state=State.PAUSED,
         reason=f"paused by {request.operator}",
         operator=request.operator,
@@ -95,9 +95,9 @@
     fleet: fleet_state.Fleet,
     config: config_lib.Config,
     spec: config_lib.Wave,
-    request: Request,
+    request: WaveRequest,
 ) -> wave_state.Wave:
-    plan = wave_plan.plan(fleet, config, spec)
+    plan = wave_plan.plan_wave(fleet, config, spec)
     if plan.cannot:
         raise errors.WaveRefusedError("; ".join(plan.cannot))
     return wave_state.Wave(
@@ -112,14 +112,14 @@
 
 
 def _build_changes(
-    request: Request, wave: wave_state.Wave, rule: str
+    request: WaveRequest, wave: wave_state.Wave, rule: str
 ) -> changes.Changes:
     figures: Mapping[str, float] = {
         "rounds": float(len(wave.rounds)),
         "expected_s": wave.expected_s,
     }
-    decision = explain.Decision(
-        explain.wave_subject(request.name),
+    decision = decision_records.Decision(
+        decision_records.wave_subject(request.name),
         wave.reason,
         rule,
         figures,
--- a/src/vanillaswitch/coordination/maintenance/wave_delays.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_delays.py
@@ -11,8 +11,8 @@
 
 from vanillaswitch.coordination.maintenance import changes
 from vanillaswitch.coordination.maintenance import fleet_state
+from vanillaswitch.coordination.maintenance import wave_evaluation
 from vanillaswitch.coordination.maintenance import wave_state
-from vanillaswitch.coordination.maintenance import wave_verdict
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 
@@ -62,7 +62,7 @@
     draining_since = {
         name: previous.get(name, now)
         for name, member in under_way.items()
-        if member.row.phase is platform.Phase.DRAINING
+        if member.row.phase is platform.MaintenancePhase.DRAINING
     }
     soft_state[_DRAINING_SINCE] = draining_since
     return {
@@ -73,7 +73,9 @@
 
 
 def record_slow_drains(
-    view: wave_verdict.WaveView, wave: wave_state.Wave, draft: changes.Draft
+    view: wave_evaluation.WaveView,
+    wave: wave_state.Wave,
+    draft: changes.ChangesBuilder,
 ) -> wave_state.Wave:
     """Returns the wave with its slow drains, and explains new ones.
 
@@ -85,8 +87,8 @@
     for name, why in sorted(view.slow_drains.items()):
         if name not in wave.slow:
             limit_s = view.config.waves[view.name].drain_limit_s
-            draft.explain(
-                wave_verdict.build_decision(
+            draft.add_decision(
+                wave_evaluation.build_decision(
                     view, f"{name} {why}", "slow drain", {"limit_s": limit_s}
                 )
             )
--- a/src/vanillaswitch/coordination/maintenance/wave_duty.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_duty.py
@@ -4,18 +4,18 @@
 from typing import Any
 
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.control import duties
+from vanillaswitch.coordination.control import duty_assignment
 from vanillaswitch.coordination.control import duty_names
 from vanillaswitch.coordination.maintenance import changes
 from vanillaswitch.coordination.maintenance import fleet_cache
 from vanillaswitch.coordination.maintenance import fleet_state
-from vanillaswitch.coordination.maintenance import wave_boots
+from vanillaswitch.coordination.maintenance import reboot_times
+from vanillaswitch.coordination.maintenance import wave_candidates
 from vanillaswitch.coordination.maintenance import wave_delays
-from vanillaswitch.coordination.maintenance import wave_front
+from vanillaswitch.coordination.maintenance import wave_evaluation
 from vanillaswitch.coordination.maintenance import wave_plan
 from vanillaswitch.coordination.maintenance import wave_state
 from vanillaswitch.coordination.maintenance import wave_step
-from vanillaswitch.coordination.maintenance import wave_verdict
 from vanillaswitch.internal import ids
 from vanillaswitch.protocol import platform
 
@@ -37,11 +37,13 @@
 _IDLE_VERSION = "settled"
 
 
-@controller.duty(duty_names.WAVE)
-def step(context: controller.Context, name: str, fence: duties.Fence) -> None:
+@controller.duty_step(duty_names.WAVE)
+def step_wave(
+    context: controller.DutyContext, name: str, fence: duty_assignment.Fence
+) -> None:
     """Runs one step of a wave; does nothing while the platform is away."""
-    wave = duty_names.subject(name)
-    cache = fleet_cache.of(context)
+    wave = duty_names.subject_of(name)
+    cache = fleet_cache.cache_of(context)
     view = (
         _build_view(context, cache, wave)
         if wave in context.config.waves
@@ -50,19 +52,19 @@
     is_busy = False
     if view is not None:
         decision = wave_step.decide(view)
-        changes.carry_out(context, fence, view.fleet, decision)
-        has_written = not decision.changes.empty
+        changes.commit_and_call(context, fence, view.fleet, decision)
+        has_written = not decision.changes.is_empty
         is_busy = bool(has_written or decision.calls or view.under_way)
         if not is_busy:
             version = view.whole_fleet.waves[wave].version
-            context.memory[_IDLE_VERSION] = version
-    pause_s = cache.meter.pause_s(context.clock.monotonic(), is_busy)
-    context.rest(not is_busy, pause_s)
+            context.soft_state[_IDLE_VERSION] = version
+    pause_s = cache.read_throttle.pause_s(context.clock.monotonic(), is_busy)
+    context.set_pause(not is_busy, pause_s)
 
 
 def _build_view(
-    context: controller.Context, cache: fleet_cache.Cache, wave: str
-) -> wave_verdict.WaveView | None:
+    context: controller.DutyContext, cache: fleet_cache.FleetCache, wave: str
+) -> wave_evaluation.WaveView | None:
     now = context.clock.monotonic()
     if not cache.refresh(context.platform, now) or _is_idle(
         context, cache, wave
@@ -70,13 +72,13 @@
         return None
     if not _read_current_rows(context, cache, wave):
         return None
-    row = cache.fleet.joined(wave)
+    row = cache.fleet.wave_with_done(wave)
     services = _services_to_evaluate(context, cache.fleet, wave, row)
-    if not cache.settle(context.platform, services, now):
+    if not cache.refresh_services(context.platform, services, now):
         return None
     whole_fleet = cache.fleet
     spec = context.config.waves[wave]
-    soak_s = wave_delays.remaining_soak_s(context.memory, row, spec, now)
+    soak_s = wave_delays.remaining_soak_s(context.soft_state, row, spec, now)
     names = {
         name
         for name, member in whole_fleet.members.items()
@@ -84,14 +86,16 @@
     }
     if soak_s:
         names |= set(row.rounds[0]) & whole_fleet.members.keys()
-    unfinished_reboots = wave_boots.find_unfinished_reboots(
-        context.memory, whole_fleet, wave, now
+    unfinished_reboots = reboot_times.find_unfinished_reboots(
+        context.soft_state, whole_fleet, wave, now
+    )
+    statuses = cache.fetch_statuses(
+        context.platform, names - unfinished_reboots, now
     )
-    statuses = cache.ask(context.platform, names - unfinished_reboots, now)
     if isinstance(statuses, platform.Unavailable):
         return None
-    fleet = whole_fleet.part(sorted(names), statuses)
-    return wave_verdict.WaveView(
+    fleet = whole_fleet.subset(sorted(names), statuses)
+    return wave_evaluation.WaveView(
         wave,
         fleet,
         whole_fleet,
@@ -100,7 +104,7 @@
         context.config,
         _find_failing(context, fleet, wave, row),
         wave_delays.find_slow_drains(
-            context.memory,
+            context.soft_state,
             {n: m for n, m in fleet.members.items() if m.row.wave == wave},
             spec.drain_limit_s,
             now,
@@ -112,7 +116,7 @@
 
 
 def _is_idle(
-    context: controller.Context, cache: fleet_cache.Cache, name: str
+    context: controller.DutyContext, cache: fleet_cache.FleetCache, name: str
 ) -> bool:
     """Returns whether a wave has nothing to do, reading at most its row.
 
@@ -124,7 +128,7 @@
     """
     found = cache.fleet.waves.get(name)
     running = found and found.row.state is wave_state.WaveState.RUNNING
-    if not running or _FLEET_READ not in context.memory:
+    if not running or _FLEET_READ not in context.soft_state:
         now = context.clock.monotonic()
         if not cache.read_wave(context.platform, name, now):
             return True
@@ -132,11 +136,13 @@
     if found is None:
         return True
     running = found.row.state is wave_state.WaveState.RUNNING
-    return not running and context.memory.get(_IDLE_VERSION) == found.version
+    return (
+        not running and context.soft_state.get(_IDLE_VERSION) == found.version
+    )
 
 
 def _read_current_rows(
-    context: controller.Context, cache: fleet_cache.Cache, name: str
+    context: controller.DutyContext, cache: fleet_cache.FleetCache, name: str
 ) -> bool:
     """Reads the rows that earlier holders of the duty may have written.
 
@@ -151,20 +157,20 @@
     names = {one for names in wave.rounds for one in names}
     unknown = names - cache.fleet.members.keys() - wave.failed.keys()
     services: set[str] = set()
-    if _FLEET_READ not in context.memory:
+    if _FLEET_READ not in context.soft_state:
         planned = _planned_members(cache.fleet, wave)
         services = {member.row.service for member in planned} - {""}
         services.update(context.config.waves[name].services)
     if services or unknown:
         now = context.clock.monotonic()
-        if not cache.settle(context.platform, services, now, unknown):
+        if not cache.refresh_services(context.platform, services, now, unknown):
             return False
-        context.memory[_FLEET_READ] = True
+        context.soft_state[_FLEET_READ] = True
     return True
 
 
 def _services_to_evaluate(
-    context: controller.Context,
+    context: controller.DutyContext,
     whole_fleet: fleet_state.Fleet,
     name: str,
     wave: wave_state.Wave,
@@ -177,30 +183,30 @@
     """
     planned = _planned_members(whole_fleet, wave)
     under_way = [m for m in planned if m.row.wave == name]
-    draining = platform.Phase.DRAINING
+    draining = platform.MaintenancePhase.DRAINING
     services = {m.row.service for m in under_way if m.row.phase is draining}
     if wave.state is wave_state.WaveState.RUNNING:
         config = context.config
-        kind = wave_plan.KINDS[config.waves[name].targets]
-        services |= wave_front.find_startable_services(
+        kind = wave_plan.KIND_BY_TARGET[config.waves[name].targets]
+        services |= wave_candidates.find_startable_services(
             wave, whole_fleet, config, kind
         )
         if not under_way:
             services |= {
                 m.row.service
-                for m in wave_front.waiting_members(wave, whole_fleet)
+                for m in wave_candidates.waiting_members(wave, whole_fleet)
             }
     if not under_way or len(services) <= MAX_SERVICES_PER_STEP:
         return services
     ordered = sorted(services)
-    first = context.memory.get(_NEXT_SERVICE, 0) % len(ordered)
-    context.memory[_NEXT_SERVICE] = first + MAX_SERVICES_PER_STEP
+    first = context.soft_state.get(_NEXT_SERVICE, 0) % len(ordered)
+    context.soft_state[_NEXT_SERVICE] = first + MAX_SERVICES_PER_STEP
     rotated = ordered[first:] + ordered[:first]
     return set(rotated[:MAX_SERVICES_PER_STEP])
 
 
 def _find_failing(
-    context: controller.Context,
+    context: controller.DutyContext,
     fleet: fleet_state.Fleet,
     name: str,
     wave: wave_state.Wave,
@@ -213,7 +219,7 @@
     could jump. Instances that this step did not ask keep their times.
     """
     now = context.clock.monotonic()
-    previous: Mapping[tuple[str, str], float] = context.memory.get(
+    previous: Mapping[tuple[str, str], float] = context.soft_state.get(
         _PROBLEM_SINCE, {}
     )
     since = {k: v for k, v in previous.items() if k[0] not in fleet.members}
@@ -224,7 +230,7 @@
             since[key] = previous.get(key, now)
             if now - since[key] >= timeout_s:
                 failing[member.name] = f"{problem} for {timeout_s:.0f} s"
-    memory: dict[str, Any] = context.memory
+    memory: dict[str, Any] = context.soft_state
     memory[_PROBLEM_SINCE] = since
     return failing
 
@@ -244,12 +250,15 @@
     if member.status is None:
         # An instance doesn't answer during its reboot, so the short timeout
         # would be too early.
-        rebooting = member.row.phase is platform.Phase.REBOOTING
+        rebooting = member.row.phase is platform.MaintenancePhase.REBOOTING
         problems["silent"] = (
             REBOOT_TIMEOUT_S if rebooting else UNAVAILABLE_TIMEOUT_S
         )
-    elif member.status.phase is platform.Phase.DOWN:
+    elif member.status.phase is platform.MaintenancePhase.DOWN:
         problems["down"] = UNAVAILABLE_TIMEOUT_S
-    if member.row.phase in (platform.Phase.REBOOTING, platform.Phase.DRAINED):
+    if member.row.phase in (
+        platform.MaintenancePhase.REBOOTING,
+        platform.MaintenancePhase.DRAINED,
+    ):
         problems[f"not back ({member.row.phase})"] = REBOOT_TIMEOUT_S
     return problems
--- a/src/vanillaswitch/coordination/maintenance/wave_verdict.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_evaluation.py
@@ -6,9 +6,9 @@
 import dataclasses
 import functools
 
+from vanillaswitch.coordination.maintenance import background_failures
 from vanillaswitch.coordination.maintenance import changes
-from vanillaswitch.coordination.maintenance import correlation
-from vanillaswitch.coordination.maintenance import explain
+from vanillaswitch.coordination.maintenance import decision_records
 from vanillaswitch.coordination.maintenance import fleet_state
 from vanillaswitch.coordination.maintenance import instance_steps
 from vanillaswitch.coordination.maintenance import wave_state
@@ -53,7 +53,7 @@
     @functools.cached_property
     def wave(self) -> wave_state.Wave:
         """The wave's row, with ``done`` up to date."""
-        return self.whole_fleet.joined(self.name)
+        return self.whole_fleet.wave_with_done(self.name)
 
     @property
     def under_way(self) -> tuple[fleet_state.Member, ...]:
@@ -62,7 +62,7 @@
             member
             for _, member in sorted(self.fleet.members.items())
             if member.row.wave == self.name
-            and instance_steps.is_under_way(member.row)
+            and instance_steps.is_in_progress(member.row)
         )
 
 
@@ -113,7 +113,7 @@
 
 
 def stop_if_correlated(
-    view: WaveView, wave: wave_state.Wave, draft: changes.Draft
+    view: WaveView, wave: wave_state.Wave, draft: changes.ChangesBuilder
 ) -> wave_state.Wave:
     """Stops a wave with more failures than the background rate explains.
 
@@ -130,13 +130,13 @@
         )
     planned = {name for names in wave.rounds for name in names}
     started = planned & (wave.processed | {m.name for m in view.under_way})
-    mean = correlation.expected_failures(
+    mean = background_failures.expected_failures(
         spec.background_failures_per_day,
         _elapsed_s(view, wave),
         len(started),
         len(planned),
     )
-    max_explained = correlation.most_explained(mean)
+    max_explained = background_failures.max_background_failures(mean)
     unacknowledged = set(wave.failed) - set(wave.acknowledged)
     if len(unacknowledged) <= max_explained:
         return wave
@@ -149,7 +149,7 @@
         "failed": float(len(unacknowledged)),
         "explained": float(max_explained),
         "mean": mean,
-        "significance": correlation.SIGNIFICANCE,
+        "significance": background_failures.SIGNIFICANCE_LEVEL,
     }
     state = wave_state.WaveState.STOPPED
     return _change_state(view, wave, draft, state, reason, figures)
@@ -166,7 +166,7 @@
 
 
 def finish_if_complete(
-    view: WaveView, wave: wave_state.Wave, draft: changes.Draft
+    view: WaveView, wave: wave_state.Wave, draft: changes.ChangesBuilder
 ) -> wave_state.Wave:
     """Finishes a wave whose rounds are all finished."""
     if wave.state is not wave_state.WaveState.RUNNING:
@@ -185,21 +185,23 @@
 def _change_state(
     view: WaveView,
     wave: wave_state.Wave,
-    draft: changes.Draft,
+    draft: changes.ChangesBuilder,
     state: wave_state.WaveState,
     reason: str,
     figures: Mapping[str, float] | None = None,
 ) -> wave_state.Wave:
-    draft.explain(build_decision(view, reason, f"wave {state}", figures or {}))
+    draft.add_decision(
+        build_decision(view, reason, f"wave {state}", figures or {})
+    )
     return dataclasses.replace(wave, state=state, reason=reason, operator="")
 
 
 def build_decision(
     view: WaveView, cause: str, rule: str, figures: Mapping[str, float]
-) -> explain.Decision:
+) -> decision_records.Decision:
     """Returns the record of a decision about the wave."""
-    return explain.Decision(
-        explain.wave_subject(view.name),
+    return decision_records.Decision(
+        decision_records.wave_subject(view.name),
         cause,
         rule,
         figures,
--- a/src/vanillaswitch/coordination/maintenance/wave_plan.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_plan.py
@@ -29,14 +29,14 @@
 RESUME_S = 5.0
 """Modelled seconds until a rebooted instance is known to serve again."""
 
-KINDS = {
+KIND_BY_TARGET = {
     config_lib.WaveTarget.MINIONS: platform.InstanceKind.MINION,
     config_lib.WaveTarget.WORKERS: platform.InstanceKind.WORKER,
 }
 
 
 @dataclasses.dataclass(frozen=True)
-class Target:
+class WaveTargetInstance:
     """One instance that a wave reboots, with its service and domain."""
 
     name: str
@@ -63,14 +63,18 @@
 
 
 Rounds = tuple[tuple[str, ...], ...]
-Order = Callable[[Sequence[Target], Mapping[str, int], config_lib.Wave], Rounds]
+OrderStrategy = Callable[
+    [Sequence[WaveTargetInstance], Mapping[str, int], config_lib.Wave], Rounds
+]
 """(targets, headroom by service, at least 1 each, the wave) -> rounds."""
 
-ORDERS: registry.Registry[Order] = registry.Registry("wave order")
+ORDER_STRATEGIES: registry.Registry[OrderStrategy] = registry.Registry(
+    "wave order"
+)
 DEFAULT_ORDER = "growing"
 
 
-def plan(
+def plan_wave(
     fleet: fleet_state.Fleet,
     config: config_lib.Config,
     wave: config_lib.Wave,
@@ -81,7 +85,7 @@
     Raises:
         errors.UnknownVariantError: There is no such order.
     """
-    kind = KINDS[wave.targets]
+    kind = KIND_BY_TARGET[wave.targets]
     cannot = []
     targets = []
     skipped: dict[str, str] = {}
@@ -96,24 +100,26 @@
         allowance[service] = budgets.headroom(fleet, config, service, kind)
         for member in members:
             down = budgets.down_reason(member, planned)
-            if down and not budgets.only_cordoned(member, planned):
+            if down and not budgets.is_down_only_by_cordon(member, planned):
                 skipped[member.name] = down
             else:
-                targets.append(Target(member.name, service, member.domain))
-    rounds = ORDERS.get(order)(targets, allowance, wave)
-    seconds = expected_s(len(rounds), kind)
+                targets.append(
+                    WaveTargetInstance(member.name, service, member.domain)
+                )
+    rounds = ORDER_STRATEGIES.get(order)(targets, allowance, wave)
+    seconds = estimate_duration_s(len(rounds), kind)
     if len(rounds) > 1:
         seconds += wave.soak_s
     return WavePlan(rounds, seconds, tuple(cannot), skipped)
 
 
-def expected_s(rounds: int, kind: platform.InstanceKind) -> float:
+def estimate_duration_s(rounds: int, kind: platform.InstanceKind) -> float:
     """Returns the modelled seconds that a number of rounds takes."""
     return rounds * (DRAIN_S[kind] + REBOOT_S + RESUME_S)
 
 
-def fewest_growing_rounds(
-    targets: Sequence[Target],
+def min_growing_rounds(
+    targets: Sequence[WaveTargetInstance],
     allowance: Mapping[str, int],
     wave: config_lib.Wave,
 ) -> int:
@@ -128,11 +134,11 @@
         remaining -= min(math.floor(limit), total_allowance)
         limit *= max(1.0, wave.growth)
         rounds += 1
-    return max(rounds, fewest_rounds(targets, allowance))
+    return max(rounds, min_rounds(targets, allowance))
 
 
-def fewest_rounds(
-    targets: Sequence[Target], allowance: Mapping[str, int]
+def min_rounds(
+    targets: Sequence[WaveTargetInstance], allowance: Mapping[str, int]
 ) -> int:
     """Returns a lower bound on the rounds of any order.
 
@@ -146,9 +152,9 @@
     return max(by_service.values(), default=0)
 
 
-@ORDERS.register("growing")
+@ORDER_STRATEGIES.register("growing")
 def _plan_growing(
-    targets: Sequence[Target],
+    targets: Sequence[WaveTargetInstance],
     allowance: Mapping[str, int],
     wave: config_lib.Wave,
 ) -> Rounds:
@@ -168,9 +174,9 @@
     return tuple(rounds)
 
 
-@ORDERS.register("rack-at-a-time")
+@ORDER_STRATEGIES.register("rack-at-a-time")
 def _plan_rack_at_a_time(
-    targets: Sequence[Target],
+    targets: Sequence[WaveTargetInstance],
     allowance: Mapping[str, int],
     wave: config_lib.Wave,
 ) -> Rounds:
@@ -193,7 +199,7 @@
 """Names of waiting instances by service and failure domain."""
 
 
-def _group_by_domain(targets: Sequence[Target]) -> _NamesByDomain:
+def _group_by_domain(targets: Sequence[WaveTargetInstance]) -> _NamesByDomain:
     waiting: _NamesByDomain = {}
     for target in sorted(targets, key=lambda target: target.name):
         key = (target.service, target.domain)
@@ -262,7 +268,7 @@
 ) -> str | None:
     if service not in config.services:
         return f"{service}: the configuration has no such service"
-    usage = budgets.standing(fleet, config, service, kind)
+    usage = budgets.budget_status(fleet, config, service, kind)
     if usage.allowed <= 0:
         return f"{service}: its budget allows no {kind} to be down"
     if usage.headroom <= 0:
--- a/src/vanillaswitch/coordination/maintenance/wave_state.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_state.py
@@ -59,7 +59,7 @@
     waits: str = ""
     slow: Mapping[str, str] = dataclasses.field(default_factory=dict)
 
-    def mark(self, name: str) -> str:
+    def completion_mark(self, name: str) -> str:
         """Returns the value of ``maintained`` in the rows of done instances.
 
         Args:
