--- a/src/vanillaswitch/coordination/maintenance/wave_step.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_step.py
@@ -10,39 +10,41 @@
 from vanillaswitch.coordination.maintenance import changes
 from vanillaswitch.coordination.maintenance import fleet_state
 from vanillaswitch.coordination.maintenance import instance_steps
+from vanillaswitch.coordination.maintenance import wave_candidates
 from vanillaswitch.coordination.maintenance import wave_delays
-from vanillaswitch.coordination.maintenance import wave_front
+from vanillaswitch.coordination.maintenance import wave_evaluation
 from vanillaswitch.coordination.maintenance import wave_plan
 from vanillaswitch.coordination.maintenance import wave_state
-from vanillaswitch.coordination.maintenance import wave_verdict
-from vanillaswitch.coordination.maintenance import wave_wait
+from vanillaswitch.coordination.maintenance import wave_wait_reasons
 from vanillaswitch.protocol import platform
 
 
-def decide(view: wave_verdict.WaveView) -> changes.Decided:
+def decide(view: wave_evaluation.WaveView) -> changes.StepPlan:
     """Returns the next step of a wave that was started."""
-    draft = changes.Draft(view.fleet)
-    wave = wave_verdict.record_failures(view)
-    wave = wave_verdict.stop_if_correlated(view, wave, draft)
+    draft = changes.ChangesBuilder(view.fleet)
+    wave = wave_evaluation.record_failures(view)
+    wave = wave_evaluation.stop_if_correlated(view, wave, draft)
     calls, done = _advance_instances(view, wave, draft)
-    wave = wave_verdict.record_done(wave, done)
-    wave = wave_verdict.finish_if_complete(view, wave, draft)
+    wave = wave_evaluation.record_done(wave, done)
+    wave = wave_evaluation.finish_if_complete(view, wave, draft)
     started = False
     if wave.state is wave_state.WaveState.RUNNING and not view.remaining_soak_s:
         started = _start_next(view, wave, draft)
-    wave = wave_wait.record_wait_reason(view, wave, started, draft)
+    wave = wave_wait_reasons.record_wait_reason(view, wave, started, draft)
     wave = wave_delays.record_slow_drains(view, wave, draft)
     if not wave.equals_except_done(view.wave):
         draft.put_wave(view.name, wave)
     # If an operator paused the wave meanwhile, the take-down conflicts.
     if started:
-        draft.check_wave(view.name)
-    return changes.Decided(draft.build(), tuple(calls))
+        draft.require_unchanged_wave(view.name)
+    return changes.StepPlan(draft.build(), tuple(calls))
 
 
 def _advance_instances(
-    view: wave_verdict.WaveView, wave: wave_state.Wave, draft: changes.Draft
-) -> tuple[list[instance_steps.Call], list[str]]:
+    view: wave_evaluation.WaveView,
+    wave: wave_state.Wave,
+    draft: changes.ChangesBuilder,
+) -> tuple[list[instance_steps.PlatformCall], list[str]]:
     """Advances the instances in maintenance.
 
     Returns:
@@ -54,7 +56,7 @@
     for member in view.under_way:
         if member.name in view.unfinished_reboots:
             continue
-        step = instance_steps.step(
+        step = instance_steps.next_step(
             member.name,
             member.row,
             member.status,
@@ -62,13 +64,15 @@
             member.row.service,
             view.new_operation,
         )
-        if isinstance(step, instance_steps.Call):
+        if isinstance(step, instance_steps.PlatformCall):
             calls.append(step)
         if not isinstance(step, instance_steps.Advance):
             continue
         row = step.row
-        if not instance_steps.is_under_way(row) and _has_rebooted(member):
-            row = dataclasses.replace(row, maintained=wave.mark(view.name))
+        if not instance_steps.is_in_progress(row) and _has_rebooted(member):
+            row = dataclasses.replace(
+                row, maintained=wave.completion_mark(view.name)
+            )
             done.append(member.name)
         draft.put_instance(member.name, row)
     return calls, done
@@ -79,7 +83,7 @@
 
 
 def _drains_to_undo(
-    view: wave_verdict.WaveView, wave: wave_state.Wave
+    view: wave_evaluation.WaveView, wave: wave_state.Wave
 ) -> frozenset[str]:
     """Returns the draining instances to return to service without a reboot.
 
@@ -89,26 +93,28 @@
     draining = [
         member
         for member in view.under_way
-        if member.row.phase is platform.Phase.DRAINING
+        if member.row.phase is platform.MaintenancePhase.DRAINING
     ]
     evaluated = [
         m for m in draining if m.row.service in view.evaluated_services
     ]
     if wave.state is wave_state.WaveState.STOPPED:
         return frozenset(member.name for member in draining)
-    return budgets.to_return(view.fleet, view.config, evaluated)
+    return budgets.drains_to_undo(view.fleet, view.config, evaluated)
 
 
 def _start_next(
-    view: wave_verdict.WaveView, wave: wave_state.Wave, draft: changes.Draft
+    view: wave_evaluation.WaveView,
+    wave: wave_state.Wave,
+    draft: changes.ChangesBuilder,
 ) -> bool:
     """Takes down the next instances of the round; returns whether any."""
     waiting = [
         member
-        for member in wave_front.waiting_members(wave, view.fleet)
+        for member in wave_candidates.waiting_members(wave, view.fleet)
         if member.row.service in view.evaluated_services
     ]
-    kind = wave_plan.KINDS[view.config.waves[view.name].targets]
+    kind = wave_plan.KIND_BY_TARGET[view.config.waves[view.name].targets]
     started = False
     for service in sorted({member.row.service for member in waiting}):
         group = [m for m in waiting if m.row.service == service]
@@ -117,9 +123,9 @@
 
 
 def _start_service(
-    view: wave_verdict.WaveView,
+    view: wave_evaluation.WaveView,
     wave: wave_state.Wave,
-    draft: changes.Draft,
+    draft: changes.ChangesBuilder,
     service: str,
     kind: platform.InstanceKind,
     waiting: list[fleet_state.Member],
@@ -127,7 +133,7 @@
     chosen, headroom = _choose_next(view, service, kind, waiting)
     for member in chosen:
         assert member.status is not None  # only members that answered are up
-        row = instance_steps.take_down(
+        row = instance_steps.begin_drain(
             member.row, member.status, view.new_operation()
         )
         draft.put_instance(
@@ -135,14 +141,16 @@
         )
     if chosen:
         figures = {
-            "round": float(wave_front.round_index(wave, chosen[0].name) + 1),
+            "round": float(
+                wave_candidates.round_index(wave, chosen[0].name) + 1
+            ),
             "headroom": float(headroom),
             "taken": float(len(chosen)),
         }
         names = ", ".join(member.name for member in chosen)
         cause = f"{service}: {names} are next in {chosen[0].domain}"
-        draft.explain(
-            wave_verdict.build_decision(
+        draft.add_decision(
+            wave_evaluation.build_decision(
                 view, cause, "headroom of budget", figures
             )
         )
@@ -150,7 +158,7 @@
 
 
 def _choose_next(
-    view: wave_verdict.WaveView,
+    view: wave_evaluation.WaveView,
     service: str,
     kind: platform.InstanceKind,
     waiting: list[fleet_state.Member],
@@ -166,12 +174,12 @@
         member
         for member in waiting
         if budgets.down_reason(member, planned) is None
-        or budgets.only_cordoned(member, planned)
+        or budgets.is_down_only_by_cordon(member, planned)
     ]
     if headroom < 0:
         return [], headroom
     members = budgets.members_of(view.fleet, service, kind)
-    selected = wave_front.select_one_domain(members, planned, ready)
+    selected = wave_candidates.select_one_domain(members, planned, ready)
     cordoned = [member for member in selected if member.row.cordoned]
     others = [member for member in selected if not member.row.cordoned]
     return cordoned + others[:headroom], headroom
--- a/src/vanillaswitch/coordination/maintenance/wave_wait.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_wait_reasons.py
@@ -9,17 +9,17 @@
 
 from vanillaswitch.coordination.maintenance import budgets
 from vanillaswitch.coordination.maintenance import changes
-from vanillaswitch.coordination.maintenance import wave_front
+from vanillaswitch.coordination.maintenance import wave_candidates
+from vanillaswitch.coordination.maintenance import wave_evaluation
 from vanillaswitch.coordination.maintenance import wave_plan
 from vanillaswitch.coordination.maintenance import wave_state
-from vanillaswitch.coordination.maintenance import wave_verdict
 
 
 def record_wait_reason(
-    view: wave_verdict.WaveView,
+    view: wave_evaluation.WaveView,
     wave: wave_state.Wave,
     started: bool,
-    draft: changes.Draft,
+    draft: changes.ChangesBuilder,
 ) -> wave_state.Wave:
     """Returns the wave with its reason to wait, and explains a new one.
 
@@ -37,10 +37,12 @@
         return wave
     if wait_reason:
         figures = {
-            "waiting": float(len(wave_front.waiting_members(wave, view.fleet)))
+            "waiting": float(
+                len(wave_candidates.waiting_members(wave, view.fleet))
+            )
         }
-        draft.explain(
-            wave_verdict.build_decision(
+        draft.add_decision(
+            wave_evaluation.build_decision(
                 view, wait_reason, "wave waits", figures
             )
         )
@@ -48,19 +50,19 @@
 
 
 def _wait_reasons(
-    view: wave_verdict.WaveView, wave: wave_state.Wave
+    view: wave_evaluation.WaveView, wave: wave_state.Wave
 ) -> Iterator[str]:
     if view.remaining_soak_s:
         soak_s = view.config.waves[view.name].soak_s
         yield f"the first round serves for {soak_s:g} s before the next begins"
         return
-    members = wave_front.waiting_members(wave, view.fleet)
-    kind = wave_plan.KINDS[view.config.waves[view.name].targets]
+    members = wave_candidates.waiting_members(wave, view.fleet)
+    kind = wave_plan.KIND_BY_TARGET[view.config.waves[view.name].targets]
     for service in sorted({member.row.service for member in members}):
         if service not in view.config.services:
             yield f"{service}: the configuration has no such service"
             continue
-        usage = budgets.standing(view.fleet, view.config, service, kind)
+        usage = budgets.budget_status(view.fleet, view.config, service, kind)
         if usage.headroom <= 0:
             yield _exhausted_budget(usage)
             continue
@@ -69,7 +71,7 @@
                 yield f"{member.name}: {usage.down[member.name]}"
 
 
-def _exhausted_budget(usage: budgets.Standing) -> str:
+def _exhausted_budget(usage: budgets.BudgetStatus) -> str:
     names = ", ".join(sorted(usage.down))
     missing = usage.meant - usage.members
     more = f" and {missing} that never were there" if missing > 0 else ""
--- a/src/vanillaswitch/coordination/once/claim_expiry.py
+++ b/src/vanillaswitch/coordination/once/claim_expiry.py
@@ -23,7 +23,7 @@
 ROWS_PER_PAGE = 256
 
 
-def too_old(issued_ms: int, now_ms: int, retention_s: float) -> bool:
+def is_too_old(issued_ms: int, now_ms: int, retention_s: float) -> bool:
     """Returns whether a request is refused because its claim may be deleted."""
     return now_ms - issued_ms > retention_s * 1000
 
@@ -46,7 +46,7 @@
     return tuple(
         platform.Put(row.key, row.version, None)
         for row in found
-        if too_old(
+        if is_too_old(
             rows.load(rows.Claim, row.value).issued_ms, now_ms, retention_s
         )
     )
--- a/src/vanillaswitch/coordination/once/claim_expiry_duty.py
+++ b/src/vanillaswitch/coordination/once/claim_expiry_duty.py
@@ -6,15 +6,17 @@
 """
 
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.control import duties
+from vanillaswitch.coordination.control import duty_assignment
 from vanillaswitch.coordination.control import duty_names
 from vanillaswitch.coordination.once import claim_expiry
 
 _AFTER = "after"
 
 
-@controller.duty(duty_names.CLAIM_EXPIRY)
-def step(context: controller.Context, name: str, fence: duties.Fence) -> None:
+@controller.duty_step(duty_names.CLAIM_EXPIRY)
+def step(
+    context: controller.DutyContext, name: str, fence: duty_assignment.Fence
+) -> None:
     """Processes one page of claims.
 
     The deletes need no fence. Each one checks the version of a row that was
@@ -25,6 +27,6 @@
         context.platform.table,
         context.rng,
         int(context.clock.wall() * 1000),
-        context.memory.get(_AFTER, ""),
+        context.soft_state.get(_AFTER, ""),
     )
-    context.memory[_AFTER] = page.next_after
+    context.soft_state[_AFTER] = page.next_after
--- a/src/vanillaswitch/coordination/once/claim_witness.py
+++ b/src/vanillaswitch/coordination/once/claim_history.py
@@ -17,10 +17,10 @@
 
 import gevent
 
-from vanillaswitch.coordination.entry import intake
-from vanillaswitch.coordination.once import claim_company
+from vanillaswitch.coordination.entry import request_validation
 from vanillaswitch.coordination.once import claim_lookup
 from vanillaswitch.coordination.once import claim_rules
+from vanillaswitch.coordination.once import entry_contact
 from vanillaswitch.coordination.peering import peer_membership
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import ids
@@ -28,7 +28,7 @@
 from vanillaswitch.protocol import peers
 from vanillaswitch.protocol import requests
 
-MAX_CLOCK_AHEAD_S = intake.MAX_ISSUED_AHEAD_MS / 1000 + 60.0
+MAX_CLOCK_AHEAD_S = request_validation.MAX_ISSUED_AHEAD_MS / 1000 + 60.0
 """How far a time of issue may be ahead of our clock at the first attempt.
 
 This guards against a request with a time of issue that is too late, which
@@ -81,7 +81,7 @@
             collections.OrderedDict()
         )
         self._complete_since = clock.monotonic()
-        self._contact = claim_company.EntryContact(self._complete_since)
+        self._contact = entry_contact.EntryContact(self._complete_since)
         self._blocked_until: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
@@ -95,7 +95,7 @@
 
     def watch(self) -> None:
         """Updates the contact with the other entries."""
-        self._contact = claim_company.observe(
+        self._contact = entry_contact.observe(
             self._contact, self._members(), self._clock.monotonic()
         )
 
@@ -218,7 +218,7 @@
             gevent.killall(tasks, block=False)
 
     def _live_entries(self) -> tuple[peers.Heartbeat, ...]:
-        return claim_company.live_entry_heartbeats(self._members())
+        return entry_contact.live_entry_heartbeats(self._members())
 
     def _unbroken_s(self) -> float:
         since = max(self._complete_since, self._contact.unbroken_since)
--- a/src/vanillaswitch/coordination/once/claim_lookup.py
+++ b/src/vanillaswitch/coordination/once/claim_lookup.py
@@ -142,7 +142,7 @@
         if not claim.answer_object:
             return claims.Replay(answer)
         body = self._objects.get(claim.answer_object)
-        if not isinstance(body, platform.Body):
+        if not isinstance(body, platform.ObjectContent):
             return claim_rules.ANSWER_UNAVAILABLE
         if hashlib.sha256(body.content).hexdigest() != claim.answer_object:
             return claim_rules.ANSWER_UNAVAILABLE
--- a/src/vanillaswitch/coordination/once/claim_ledger.py
+++ b/src/vanillaswitch/coordination/once/claim_records.py
@@ -59,7 +59,7 @@
     digest: str
     issued_ms: int
     state: peers.ClaimState = peers.ClaimState.CLAIMED
-    ticket: str = ""
+    claim_id: str = ""
     version: int = platform.ABSENT
     answer: requests.Answer | None = None
 
--- a/src/vanillaswitch/coordination/once/claims.py
+++ b/src/vanillaswitch/coordination/once/claim_service.py
@@ -20,10 +20,10 @@
 
 from vanillaswitch import errors
 from vanillaswitch.coordination.once import claim_expiry
-from vanillaswitch.coordination.once import claim_ledger
+from vanillaswitch.coordination.once import claim_history
 from vanillaswitch.coordination.once import claim_lookup
+from vanillaswitch.coordination.once import claim_records
 from vanillaswitch.coordination.once import claim_rules
-from vanillaswitch.coordination.once import claim_witness
 from vanillaswitch.coordination.once import group_commit
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import ids
@@ -38,11 +38,11 @@
 PEER_CHECK_RESERVE_S = 0.05
 MAX_CLAIM_ATTEMPTS = 4
 
-ClaimResult = claims.Proceed | claims.Replay | requests.Refusal
+ClaimResult = claims.ClaimGranted | claims.Replay | requests.Refusal
 
 
 @dataclasses.dataclass(frozen=True)
-class Parts:
+class ClaimComponents:
     """The components of the claim service.
 
     Attributes:
@@ -59,24 +59,24 @@
 
     holder: claim_rules.Holder
     committer: group_commit.GroupCommitter
-    ledger: claim_ledger.ClaimRecords
+    records: claim_records.ClaimRecords
     lookup: claim_lookup.ClaimLookup
-    witness: claim_witness.ClaimHistory
+    history: claim_history.ClaimHistory
     clock: clocks.Clock
     rng: random.Random
     retention_s: Callable[[], float]
 
 
-def make_parts(
+def make_components(
     holder: claim_rules.Holder,
     table: platform.Table,
     objects: platform.ObjectStore,
     query_claim: claim_lookup.QueryClaim,
-    members: claim_witness.Members,
+    members: claim_history.Members,
     clock: clocks.Clock,
     rng: random.Random,
     retention_s: Callable[[], float],
-) -> Parts:
+) -> ClaimComponents:
     """Creates the components with default limits.
 
     Args:
@@ -90,28 +90,28 @@
         retention_s: returns the current retention of claims, in seconds.
     """
     committer = group_commit.GroupCommitter(table, clock, rng)
-    ledger = claim_ledger.ClaimRecords(holder, committer, objects, clock)
+    ledger = claim_records.ClaimRecords(holder, committer, objects, clock)
     lookup = claim_lookup.ClaimLookup(
         holder, table, objects, query_claim, clock, rng
     )
-    witness = claim_witness.ClaimHistory(
+    witness = claim_history.ClaimHistory(
         holder, members, query_claim, clock, rng
     )
-    return Parts(
+    return ClaimComponents(
         holder, committer, ledger, lookup, witness, clock, rng, retention_s
     )
 
 
-class Claims:
+class TableClaimService:
     """Implements ``protocol.claims.ClaimService`` for one boot of an entry."""
 
-    def __init__(self, parts: Parts):
+    def __init__(self, parts: ClaimComponents):
         """Creates the service from its components."""
         self._holder = parts.holder
         self._committer = parts.committer
-        self._ledger = parts.ledger
+        self._ledger = parts.records
         self._lookup = parts.lookup
-        self._witness = parts.witness
+        self._witness = parts.history
         self._clock = parts.clock
         self._rng = parts.rng
         self._retention_s = parts.retention_s
@@ -122,12 +122,16 @@
         Blocks until shortly before the request's deadline at most. A request
         without a key needs no claim and gets an empty ticket.
         """
-        if not request.key:
-            return claims.Proceed("")
+        if not request.idempotency_key:
+            return claims.ClaimGranted("")
         now_ms = int(self._clock.wall() * 1000)
-        if claim_expiry.too_old(request.issued_ms, now_ms, self._retention_s()):
+        if claim_expiry.is_too_old(
+            request.issued_ms, now_ms, self._retention_s()
+        ):
             return claim_rules.TOO_OLD
-        row_key = keys.claim(request.caller, request.service, request.key)
+        row_key = keys.claim(
+            request.caller, request.service, request.idempotency_key
+        )
         digest = claim_rules.compute_digest(request)
         known_record = self._ledger.get(row_key)
         known_result = (
@@ -139,7 +143,7 @@
             return self._check_with_peers(row_key, digest, request)
         # Stored before the first task switch, so that a second request with
         # this key sees the first one in progress.
-        record = claim_ledger.ClaimRecord(digest, request.issued_ms)
+        record = claim_records.ClaimRecord(digest, request.issued_ms)
         self._ledger.store(row_key, record)
         try:
             return self._claim(row_key, record, request)
@@ -160,11 +164,11 @@
         if ticket and not self._committer.is_unresponsive:
             self._ledger.write((_row_key_of(ticket),))
 
-    def finish(self, ticket: str, answer: requests.Answer) -> None:
+    def complete(self, ticket: str, answer: requests.Answer) -> None:
         """Stores the complete answer; it is written in the background."""
         self._set_outcome(ticket, peers.ClaimState.DONE, answer)
 
-    def lost(self, ticket: str) -> None:
+    def mark_unknown(self, ticket: str) -> None:
         """Records that the request was sent and its outcome is unknown."""
         self._set_outcome(ticket, peers.ClaimState.UNKNOWN)
 
@@ -220,7 +224,7 @@
     def _claim(
         self,
         row_key: str,
-        record: claim_ledger.ClaimRecord,
+        record: claim_records.ClaimRecord,
         request: requests.Request,
     ) -> ClaimResult:
         deadline = request.deadline - SEND_RESERVE_S
@@ -263,13 +267,13 @@
         return claim_rules.IN_PROGRESS
 
     def _grant(
-        self, row_key: str, record: claim_ledger.ClaimRecord, version: int
-    ) -> claims.Proceed:
+        self, row_key: str, record: claim_records.ClaimRecord, version: int
+    ) -> claims.ClaimGranted:
         ticket = f"{ids.new_id(self._rng)}:{row_key}"
-        granted = dataclasses.replace(record, ticket=ticket, version=version)
+        granted = dataclasses.replace(record, claim_id=ticket, version=version)
         self._ledger.store(row_key, granted)
         self._witness.add(row_key)
-        return claims.Proceed(ticket)
+        return claims.ClaimGranted(ticket)
 
     def _set_outcome(
         self,
@@ -282,7 +286,7 @@
         record = self._ledger.get(_row_key_of(ticket))
         if (
             record is None
-            or record.ticket != ticket
+            or record.claim_id != ticket
             or record.state is not peers.ClaimState.CLAIMED
         ):
             raise errors.InvariantError(
@@ -298,7 +302,7 @@
 
 
 def _known_result(
-    record: claim_ledger.ClaimRecord, digest: str
+    record: claim_records.ClaimRecord, digest: str
 ) -> ClaimResult | None:
     """Returns the result this boot knows for a key; None if it has none."""
     if record.digest != digest:
--- a/src/vanillaswitch/coordination/once/claim_company.py
+++ b/src/vanillaswitch/coordination/once/entry_contact.py
@@ -57,11 +57,12 @@
     entries = [
         member
         for member in members.values()
-        if member.last.role is peers.Role.ENTRY
+        if member.last_heartbeat.role is peers.Role.ENTRY
     ]
     missing_since = _update_missing(contact, entries, now)
     is_away = any(
-        member.standing is not peer_membership.Standing.ALIVE or member.retired
+        member.liveness is not peer_membership.Liveness.ALIVE
+        or member.previous_boots
         for member in entries
     )
     previous = now if contact.observed_at is None else contact.observed_at
@@ -71,7 +72,7 @@
         if missing_since or is_away or was_paused
         else contact.unbroken_since,
         observed_at=now,
-        last_heartbeats=tuple(member.last for member in entries),
+        last_heartbeats=tuple(member.last_heartbeat for member in entries),
         missing_since=missing_since,
     )
 
@@ -82,7 +83,7 @@
     # Only one process can listen at an address. A heartbeat from an address
     # shows that the process that used it before is gone. Its successor reports
     # itself since when it has been running.
-    present = {member.last.address for member in entries}
+    present = {member.last_heartbeat.address for member in entries}
     missing_since = {
         address: since
         for address, since in contact.missing_since.items()
@@ -97,8 +98,8 @@
 def live_entry_heartbeats(members: Members) -> tuple[peers.Heartbeat, ...]:
     """Returns the newest heartbeat of each live entry, sorted by process."""
     return tuple(
-        member.last
+        member.last_heartbeat
         for _, member in sorted(members.items())
-        if member.last.role is peers.Role.ENTRY
-        and member.standing is peer_membership.Standing.ALIVE
+        if member.last_heartbeat.role is peers.Role.ENTRY
+        and member.liveness is peer_membership.Liveness.ALIVE
     )
--- a/src/vanillaswitch/coordination/once/group_commit.py
+++ b/src/vanillaswitch/coordination/once/group_commit.py
@@ -14,7 +14,7 @@
 from gevent import queue
 
 from vanillaswitch import errors
-from vanillaswitch.coordination import commits
+from vanillaswitch.coordination import commit_retries
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import ids
 from vanillaswitch.protocol import platform
@@ -106,7 +106,7 @@
         return self._is_unresponsive
 
     @property
-    def transactions(self) -> int:
+    def transaction_count(self) -> int:
         """Number of transactions sent so far; retries are not counted."""
         return self._transaction_count
 
@@ -156,7 +156,7 @@
         waiting, self._deferred = self._deferred, collections.deque()
         if not waiting:
             waiting.append(self._inbox.get())
-        while not self._inbox.empty():
+        while not self._inbox.is_empty():
             waiting.append(self._inbox.get())
         batch: dict[str, Submission] = {}
         text_size = 0
@@ -181,7 +181,7 @@
     def _send(self, batch: list[Submission]) -> None:
         while batch:
             self._transaction_count += 1
-            outcome = commits.settle(
+            outcome = commit_retries.commit_with_retries(
                 self._table,
                 platform.Transaction(
                     ids.new_id(self._rng),
@@ -189,7 +189,7 @@
                 ),
                 self._clock,
                 self._clock.monotonic() + self._limits.commit_timeout_s,
-                exclusive=True,
+                exclusive_writer=True,
             )
             if isinstance(outcome, platform.Conflict):
                 self._is_unresponsive = False
@@ -212,7 +212,7 @@
         waiting put would only learn near its deadline that it was never sent.
         """
         waiting, self._deferred = self._deferred, collections.deque()
-        while not self._inbox.empty():
+        while not self._inbox.is_empty():
             waiting.append(self._inbox.get())
         for submission in waiting:
             submission.set_outcome(
--- a/src/vanillaswitch/coordination/peering/heartbeat_schedule.py
+++ b/src/vanillaswitch/coordination/peering/heartbeat_schedule.py
@@ -12,9 +12,9 @@
 import dataclasses
 
 TICK_S = 0.5
-NEAR_A_TICK = 4
-FAR_A_TICK = 2
-FAR_SHORTEST_TICKS = 8
+SAME_ROLE_PER_TICK = 4
+OTHER_ROLES_PER_TICK = 2
+OTHER_ROLES_MIN_PERIOD_TICKS = 8
 INTERVAL_SLACK = 1.1
 """Factor of the announced interval over the mean one; allows for jitter."""
 
@@ -53,17 +53,19 @@
     interval_s: float
 
 
-def near(addresses: Sequence[str]) -> PeerGroup:
+def same_role_group(addresses: Sequence[str]) -> PeerGroup:
     """Returns the group of peers of this process's role."""
-    return PeerGroup(addresses, NEAR_A_TICK, 1)
+    return PeerGroup(addresses, SAME_ROLE_PER_TICK, 1)
 
 
-def far(addresses: Sequence[str]) -> PeerGroup:
+def other_roles_group(addresses: Sequence[str]) -> PeerGroup:
     """Returns the group of peers of other roles."""
-    return PeerGroup(addresses, FAR_A_TICK, FAR_SHORTEST_TICKS)
+    return PeerGroup(
+        addresses, OTHER_ROLES_PER_TICK, OTHER_ROLES_MIN_PERIOD_TICKS
+    )
 
 
-def due(group: PeerGroup, tick: int) -> tuple[Target, ...]:
+def due_targets(group: PeerGroup, tick: int) -> tuple[Target, ...]:
     """Returns the heartbeats that are due on one tick."""
     period = group.period_ticks
     interval_s = period * TICK_S * INTERVAL_SLACK
--- a/src/vanillaswitch/coordination/peering/announcer.py
+++ b/src/vanillaswitch/coordination/peering/heartbeat_sender.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Own:
+class LocalStatus:
     """The part of a heartbeat that changes while the process runs.
 
     Attributes:
@@ -37,7 +37,7 @@
 
     config_version: int
     view_version: int
-    leaving: bool
+    is_leaving: bool
     loads: Mapping[str, int]
 
 
@@ -55,25 +55,25 @@
         self._leave_sent = False
 
     def send_due(
-        self, state: peer_membership.MembershipState, status: Own
+        self, state: peer_membership.MembershipState, status: LocalStatus
     ) -> None:
         """Advances by one tick and sends the heartbeats that are due."""
         self._tick_number += 1
         same_role, other_roles = self._groups(state)
-        if status.leaving and not self._leave_sent:
+        if status.is_leaving and not self._leave_sent:
             # Peers must stop sending work to this process at once, not only
             # when their next heartbeat is due.
             self._leave_sent = True
             self._send(state, status, _all_targets(same_role, other_roles))
             return
         due = (
-            *heartbeat_schedule.due(same_role, self._tick_number),
-            *heartbeat_schedule.due(other_roles, self._tick_number),
+            *heartbeat_schedule.due_targets(same_role, self._tick_number),
+            *heartbeat_schedule.due_targets(other_roles, self._tick_number),
         )
         self._send(state, status, due)
 
     def send_to_new_addresses(
-        self, state: peer_membership.MembershipState, status: Own
+        self, state: peer_membership.MembershipState, status: LocalStatus
     ) -> None:
         """Sends to new addresses at once; closes streams to dropped ones."""
         known = frozenset(peer_membership.known_addresses(state))
@@ -90,17 +90,17 @@
         self, state: peer_membership.MembershipState
     ) -> tuple[heartbeat_schedule.PeerGroup, heartbeat_schedule.PeerGroup]:
         same_role_addresses = {
-            member.last.address
+            member.last_heartbeat.address
             for member in state.members.values()
-            if member.last.role is self._identity.role
-            and member.standing is not peer_membership.Standing.GONE
+            if member.last_heartbeat.role is self._identity.role
+            and member.liveness is not peer_membership.Liveness.GONE
         }
         known = peer_membership.known_addresses(state)
         return (
-            heartbeat_schedule.near(
+            heartbeat_schedule.same_role_group(
                 [one for one in known if one in same_role_addresses]
             ),
-            heartbeat_schedule.far(
+            heartbeat_schedule.other_roles_group(
                 [one for one in known if one not in same_role_addresses]
             ),
         )
@@ -108,7 +108,7 @@
     def _send(
         self,
         state: peer_membership.MembershipState,
-        status: Own,
+        status: LocalStatus,
         targets: tuple[heartbeat_schedule.Target, ...],
     ) -> None:
         self._sequence += 1
@@ -121,7 +121,7 @@
             sequence=self._sequence,
             config_version=status.config_version,
             view_version=status.view_version,
-            leaving=status.leaving,
+            leaving=status.is_leaving,
             loads=status.loads,
             peers=peer_membership.gossip_addresses(state),
         )
--- a/src/vanillaswitch/coordination/peering/peer_membership.py
+++ b/src/vanillaswitch/coordination/peering/peer_membership.py
@@ -26,7 +26,7 @@
 MAX_PREVIOUS_BOOTS = 4
 
 
-class Standing(enum.StrEnum):
+class Liveness(enum.StrEnum):
     """Liveness of a member as seen from here."""
 
     ALIVE = "alive"
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Retired:
+class PreviousBoot:
     """An earlier start of a process, replaced by a later one.
 
     Attributes:
@@ -62,11 +62,11 @@
         retired: its earlier boots, the latest one last.
     """
 
-    last: peers.Heartbeat
-    standing: Standing
+    last_heartbeat: peers.Heartbeat
+    liveness: Liveness
     received_at: float
     silent_since: float
-    retired: tuple[Retired, ...] = ()
+    previous_boots: tuple[PreviousBoot, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -99,7 +99,7 @@
     return min(announced, MAX_INTERVAL_S)
 
 
-def on_heartbeat(
+def with_heartbeat(
     state: MembershipState, heartbeat: peers.Heartbeat, now: float
 ) -> MembershipState:
     """Applies a heartbeat; an old or duplicate one changes nothing."""
@@ -113,11 +113,11 @@
     if known is not None and not _is_newer(known, heartbeat):
         return state
     member = Member(
-        last=heartbeat,
-        standing=Standing.GONE if heartbeat.leaving else Standing.ALIVE,
+        last_heartbeat=heartbeat,
+        liveness=Liveness.GONE if heartbeat.leaving else Liveness.ALIVE,
         received_at=now,
         silent_since=now,
-        retired=_previous_boots(known, heartbeat.boot, now),
+        previous_boots=_previous_boots(known, heartbeat.boot, now),
     )
     members = {**state.members, heartbeat.process: member}
     state = dataclasses.replace(state, members=members)
@@ -134,28 +134,28 @@
     silence makes it suspect, the current boot is accepted again, because its
     sequence has grown since.
     """
-    last = known.last
+    last = known.last_heartbeat
     if heartbeat.boot == last.boot:
         return heartbeat.sequence > last.sequence and not (
             last.leaving and not heartbeat.leaving
         )
-    for retired in known.retired:
+    for retired in known.previous_boots:
         if retired.boot == heartbeat.boot:
             is_sequence_newer = heartbeat.sequence > retired.sequence
-            return is_sequence_newer and known.standing is not Standing.ALIVE
+            return is_sequence_newer and known.liveness is not Liveness.ALIVE
     return True
 
 
 def _previous_boots(
     known: Member | None, boot: str, now: float
-) -> tuple[Retired, ...]:
+) -> tuple[PreviousBoot, ...]:
     if known is None:
         return ()
-    last = known.last
+    last = known.last_heartbeat
     if last.boot == boot:
-        return known.retired
-    previous = [one for one in known.retired if one.boot != boot]
-    previous.append(Retired(last.boot, last.sequence, now))
+        return known.previous_boots
+    previous = [one for one in known.previous_boots if one.boot != boot]
+    previous.append(PreviousBoot(last.boot, last.sequence, now))
     return tuple(previous[-MAX_PREVIOUS_BOOTS:])
 
 
@@ -181,7 +181,9 @@
         return False
 
 
-def tick(state: MembershipState, now: float) -> MembershipState:
+def with_liveness_checked(
+    state: MembershipState, now: float
+) -> MembershipState:
     """Updates the liveness of all members; call it at least twice a second.
 
     A paused process receives nothing, so all its peers would look gone when it
@@ -212,33 +214,33 @@
     return dataclasses.replace(
         member,
         silent_since=silent_since,
-        standing=_liveness(member.last, now - silent_since),
-        retired=tuple(
+        liveness=_liveness(member.last_heartbeat, now - silent_since),
+        previous_boots=tuple(
             one
-            for one in member.retired
+            for one in member.previous_boots
             if now - one.replaced_at <= FORGET_AFTER_S
         ),
     )
 
 
-def _liveness(last: peers.Heartbeat, silence_s: float) -> Standing:
+def _liveness(last: peers.Heartbeat, silence_s: float) -> Liveness:
     missed_intervals = silence_s / announced_interval_s(last)
     if last.leaving or missed_intervals > GONE_INTERVALS:
-        return Standing.GONE
+        return Liveness.GONE
     if missed_intervals > SUSPECT_INTERVALS:
-        return Standing.SUSPECT
-    return Standing.ALIVE
+        return Liveness.SUSPECT
+    return Liveness.ALIVE
 
 
-def alive(
+def live_heartbeats(
     state: MembershipState, role: peers.Role | None = None
 ) -> tuple[peers.Heartbeat, ...]:
     """Returns the newest heartbeats of live members, ordered by process."""
     return tuple(
-        member.last
+        member.last_heartbeat
         for _, member in sorted(state.members.items())
-        if member.standing is Standing.ALIVE
-        and (role is None or member.last.role is role)
+        if member.liveness is Liveness.ALIVE
+        and (role is None or member.last_heartbeat.role is role)
     )
 
 
@@ -249,7 +251,7 @@
     partition ends, both sides would otherwise wait for each other's heartbeat.
     """
     known = {*state.seeds, *state.learned}
-    known.update(one.last.address for one in state.members.values())
+    known.update(one.last_heartbeat.address for one in state.members.values())
     known.discard(state.address)
     return tuple(sorted(filter(is_peer_address, known)))
 
@@ -260,10 +262,12 @@
     These are the addresses of live members only. If learned addresses were
     passed on too, peers would keep sending a dead one to each other for ever.
     """
-    return tuple(sorted({one.address for one in alive(state) if one.address}))
+    return tuple(
+        sorted({one.address for one in live_heartbeats(state) if one.address})
+    )
 
 
-def loads(state: MembershipState, now: float) -> Mapping[str, int]:
+def peer_in_flight(state: MembershipState, now: float) -> Mapping[str, int]:
     """Returns the peers' requests in flight, summed by minion.
 
     A reported load expires after a few intervals without a new heartbeat: its
@@ -272,7 +276,7 @@
     """
     total: dict[str, int] = {}
     for member in state.members.values():
-        last = member.last
+        last = member.last_heartbeat
         if (
             now - member.received_at
             > LOAD_VALID_INTERVALS * announced_interval_s(last)
--- a/src/vanillaswitch/coordination/peering/peer_task.py
+++ b/src/vanillaswitch/coordination/peering/peer_network.py
@@ -19,8 +19,8 @@
 import gevent.event
 import gevent.queue
 
-from vanillaswitch.coordination.peering import announcer
 from vanillaswitch.coordination.peering import heartbeat_schedule
+from vanillaswitch.coordination.peering import heartbeat_sender
 from vanillaswitch.coordination.peering import peer_membership
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import logs
@@ -49,10 +49,10 @@
 
     def __init__(
         self,
-        identity: announcer.ProcessIdentity,
+        identity: heartbeat_sender.ProcessIdentity,
         seeds: tuple[str, ...],
         clock: clocks.Clock,
-        snapshot: Callable[[], announcer.Own],
+        snapshot: Callable[[], heartbeat_sender.LocalStatus],
     ):
         """Initializes a network that is not running; see ``run``.
 
@@ -71,7 +71,7 @@
         self._handlers: dict[type, list[Handler[Any]]] = {}
         self._pending_queries: dict[str, gevent.event.AsyncResult] = {}
         self._counters: collections.Counter[str] = collections.Counter()
-        self._heartbeat_sender: announcer.HeartbeatSender | None = None
+        self._heartbeat_sender: heartbeat_sender.HeartbeatSender | None = None
         self._state = peer_membership.MembershipState(
             process=identity.process,
             address="",
@@ -85,7 +85,7 @@
         return self._state.address
 
     @property
-    def boot(self) -> str:
+    def boot_id(self) -> str:
         """Random id of this process start."""
         return self._identity.boot
 
@@ -105,21 +105,23 @@
         return self._transport
 
     @property
-    def _running_sender(self) -> announcer.HeartbeatSender:
+    def _running_sender(self) -> heartbeat_sender.HeartbeatSender:
         assert self._heartbeat_sender is not None, (
             "the peer network is not running"
         )
         return self._heartbeat_sender
 
-    def alive(
+    def live_heartbeats(
         self, role: peers.Role | None = None
     ) -> tuple[peers.Heartbeat, ...]:
         """Returns the newest heartbeats of live peers, ordered by process."""
-        return peer_membership.alive(self._state, role)
+        return peer_membership.live_heartbeats(self._state, role)
 
-    def peer_loads(self) -> Mapping[str, int]:
+    def peer_in_flight(self) -> Mapping[str, int]:
         """Returns the peers' requests in flight, summed by minion."""
-        return peer_membership.loads(self._state, self._clock.monotonic())
+        return peer_membership.peer_in_flight(
+            self._state, self._clock.monotonic()
+        )
 
     def subscribe(self, kind: type[M], handler: Handler[M]) -> None:
         """Registers a handler for all messages of one type.
@@ -136,15 +138,15 @@
     def broadcast(self, message: peers.Message) -> None:
         """Queues a message to every known peer that does not count as gone."""
         gone = {
-            member.last.address
+            member.last_heartbeat.address
             for member in self._state.members.values()
-            if member.standing is peer_membership.Standing.GONE
+            if member.liveness is peer_membership.Liveness.GONE
         }
         for address in peer_membership.known_addresses(self._state):
             if address not in gone:
                 self._running_transport.send(address, message)
 
-    def ask(
+    def query_claim(
         self, address: str, query: peers.ClaimQuery, timeout_s: float
     ) -> peers.ClaimReply | None:
         """Sends a claim query to one peer and waits for its reply.
@@ -173,7 +175,7 @@
 
     def _start(self, transport: peer_transport.PeerTransport) -> None:
         self._transport = transport
-        self._heartbeat_sender = announcer.HeartbeatSender(
+        self._heartbeat_sender = heartbeat_sender.HeartbeatSender(
             self._identity, transport
         )
         self._state = dataclasses.replace(
@@ -202,7 +204,7 @@
 
     def _update_membership(self, heartbeat: peers.Heartbeat) -> None:
         before = self._state
-        self._state = peer_membership.on_heartbeat(
+        self._state = peer_membership.with_heartbeat(
             before, heartbeat, self._clock.monotonic()
         )
         self._log_liveness_changes(before)
@@ -210,7 +212,9 @@
 
     def _tick(self) -> None:
         before = self._state
-        self._state = peer_membership.tick(before, self._clock.monotonic())
+        self._state = peer_membership.with_liveness_checked(
+            before, self._clock.monotonic()
+        )
         self._log_liveness_changes(before)
         self._send_to_new_addresses()
         self._running_sender.send_due(self._state, self._snapshot())
@@ -225,9 +229,9 @@
     ) -> None:
         for process, member in self._state.members.items():
             known = before.members.get(process)
-            if known is None or known.standing is not member.standing:
-                self._counters[f"members_{member.standing}"] += 1
-                logs.info("peer {} is {}", process, member.standing)
+            if known is None or known.liveness is not member.liveness:
+                self._counters[f"members_{member.liveness}"] += 1
+                logs.info("peer {} is {}", process, member.liveness)
 
 
 def _tick_periodically(
@@ -243,11 +247,11 @@
 def run(
     settings: settings_lib.Settings,
     role: peers.Role,
-    boot: str,
+    boot_id: str,
     open_transport: peer_transport.TransportFactory,
     clock: clocks.Clock,
     rng: random.Random,
-    snapshot: Callable[[], announcer.Own],
+    local_status: Callable[[], heartbeat_sender.LocalStatus],
 ) -> Iterator[PeerNetwork]:
     """Runs the peer network of a process until the context exits.
 
@@ -264,10 +268,10 @@
         rng: draws the jitter of the heartbeats.
         snapshot: returns what to send in the next heartbeats; must not block.
     """
-    identity = announcer.ProcessIdentity(
-        settings.process, boot, role, settings.data_centre
+    identity = heartbeat_sender.ProcessIdentity(
+        settings.process, boot_id, role, settings.data_centre
     )
-    network = PeerNetwork(identity, settings.seeds, clock, snapshot)
+    network = PeerNetwork(identity, settings.seeds, clock, local_status)
     with open_transport(settings.peer_listen, network._receive) as transport:
         network._start(transport)
         tick_periodically = functools.partial(
--- a/src/vanillaswitch/coordination/workloads/cordons.py
+++ b/src/vanillaswitch/coordination/workloads/automatic_cordons.py
@@ -5,12 +5,12 @@
 import dataclasses
 
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.control import duties
+from vanillaswitch.coordination.control import duty_assignment
 from vanillaswitch.coordination.maintenance import budgets
 from vanillaswitch.coordination.maintenance import changes
-from vanillaswitch.coordination.maintenance import explain
+from vanillaswitch.coordination.maintenance import decision_records
 from vanillaswitch.coordination.maintenance import fleet_state
-from vanillaswitch.coordination.workloads import jobs
+from vanillaswitch.coordination.workloads import job_progress
 from vanillaswitch.coordination.workloads import placement_view
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import keys
@@ -20,10 +20,10 @@
 
 
 def cordon_faulty_workers(
-    context: controller.Context,
-    fence: duties.Fence,
-    snapshot: placement_view.Reading,
-    states: Mapping[str, jobs.JobProgress],
+    context: controller.DutyContext,
+    fence: duty_assignment.Fence,
+    snapshot: placement_view.PlacementSnapshot,
+    states: Mapping[str, job_progress.JobProgress],
     healthy_jobs: Collection[str],
 ) -> None:
     """Cordons faulty workers, those with the most failed jobs first.
@@ -38,7 +38,7 @@
     """
     proven_workers = placement_view.proven_workers(snapshot)
     by_service: dict[str, dict[str, tuple[str, ...]]] = {}
-    for worker, failed in jobs.faulty_workers(
+    for worker, failed in job_progress.faulty_workers(
         states, proven_workers, healthy_jobs
     ).items():
         member = snapshot.fleet.members.get(worker)
@@ -52,7 +52,7 @@
             service,
             platform.InstanceKind.WORKER,
         )
-        chosen = jobs.choose_cordons(found, allowance)
+        chosen = job_progress.choose_cordons(found, allowance)
         if chosen:
             decided = _cordon_changes(
                 context, fence, snapshot.fleet, {w: found[w] for w in chosen}
@@ -65,8 +65,8 @@
 
 
 def _cordon_changes(
-    context: controller.Context,
-    fence: duties.Fence,
+    context: controller.DutyContext,
+    fence: duty_assignment.Fence,
     fleet: fleet_state.Fleet,
     chosen: FailedJobs,
 ) -> changes.Changes:
@@ -82,8 +82,8 @@
             for worker, reason in reasons.items()
         },
         decisions=tuple(
-            explain.Decision(
-                subject=explain.instance_subject(worker),
+            decision_records.Decision(
+                subject=decision_records.instance_subject(worker),
                 cause=reason,
                 rule="a worker that fails several jobs is cordoned",
                 figures={"jobs": len(chosen[worker])},
--- a/src/vanillaswitch/coordination/workloads/jobs.py
+++ b/src/vanillaswitch/coordination/workloads/job_progress.py
@@ -10,8 +10,8 @@
 import dataclasses
 import hashlib
 
-from vanillaswitch.coordination.workloads import tasks
-from vanillaswitch.coordination.workloads import usage
+from vanillaswitch.coordination.workloads import task_rows
+from vanillaswitch.coordination.workloads import usage_estimates
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 
@@ -69,7 +69,7 @@
 
 def record_task_end(
     state: JobProgress,
-    task: tasks.Task,
+    task: task_rows.Task,
     report: platform.TaskReport,
     counts_failure: bool,
 ) -> JobProgress:
@@ -85,10 +85,10 @@
     if report.checkpoint:
         checkpoints = {**state.checkpoints, str(task.index): report.checkpoint}
         state = dataclasses.replace(state, checkpoints=checkpoints)
-    if report.state is platform.TaskState.FINISHED:
+    if report.state is platform.ReportedTaskState.FINISHED:
         finished = tuple(sorted({*state.finished, task.index}))
         return dataclasses.replace(state, finished=finished)
-    if report.state is platform.TaskState.FAILED and counts_failure:
+    if report.state is platform.ReportedTaskState.FAILED and counts_failure:
         count = state.failed_on.get(task.worker, 0) + 1
         failed_on = {**state.failed_on, task.worker: count}
         return dataclasses.replace(state, failed_on=failed_on)
@@ -113,8 +113,8 @@
 def unrunnable_reason(
     state: JobProgress,
     job: config_lib.Job,
-    capacities: Collection[tasks.Need],
-    quota: tasks.Need,
+    capacities: Collection[task_rows.ResourceVector],
+    quota: task_rows.ResourceVector,
 ) -> str:
     """Returns why a job can never run; empty when it may run.
 
@@ -131,7 +131,7 @@
     ):
         where = ", ".join(sorted(state.failed_on))
         return f"failed {failures} times, on {where}"
-    need = usage.min_need(job)
+    need = usage_estimates.min_need(job)
     if capacities and not any(need.fits_within(one) for one in capacities):
         return (
             f"fits no worker of pool {job.pool}: {job.cores} cores, "
--- a/src/vanillaswitch/coordination/workloads/job_records.py
+++ b/src/vanillaswitch/coordination/workloads/job_progress_writes.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping
 
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.control import duties
-from vanillaswitch.coordination.maintenance import explain
-from vanillaswitch.coordination.workloads import jobs
+from vanillaswitch.coordination.control import duty_assignment
+from vanillaswitch.coordination.maintenance import decision_records
+from vanillaswitch.coordination.workloads import job_progress
 from vanillaswitch.coordination.workloads import placement_view
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import keys
@@ -16,10 +16,10 @@
 
 
 def changed_state_puts(
-    context: controller.Context,
-    fence: duties.Fence,
-    snapshot: placement_view.Reading,
-    states: Mapping[str, jobs.JobProgress],
+    context: controller.DutyContext,
+    fence: duty_assignment.Fence,
+    snapshot: placement_view.PlacementSnapshot,
+    states: Mapping[str, job_progress.JobProgress],
     wait_reasons: Mapping[str, str],
 ) -> list[platform.Put]:
     """Returns the writes of the job states that differ from their rows.
@@ -38,7 +38,9 @@
     ]
     for name, state in states.items():
         found = snapshot.jobs.get(name)
-        before = found.row if found else jobs.JobProgress(shape=state.shape)
+        before = (
+            found.row if found else job_progress.JobProgress(shape=state.shape)
+        )
         if state == before:
             continue
         version = found.version if found else platform.ABSENT
@@ -49,11 +51,11 @@
 
 
 def _set_aside_decision(
-    context: controller.Context,
-    fence: duties.Fence,
+    context: controller.DutyContext,
+    fence: duty_assignment.Fence,
     name: str,
-    state: jobs.JobProgress,
-) -> explain.Decision:
+    state: job_progress.JobProgress,
+) -> decision_records.Decision:
     figures = {"failures": float(sum(state.failed_on.values()))}
     return _decision(
         context, fence, name, state.aside, _SET_ASIDE_RULE, figures
@@ -61,15 +63,15 @@
 
 
 def _decision(
-    context: controller.Context,
-    fence: duties.Fence,
+    context: controller.DutyContext,
+    fence: duty_assignment.Fence,
     name: str,
     cause: str,
     rule: str,
     figures: Mapping[str, float],
-) -> explain.Decision:
-    return explain.Decision(
-        subject=explain.job_subject(name),
+) -> decision_records.Decision:
+    return decision_records.Decision(
+        subject=decision_records.job_subject(name),
         cause=cause,
         rule=rule,
         figures=figures,
@@ -79,12 +81,14 @@
 
 
 def _decision_puts(
-    context: controller.Context, decisions: list[explain.Decision]
+    context: controller.DutyContext, decisions: list[decision_records.Decision]
 ) -> list[platform.Put]:
     """Returns the writes of the decisions; none if their rows can't be read."""
     if not decisions:
         return []
-    found = context.platform.table.read(explain.keys_of(decisions))
+    found = context.platform.table.read(
+        decision_records.history_keys(decisions)
+    )
     if isinstance(found, platform.Unavailable):
         return []
-    return list(explain.puts(decisions, found.rows))
+    return list(decision_records.build_puts(decisions, found.rows))
--- a/src/vanillaswitch/coordination/workloads/cordon_control.py
+++ b/src/vanillaswitch/coordination/workloads/operator_cordons.py
@@ -5,7 +5,7 @@
 from vanillaswitch import errors
 from vanillaswitch.coordination.maintenance import budgets
 from vanillaswitch.coordination.maintenance import changes
-from vanillaswitch.coordination.maintenance import explain
+from vanillaswitch.coordination.maintenance import decision_records
 from vanillaswitch.coordination.maintenance import fleet_state
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Request:
+class CordonRequest:
     """An operator's request about one worker.
 
     Attributes:
@@ -27,7 +27,7 @@
 
 
 def cordon(
-    fleet: fleet_state.Fleet, config: config_lib.Config, request: Request
+    fleet: fleet_state.Fleet, config: config_lib.Config, request: CordonRequest
 ) -> changes.Changes:
     """Returns the changes that keep new tasks from a worker.
 
@@ -45,7 +45,9 @@
     return _changes(fleet, request, row, "cordoned by an operator")
 
 
-def uncordon(fleet: fleet_state.Fleet, request: Request) -> changes.Changes:
+def uncordon(
+    fleet: fleet_state.Fleet, request: CordonRequest
+) -> changes.Changes:
     """Returns the changes that open a cordoned worker to new tasks.
 
     Raises:
@@ -85,7 +87,7 @@
     if service not in config.services:
         detail = "the configuration has no such service"
     else:
-        found = budgets.standing(fleet, config, service, member.row.kind)
+        found = budgets.budget_status(fleet, config, service, member.row.kind)
         detail = (
             f"{found.down_count} of {found.allowed} allowed workers are down"
         )
@@ -95,13 +97,16 @@
 
 
 def _changes(
-    fleet: fleet_state.Fleet, request: Request, row: rows.Instance, rule: str
+    fleet: fleet_state.Fleet,
+    request: CordonRequest,
+    row: rows.Instance,
+    rule: str,
 ) -> changes.Changes:
-    draft = changes.Draft(fleet)
+    draft = changes.ChangesBuilder(fleet)
     draft.put_instance(request.worker, row)
-    draft.explain(
-        explain.Decision(
-            explain.instance_subject(request.worker),
+    draft.add_decision(
+        decision_records.Decision(
+            decision_records.instance_subject(request.worker),
             request.reason,
             rule,
             {},
--- a/src/vanillaswitch/coordination/workloads/placement.py
+++ b/src/vanillaswitch/coordination/workloads/placement.py
@@ -7,13 +7,13 @@
 from collections.abc import Sequence
 import dataclasses
 
-from vanillaswitch.coordination.workloads import rooms as rooms_lib
-from vanillaswitch.coordination.workloads import tasks
+from vanillaswitch.coordination.workloads import task_rows
+from vanillaswitch.coordination.workloads import worker_capacity
 from vanillaswitch.state import config as config_lib
 
 
 @dataclasses.dataclass(frozen=True)
-class View:
+class PlannerInput:
     """Everything that a plan depends on.
 
     Attributes:
@@ -21,11 +21,11 @@
         used: resources by team, over all pools.
     """
 
-    workers: tuple[rooms_lib.Worker, ...]
-    placed: tuple[rooms_lib.Placed, ...]
-    pending: tuple[rooms_lib.Wanted, ...]
-    quotas: Mapping[str, tasks.Need]
-    used: Mapping[str, tasks.Need]
+    workers: tuple[worker_capacity.Worker, ...]
+    placed: tuple[worker_capacity.PlacedTask, ...]
+    pending: tuple[worker_capacity.PendingTask, ...]
+    quotas: Mapping[str, task_rows.ResourceVector]
+    used: Mapping[str, task_rows.ResourceVector]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -46,21 +46,23 @@
     wait_reasons: Mapping[str, str]
 
 
-def plan(view: View, config: config_lib.Config) -> Plan:
+def plan(view: PlannerInput, config: config_lib.Config) -> Plan:
     """Returns what to start, evict and throttle now.
 
     Raises:
         errors.UnknownVariantError: the configuration names an order that is
             not registered.
     """
-    planner = _Planner(view, rooms_lib.ORDERS.get(config.policies.placement))
+    planner = _Planner(
+        view, worker_capacity.ORDERS.get(config.policies.placement)
+    )
     planner.evict_from_overloaded_workers()
     for task in sorted(view.pending, key=_sort_key):
         planner.place(task)
     return planner.result()
 
 
-def _sort_key(task: rooms_lib.Wanted) -> tuple[bool, float, str]:
+def _sort_key(task: worker_capacity.PendingTask) -> tuple[bool, float, str]:
     """Sorts urgent tasks first, then large ones, which are harder to fit."""
     return (not task.urgent, -task.need.cores, task.name)
 
@@ -68,15 +70,15 @@
 class _Planner:
     """Builds one plan step by step."""
 
-    def __init__(self, view: View, order: rooms_lib.Order):
+    def __init__(self, view: PlannerInput, order: worker_capacity.Order):
         self._order = order
         self._quotas = view.quotas
         self._used = dict(view.used)
         self._capacities = {
-            w.name: rooms_lib.WorkerCapacity(w, w.capacity)
+            w.name: worker_capacity.WorkerCapacity(w, w.capacity)
             for w in view.workers
         }
-        self._pools: dict[str, list[rooms_lib.WorkerCapacity]] = {}
+        self._pools: dict[str, list[worker_capacity.WorkerCapacity]] = {}
         for _, capacity in sorted(self._capacities.items()):
             self._pools.setdefault(capacity.worker.pool, []).append(capacity)
         for placed in view.placed:
@@ -85,7 +87,7 @@
         self._evictions: dict[str, str] = {}
         self._wait_reasons: dict[str, str] = {}
 
-    def _add_placed(self, placed: rooms_lib.Placed) -> None:
+    def _add_placed(self, placed: worker_capacity.PlacedTask) -> None:
         capacity = self._capacities.get(placed.worker)
         if capacity is None:
             return
@@ -109,15 +111,15 @@
                 used -= victim.memory_mb_used
                 self._evict(capacity, victim, "worker is out of memory")
 
-    def place(self, task: rooms_lib.Wanted) -> None:
+    def place(self, task: worker_capacity.PendingTask) -> None:
         """Chooses a worker for one task, or records why its job waits."""
         # All tasks of a job are the same size: if one does not fit, neither
         # do the others.
         if task.job in self._wait_reasons:
             return
-        used = self._used.get(task.team, tasks.NO_RESOURCES).plus(task.need)
+        used = self._used.get(task.team, task_rows.NO_RESOURCES).plus(task.need)
         if not used.fits_within(
-            self._quotas.get(task.team, tasks.NO_RESOURCES)
+            self._quotas.get(task.team, task_rows.NO_RESOURCES)
         ):
             self._wait_reasons[task.job] = f"quota of team {task.team} is used"
             return
@@ -135,8 +137,8 @@
         self._preempt(task, capacity)
 
     def _choose_worker(
-        self, task: rooms_lib.Wanted
-    ) -> rooms_lib.WorkerCapacity | None:
+        self, task: worker_capacity.PendingTask
+    ) -> worker_capacity.WorkerCapacity | None:
         schedulable = [
             c for c in self._pools.get(task.pool, []) if _is_schedulable(c)
         ]
@@ -155,7 +157,9 @@
         return _choose_fewest_evictions(task, schedulable)
 
     def _preempt(
-        self, task: rooms_lib.Wanted, capacity: rooms_lib.WorkerCapacity
+        self,
+        task: worker_capacity.PendingTask,
+        capacity: worker_capacity.WorkerCapacity,
     ) -> None:
         """Evicts tasks for an urgent one, which starts once they are gone."""
         self._wait_reasons.setdefault(task.job, "room is being made")
@@ -165,8 +169,8 @@
 
     def _evict(
         self,
-        capacity: rooms_lib.WorkerCapacity,
-        victim: rooms_lib.Placed,
+        capacity: worker_capacity.WorkerCapacity,
+        victim: worker_capacity.PlacedTask,
         reason: str,
     ) -> None:
         self._evictions[victim.name] = reason
@@ -183,12 +187,12 @@
         )
 
 
-def _is_schedulable(capacity: rooms_lib.WorkerCapacity) -> bool:
+def _is_schedulable(capacity: worker_capacity.WorkerCapacity) -> bool:
     return capacity.worker.is_schedulable and capacity.accepts_starts()
 
 
 def _fits_with_throttling(
-    task: rooms_lib.Wanted, capacity: rooms_lib.WorkerCapacity
+    task: worker_capacity.PendingTask, capacity: worker_capacity.WorkerCapacity
 ) -> bool:
     return task.urgent and task.need.fits_within(
         capacity.free_with_throttling()
@@ -196,8 +200,8 @@
 
 
 def _victims(
-    task: rooms_lib.Wanted, capacity: rooms_lib.WorkerCapacity
-) -> list[rooms_lib.Placed]:
+    task: worker_capacity.PendingTask, capacity: worker_capacity.WorkerCapacity
+) -> list[worker_capacity.PlacedTask]:
     """Returns the tasks to evict so that an urgent task fits.
 
     There are none where the tasks being stopped already free enough.
@@ -211,8 +215,8 @@
             break
         if not placed.urgent:
             # ``available`` already counts the cores that throttling frees.
-            throttling_gain = tasks.Need(
-                placed.need.cores * (1 - rooms_lib.MIN_CPU_SHARE), 0
+            throttling_gain = task_rows.ResourceVector(
+                placed.need.cores * (1 - worker_capacity.MIN_CPU_SHARE), 0
             )
             available = available.plus(placed.need).minus(throttling_gain)
             victims.append(placed)
@@ -220,8 +224,9 @@
 
 
 def _choose_fewest_evictions(
-    task: rooms_lib.Wanted, candidates: Sequence[rooms_lib.WorkerCapacity]
-) -> rooms_lib.WorkerCapacity | None:
+    task: worker_capacity.PendingTask,
+    candidates: Sequence[worker_capacity.WorkerCapacity],
+) -> worker_capacity.WorkerCapacity | None:
     """Returns the worker where an urgent task evicts the fewest others."""
     feasible = []
     for capacity in candidates:
@@ -236,7 +241,7 @@
     return min(feasible, key=lambda capacity: len(_victims(task, capacity)))
 
 
-def _cpu_shares(capacity: rooms_lib.WorkerCapacity) -> dict[str, float]:
+def _cpu_shares(capacity: worker_capacity.WorkerCapacity) -> dict[str, float]:
     """Returns the processor shares of a worker's throttled tasks.
 
     Urgent tasks are never throttled. The others all get the same share.
@@ -247,5 +252,5 @@
     left = capacity.worker.capacity.cores - urgent
     if needed <= left or not others:
         return {}
-    share = max(rooms_lib.MIN_CPU_SHARE, left / needed)
+    share = max(worker_capacity.MIN_CPU_SHARE, left / needed)
     return {task.name: share for task in others}
--- a/src/vanillaswitch/coordination/workloads/placement_duty.py
+++ b/src/vanillaswitch/coordination/workloads/placement_duty.py
@@ -4,21 +4,21 @@
 from collections.abc import Mapping
 import dataclasses
 
-from vanillaswitch.coordination import commits
+from vanillaswitch.coordination import commit_retries
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.control import duties
+from vanillaswitch.coordination.control import duty_assignment
 from vanillaswitch.coordination.control import duty_names
-from vanillaswitch.coordination.workloads import cordons
-from vanillaswitch.coordination.workloads import job_records
+from vanillaswitch.coordination.workloads import automatic_cordons
+from vanillaswitch.coordination.workloads import job_progress
+from vanillaswitch.coordination.workloads import job_progress_writes
 from vanillaswitch.coordination.workloads import job_waits
-from vanillaswitch.coordination.workloads import jobs
 from vanillaswitch.coordination.workloads import placement
-from vanillaswitch.coordination.workloads import placement_memory
+from vanillaswitch.coordination.workloads import placement_soft_state
 from vanillaswitch.coordination.workloads import placement_view
 from vanillaswitch.coordination.workloads import quotas
-from vanillaswitch.coordination.workloads import task_endings
-from vanillaswitch.coordination.workloads import task_messages
-from vanillaswitch.coordination.workloads import tasks
+from vanillaswitch.coordination.workloads import task_completions
+from vanillaswitch.coordination.workloads import task_rows
+from vanillaswitch.coordination.workloads import worker_calls
 from vanillaswitch.internal import ids
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
@@ -32,20 +32,22 @@
 MAX_STOPS_PER_COMMIT = 256
 
 
-@controller.keepalive(duty_names.PLACEMENT)
+@controller.duty_keepalive(duty_names.PLACEMENT)
 def renew_leases(
-    context: controller.Context, name: str, fence: duties.Fence
+    context: controller.DutyContext, name: str, fence: duty_assignment.Fence
 ) -> None:
     """Keeps tasks running while the table is unavailable; starts nothing."""
     del name, fence
-    task_messages.renew(context, _memory(context))
+    worker_calls.renew_leases(context, _soft_state(context))
 
 
-@controller.duty(duty_names.PLACEMENT)
-def step(context: controller.Context, name: str, fence: duties.Fence) -> None:
+@controller.duty_step(duty_names.PLACEMENT)
+def step(
+    context: controller.DutyContext, name: str, fence: duty_assignment.Fence
+) -> None:
     """Runs one step for the pools that belong to this duty."""
-    soft_state = _memory(context)
-    task_messages.renew(context, soft_state)
+    soft_state = _soft_state(context)
+    worker_calls.renew_leases(context, soft_state)
     config = context.config
     now = context.clock.monotonic()
     if not soft_state.is_pass_due(config, now):
@@ -53,7 +55,7 @@
     owned_pools = frozenset(
         pool
         for pool in _pools(config)
-        if placement_view.is_owner(pool, duty_names.subject(name), config)
+        if placement_view.is_owner(pool, duty_names.subject_of(name), config)
     )
     services = {
         config.pools[p].service for p in owned_pools if p in config.pools
@@ -63,7 +65,7 @@
     )
     if isinstance(snapshot, platform.Unavailable):
         return
-    soft_state.snapshot, soft_state.config, soft_state.turned = (
+    soft_state.snapshot, soft_state.config, soft_state.last_pass_at = (
         snapshot,
         config,
         now,
@@ -73,9 +75,11 @@
     ).run()
 
 
-def _memory(context: controller.Context) -> placement_memory.SoftState:
-    soft_state: placement_memory.SoftState = context.memory.setdefault(
-        "placement", placement_memory.SoftState(context.clock.monotonic())
+def _soft_state(
+    context: controller.DutyContext,
+) -> placement_soft_state.SoftState:
+    soft_state: placement_soft_state.SoftState = context.soft_state.setdefault(
+        "placement", placement_soft_state.SoftState(context.clock.monotonic())
     )
     return soft_state
 
@@ -89,10 +93,10 @@
 
     def __init__(
         self,
-        context: controller.Context,
-        fence: duties.Fence,
-        soft_state: placement_memory.SoftState,
-        snapshot: placement_view.Reading,
+        context: controller.DutyContext,
+        fence: duty_assignment.Fence,
+        soft_state: placement_soft_state.SoftState,
+        snapshot: placement_view.PlacementSnapshot,
         pools: frozenset[str],
     ):
         self._context = context
@@ -119,22 +123,24 @@
         self._soft_state.update(
             self._own_tasks, self._snapshot.reports, self._config.jobs, now
         )
-        ended = task_endings.find_ended(
+        ended = task_completions.find_ended(
             self._own_tasks,
             self._snapshot.reports,
             self._soft_state,
             now,
         )
-        states = task_endings.updated_states(
+        states = task_completions.updated_states(
             self._snapshot, self._config, self._pools, ended
         )
-        view = placement_view.build(
-            placement_view.Inputs(
+        view = placement_view.build_view(
+            placement_view.ViewInputs(
                 self._snapshot,
                 self._config,
                 self._pools,
                 states,
-                task_endings.stopped_tasks(self._own_tasks, self._soft_state)
+                task_completions.stopped_tasks(
+                    self._own_tasks, self._soft_state
+                )
                 | ended.keys(),
                 self._soft_state.usage_by_job,
                 self._soft_state.refusing_workers(now),
@@ -148,18 +154,18 @@
         if self._is_fence_broken:
             return True
         self._resend_unconfirmed_starts(ended)
-        healthy_jobs = task_endings.healthy_jobs(
+        healthy_jobs = task_completions.healthy_jobs(
             self._own_tasks,
             self._snapshot.reports,
             self._soft_state,
             states,
             now,
         )
-        cordons.cordon_faulty_workers(
+        automatic_cordons.cordon_faulty_workers(
             self._context, self._fence, self._snapshot, states, healthy_jobs
         )
         self._send_stops(ended)
-        task_messages.throttle(
+        worker_calls.throttle(
             self._context,
             self._soft_state,
             self._confirmed_tasks(ended),
@@ -182,9 +188,9 @@
     def _start_tasks(
         self,
         plan: placement.Plan,
-        view: placement.View,
-        states: Mapping[str, jobs.JobProgress],
-    ) -> dict[str, tuple[tasks.Task, int]]:
+        view: placement.PlannerInput,
+        states: Mapping[str, job_progress.JobProgress],
+    ) -> dict[str, tuple[task_rows.Task, int]]:
         """Writes the intents to start tasks, then sends the starts.
 
         A start is given up only if the first call after the intent's commit
@@ -201,7 +207,7 @@
         intents = {}
         for name, worker in starts:
             job, _, index = name.rpartition("/")
-            intents[name] = tasks.Task(
+            intents[name] = task_rows.Task(
                 job=job,
                 index=int(index),
                 pool=pending[name].pool,
@@ -223,7 +229,7 @@
             return {}
         refused = {}
         for name, task in intents.items():
-            if not task_messages.start(self._context, self._soft_state, task):
+            if not worker_calls.start(self._context, self._soft_state, task):
                 refused[name] = (task, outcome.version)
                 now = self._context.clock.monotonic()
                 self._soft_state.refused_at[task.worker] = now
@@ -234,13 +240,13 @@
         for name, task in self._own_tasks.items():
             is_confirmed = task.operation in self._soft_state.confirmed_starts
             if name not in ended and not task.stopping and not is_confirmed:
-                task_messages.start(self._context, self._soft_state, task)
+                worker_calls.start(self._context, self._soft_state, task)
 
     def _commit_changes(
         self,
         ended: Mapping[str, platform.TaskReport],
-        refused: Mapping[str, tuple[tasks.Task, int]],
-        states: Mapping[str, jobs.JobProgress],
+        refused: Mapping[str, tuple[task_rows.Task, int]],
+        states: Mapping[str, job_progress.JobProgress],
         plan: placement.Plan,
     ) -> None:
         """Writes all changes but starts in one transaction.
@@ -258,7 +264,7 @@
             platform.Put(keys.task(name), version, None)
             for name, (_, version) in refused.items()
         ]
-        to_stop = task_endings.find_tasks_to_stop(
+        to_stop = task_completions.find_tasks_to_stop(
             {n: t for n, t in self._own_tasks.items() if n not in ended},
             self._snapshot.fleet,
             self._config,
@@ -276,7 +282,7 @@
             soft_state.waits, plan.wait_reasons, now
         )
         wait_reasons = job_waits.due_for_record(soft_state.waits, now)
-        puts += job_records.changed_state_puts(
+        puts += job_progress_writes.changed_state_puts(
             self._context, self._fence, self._snapshot, states, wait_reasons
         )
         if puts and isinstance(self._commit(puts), platform.Committed):
@@ -286,7 +292,7 @@
             for put in puts:
                 name = keys.name_of(keys.TASKS, put.key)
                 if put.value and put.key == keys.task(name):
-                    self._own_tasks[name] = rows.load(tasks.Task, put.value)
+                    self._own_tasks[name] = rows.load(task_rows.Task, put.value)
 
     def _send_stops(self, ended: Collection[str]) -> None:
         stopping = []
@@ -297,9 +303,11 @@
                     job is not None and job.checkpoints and not job.cancelled
                 )
                 stopping.append((task, writes_checkpoint))
-        task_messages.stop(self._context, self._soft_state, stopping)
+        worker_calls.stop(self._context, self._soft_state, stopping)
 
-    def _confirmed_tasks(self, ended: Collection[str]) -> dict[str, tasks.Task]:
+    def _confirmed_tasks(
+        self, ended: Collection[str]
+    ) -> dict[str, task_rows.Task]:
         return {
             name: task
             for name, task in self._own_tasks.items()
@@ -313,15 +321,15 @@
         )
         self._has_tried_commit = True
         clock = self._context.clock
-        outcome = commits.settle(
+        outcome = commit_retries.commit_with_retries(
             self._context.platform.table,
             transaction,
             clock,
             clock.monotonic() + COMMIT_TIMEOUT_S,
         )
-        if self._fence.broken_by(outcome):
+        if self._fence.is_rejected_by(outcome):
             self._is_fence_broken = True
-            self._context.drop(self._fence)
+            self._context.release_duty(self._fence)
         return outcome
 
 
--- a/src/vanillaswitch/coordination/workloads/placement_memory.py
+++ b/src/vanillaswitch/coordination/workloads/placement_soft_state.py
@@ -7,8 +7,8 @@
 
 from vanillaswitch.coordination.workloads import job_waits
 from vanillaswitch.coordination.workloads import placement_view
-from vanillaswitch.coordination.workloads import tasks
-from vanillaswitch.coordination.workloads import usage
+from vanillaswitch.coordination.workloads import task_rows
+from vanillaswitch.coordination.workloads import usage_estimates
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 
@@ -51,18 +51,18 @@
     """
 
     taken_at: float
-    operations: dict[str, tuple[str, ...]] = dataclasses.field(
+    operations_by_worker: dict[str, tuple[str, ...]] = dataclasses.field(
         default_factory=dict
     )
     last_answer_at: dict[str, float] = dataclasses.field(default_factory=dict)
-    sent: dict[str, float] = dataclasses.field(default_factory=dict)
+    renewal_sent_at: dict[str, float] = dataclasses.field(default_factory=dict)
     start_sent_at: dict[str, float] = dataclasses.field(default_factory=dict)
     last_reported_at: dict[str, float] = dataclasses.field(default_factory=dict)
     confirmed_starts: set[str] = dataclasses.field(default_factory=set)
     stopped_at: dict[str, float] = dataclasses.field(default_factory=dict)
     checkpoint_requested: set[str] = dataclasses.field(default_factory=set)
     cpu_shares: dict[str, float] = dataclasses.field(default_factory=dict)
-    usage_by_job: dict[str, usage.ObservedUsage] = dataclasses.field(
+    usage_by_job: dict[str, usage_estimates.ObservedUsage] = dataclasses.field(
         default_factory=dict
     )
     unconfigured_since: dict[str, float] = dataclasses.field(
@@ -71,9 +71,9 @@
     refused_at: dict[str, float] = dataclasses.field(default_factory=dict)
 
     waits: dict[str, job_waits.Wait] = dataclasses.field(default_factory=dict)
-    snapshot: placement_view.Reading | None = None
+    snapshot: placement_view.PlacementSnapshot | None = None
     config: config_lib.Config | None = None
-    turned: float | None = None
+    last_pass_at: float | None = None
     is_busy: bool = False
 
     def is_pass_due(self, config: config_lib.Config, now: float) -> bool:
@@ -83,9 +83,13 @@
         cost processor time and show nothing new. Urgent jobs arrive with a
         new configuration, which is checked in every step.
         """
-        if self.is_busy or self.turned is None or config is not self.config:
+        if (
+            self.is_busy
+            or self.last_pass_at is None
+            or config is not self.config
+        ):
             return True
-        return now - self.turned >= IDLE_PASS_INTERVAL_S
+        return now - self.last_pass_at >= IDLE_PASS_INTERVAL_S
 
     def refusing_workers(self, now: float) -> frozenset[str]:
         """Returns the workers that get no starts after a recent refusal."""
@@ -97,7 +101,7 @@
 
     def update(
         self,
-        own_tasks: Mapping[str, tasks.Task],
+        own_tasks: Mapping[str, task_rows.Task],
         reports: Mapping[str, platform.TaskReport],
         jobs: Collection[str],
         now: float,
@@ -114,28 +118,34 @@
         for task in own_tasks.values():
             by_worker.setdefault(task.worker, []).append(task.operation)
             report = reports.get(task.operation)
-            if report and report.state is platform.TaskState.RUNNING:
+            if report and report.state is platform.ReportedTaskState.RUNNING:
                 self._record_report(task, report, now)
-        self.operations = {w: tuple(ops) for w, ops in by_worker.items()}
+        self.operations_by_worker = {
+            w: tuple(ops) for w, ops in by_worker.items()
+        }
         self._prune({t.operation for t in own_tasks.values()}, jobs)
 
     def _record_report(
-        self, task: tasks.Task, report: platform.TaskReport, now: float
+        self, task: task_rows.Task, report: platform.TaskReport, now: float
     ) -> None:
         self.confirmed_starts.add(task.operation)
         self.last_reported_at[task.operation] = now
-        observed = self.usage_by_job.get(task.job, usage.ObservedUsage())
+        observed = self.usage_by_job.get(
+            task.job, usage_estimates.ObservedUsage()
+        )
         throttled = self.cpu_shares.get(task.operation, 1.0) < 1.0
-        self.usage_by_job[task.job] = usage.observe(observed, report, throttled)
+        self.usage_by_job[task.job] = usage_estimates.observe(
+            observed, report, throttled
+        )
 
     def _prune(
         self, operations: Collection[str], jobs: Collection[str]
     ) -> None:
         """Drops the entries of all other operations, workers and jobs."""
-        workers = self.operations.keys()
+        workers = self.operations_by_worker.keys()
         self.usage_by_job = _select(self.usage_by_job, jobs)
         self.last_answer_at = _select(self.last_answer_at, workers)
-        self.sent = _select(self.sent, workers)
+        self.renewal_sent_at = _select(self.renewal_sent_at, workers)
         self.confirmed_starts.intersection_update(operations)
         self.checkpoint_requested.intersection_update(operations)
         self.last_reported_at = _select(self.last_reported_at, operations)
--- a/src/vanillaswitch/coordination/workloads/placement_view.py
+++ b/src/vanillaswitch/coordination/workloads/placement_view.py
@@ -11,15 +11,15 @@
 import dataclasses
 
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.control import duties
+from vanillaswitch.coordination.control import duty_assignment
 from vanillaswitch.coordination.maintenance import fleet_state
-from vanillaswitch.coordination.workloads import jobs
+from vanillaswitch.coordination.workloads import job_progress
 from vanillaswitch.coordination.workloads import placement
 from vanillaswitch.coordination.workloads import quotas
-from vanillaswitch.coordination.workloads import rooms
-from vanillaswitch.coordination.workloads import tasks
-from vanillaswitch.coordination.workloads import usage
-from vanillaswitch.coordination.workloads import worker_facts
+from vanillaswitch.coordination.workloads import task_rows
+from vanillaswitch.coordination.workloads import usage_estimates
+from vanillaswitch.coordination.workloads import worker_availability
+from vanillaswitch.coordination.workloads import worker_capacity
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 from vanillaswitch.state import keys
@@ -29,13 +29,14 @@
 def is_owner(pool: str, data_centre: str, config: config_lib.Config) -> bool:
     """Returns whether a pool belongs to a data centre's placement duty."""
     owner = max(
-        sorted(config.data_centres), key=lambda dc: duties.score(pool, dc)
+        sorted(config.data_centres),
+        key=lambda dc: duty_assignment.rendezvous_weight(pool, dc),
     )
     return owner == data_centre
 
 
 @dataclasses.dataclass(frozen=True)
-class Reading:
+class PlacementSnapshot:
     """The rows and reports of one step.
 
     Attributes:
@@ -46,17 +47,17 @@
     """
 
     fleet: fleet_state.Fleet
-    tasks: Mapping[str, fleet_state.Versioned[tasks.Task]]
-    jobs: Mapping[str, fleet_state.Versioned[jobs.JobProgress]]
+    tasks: Mapping[str, fleet_state.Versioned[task_rows.Task]]
+    jobs: Mapping[str, fleet_state.Versioned[job_progress.JobProgress]]
     quota_versions: Mapping[str, int]
     reports: Mapping[str, platform.TaskReport]
 
 
 def read_snapshot(
-    context: controller.Context,
+    context: controller.DutyContext,
     services: Collection[str],
-    previous: Reading | None = None,
-) -> Reading | platform.Unavailable:
+    previous: PlacementSnapshot | None = None,
+) -> PlacementSnapshot | platform.Unavailable:
     """Reads what a step needs.
 
     Quota rows are read first. A start that another duty commits after this
@@ -76,14 +77,14 @@
         if isinstance(outcome, platform.Unavailable):
             return outcome
         found.append(outcome.rows)
-    fleet = worker_facts.read_fleet(context, services)
+    fleet = worker_availability.read_fleet(context, services)
     if isinstance(fleet, platform.Unavailable):
         return fleet
     reports = source.workers.reports()
     if isinstance(reports, platform.Unavailable):
         return reports
     quota_rows, task_rows, job_rows = found
-    return Reading(
+    return PlacementSnapshot(
         fleet,
         _parse_tasks(task_rows, previous.tasks if previous else {}),
         _parse_jobs(job_rows, previous.jobs if previous else {}),
@@ -94,14 +95,14 @@
 
 def _parse_tasks(
     found: Iterable[platform.Row],
-    previous: Mapping[str, fleet_state.Versioned[tasks.Task]],
-) -> dict[str, fleet_state.Versioned[tasks.Task]]:
+    previous: Mapping[str, fleet_state.Versioned[task_rows.Task]],
+) -> dict[str, fleet_state.Versioned[task_rows.Task]]:
     parsed = {}
     for row in found:
-        name = tasks.name(row.value["job"], row.value["index"])
+        name = task_rows.name(row.value["job"], row.value["index"])
         known = previous.get(name)
         if known is None or known.version != row.version:
-            task = rows.load(tasks.Task, row.value)
+            task = rows.load(task_rows.Task, row.value)
             known = fleet_state.Versioned(row.version, task)
         parsed[name] = known
     return parsed
@@ -109,21 +110,21 @@
 
 def _parse_jobs(
     found: Iterable[platform.Row],
-    previous: Mapping[str, fleet_state.Versioned[jobs.JobProgress]],
-) -> dict[str, fleet_state.Versioned[jobs.JobProgress]]:
+    previous: Mapping[str, fleet_state.Versioned[job_progress.JobProgress]],
+) -> dict[str, fleet_state.Versioned[job_progress.JobProgress]]:
     parsed = {}
     for row in found:
         name = keys.name_of(keys.JOBS, row.key)
         known = previous.get(name)
         if known is None or known.version != row.version:
-            state = rows.load(jobs.JobProgress, row.value)
+            state = rows.load(job_progress.JobProgress, row.value)
             known = fleet_state.Versioned(row.version, state)
         parsed[name] = known
     return parsed
 
 
 @dataclasses.dataclass(frozen=True)
-class Inputs:
+class ViewInputs:
     """What a view is built from.
 
     Attributes:
@@ -135,25 +136,25 @@
         refusing_workers: workers that refused a start recently.
     """
 
-    snapshot: Reading
+    snapshot: PlacementSnapshot
     config: config_lib.Config
     pools: frozenset[str]
-    states: Mapping[str, jobs.JobProgress]
+    states: Mapping[str, job_progress.JobProgress]
     released_tasks: frozenset[str]
-    usage_by_job: Mapping[str, usage.ObservedUsage]
+    usage_by_job: Mapping[str, usage_estimates.ObservedUsage]
     refusing_workers: frozenset[str] = frozenset()
 
 
-def proven_workers(snapshot: Reading) -> frozenset[str]:
+def proven_workers(snapshot: PlacementSnapshot) -> frozenset[str]:
     """Returns the workers on which a task is reported as running."""
     return frozenset(
         report.worker
         for report in snapshot.reports.values()
-        if report.state is platform.TaskState.RUNNING
+        if report.state is platform.ReportedTaskState.RUNNING
     )
 
 
-def build(inputs: Inputs) -> placement.View:
+def build_view(inputs: ViewInputs) -> placement.PlannerInput:
     """Returns the view to plan on."""
     workers = _workers(inputs)
     placed = [
@@ -162,7 +163,7 @@
         if name not in inputs.released_tasks
     ]
     team_needs = [(task.team, _need_of(inputs, task)) for _, task in placed]
-    return placement.View(
+    return placement.PlannerInput(
         workers=workers,
         placed=tuple(
             _placed_task(inputs, name, task)
@@ -178,37 +179,41 @@
     )
 
 
-def _workers(inputs: Inputs) -> tuple[rooms.Worker, ...]:
+def _workers(inputs: ViewInputs) -> tuple[worker_capacity.Worker, ...]:
     proven = proven_workers(inputs.snapshot)
     found = []
     for name, member in sorted(inputs.snapshot.fleet.members.items()):
-        capacity = worker_facts.capacity_of(member)
+        capacity = worker_availability.capacity_of(member)
         if member.row.pool not in inputs.pools or capacity is None:
             continue
         is_schedulable = (
-            worker_facts.is_schedulable(member)
+            worker_availability.is_schedulable(member)
             and name not in inputs.refusing_workers
         )
         found.append(
-            rooms.Worker(
+            worker_capacity.Worker(
                 name, member.row.pool, capacity, is_schedulable, name in proven
             )
         )
     return tuple(found)
 
 
-def _need_of(inputs: Inputs, task: tasks.Task) -> tasks.Need:
+def _need_of(
+    inputs: ViewInputs, task: task_rows.Task
+) -> task_rows.ResourceVector:
     job = inputs.config.jobs.get(task.job)
     observed = inputs.usage_by_job.get(task.job)
     if job is None or observed is None or task.pool not in inputs.pools:
         return task.need
-    return usage.estimate_need(job, observed)
+    return usage_estimates.estimate_need(job, observed)
 
 
-def _placed_task(inputs: Inputs, name: str, task: tasks.Task) -> rooms.Placed:
+def _placed_task(
+    inputs: ViewInputs, name: str, task: task_rows.Task
+) -> worker_capacity.PlacedTask:
     report = inputs.snapshot.reports.get(task.operation)
     job = inputs.config.jobs.get(task.job)
-    return rooms.Placed(
+    return worker_capacity.PlacedTask(
         name,
         task.worker,
         _need_of(inputs, task),
@@ -218,21 +223,23 @@
     )
 
 
-def _pending_tasks(inputs: Inputs) -> list[rooms.Wanted]:
+def _pending_tasks(inputs: ViewInputs) -> list[worker_capacity.PendingTask]:
     placed_indices: dict[str, set[int]] = {}
     for found in inputs.snapshot.tasks.values():
         placed_indices.setdefault(found.row.job, set()).add(found.row.index)
-    capacities = worker_facts.capacities_by_pool(inputs.snapshot.fleet)
-    pending: list[rooms.Wanted] = []
+    capacities = worker_availability.capacities_by_pool(inputs.snapshot.fleet)
+    pending: list[worker_capacity.PendingTask] = []
     for name, job in sorted(inputs.config.jobs.items()):
-        state = inputs.states.get(name, jobs.JobProgress())
+        state = inputs.states.get(name, job_progress.JobProgress())
         if job.pool not in inputs.pools or job.cancelled or state.aside:
             continue
-        observed = inputs.usage_by_job.get(name, usage.ObservedUsage())
+        observed = inputs.usage_by_job.get(
+            name, usage_estimates.ObservedUsage()
+        )
         need = _feasible_need(job, observed, capacities.get(job.pool, []))
         pending += [
-            rooms.Wanted(
-                tasks.name(name, index),
+            worker_capacity.PendingTask(
+                task_rows.name(name, index),
                 name,
                 job.pool,
                 job.team,
@@ -240,7 +247,7 @@
                 job.urgent,
                 frozenset(state.failed_on),
             )
-            for index in jobs.unplaced_indices(
+            for index in job_progress.unplaced_indices(
                 job, state, placed_indices.get(name, ())
             )
         ]
@@ -249,16 +256,16 @@
 
 def _feasible_need(
     job: config_lib.Job,
-    observed: usage.ObservedUsage,
-    capacities: list[tasks.Need],
-) -> tasks.Need:
+    observed: usage_estimates.ObservedUsage,
+    capacities: list[task_rows.ResourceVector],
+) -> task_rows.ResourceVector:
     """Returns a job's need, capped at the largest worker if none can meet it.
 
     The declaration may be twice what the task uses, so that starting it on
     an empty worker may succeed.
     """
-    need = usage.estimate_need(job, observed)
+    need = usage_estimates.estimate_need(job, observed)
     if not capacities or any(need.fits_within(one) for one in capacities):
         return need
     largest = max(capacities, key=lambda one: (one.memory_mb, one.cores))
-    return usage.cap_need(need, largest)
+    return usage_estimates.cap_need(need, largest)
--- a/src/vanillaswitch/coordination/workloads/quotas.py
+++ b/src/vanillaswitch/coordination/workloads/quotas.py
@@ -3,32 +3,34 @@
 from collections.abc import Iterable
 from collections.abc import Mapping
 
-from vanillaswitch.coordination.workloads import tasks
+from vanillaswitch.coordination.workloads import task_rows
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 from vanillaswitch.state import keys
 
 
-def quota_of(config: config_lib.Config, team: str) -> tasks.Need:
+def quota_of(config: config_lib.Config, team: str) -> task_rows.ResourceVector:
     """Returns a team's quota; a team that is not declared may use nothing."""
     declared = config.teams.get(team)
     if declared is None:
-        return tasks.NO_RESOURCES
-    return tasks.Need(declared.cores, declared.memory_mb, declared.accelerators)
+        return task_rows.NO_RESOURCES
+    return task_rows.ResourceVector(
+        declared.cores, declared.memory_mb, declared.accelerators
+    )
 
 
 def usage_by_team(
-    placed: Iterable[tuple[str, tasks.Need]],
-) -> dict[str, tasks.Need]:
+    placed: Iterable[tuple[str, task_rows.ResourceVector]],
+) -> dict[str, task_rows.ResourceVector]:
     """Returns the resources that each team uses.
 
     Args:
         placed: team and need of each task. Tasks that are being stopped
             count too: they hold their resources until they are gone.
     """
-    total: dict[str, tasks.Need] = {}
+    total: dict[str, task_rows.ResourceVector] = {}
     for team, need in placed:
-        total[team] = total.get(team, tasks.NO_RESOURCES).plus(need)
+        total[team] = total.get(team, task_rows.NO_RESOURCES).plus(need)
     return total
 
 
--- a/src/vanillaswitch/coordination/workloads/task_endings.py
+++ b/src/vanillaswitch/coordination/workloads/task_completions.py
@@ -4,12 +4,12 @@
 import dataclasses
 
 from vanillaswitch.coordination.maintenance import fleet_state
-from vanillaswitch.coordination.workloads import jobs
-from vanillaswitch.coordination.workloads import placement_memory
+from vanillaswitch.coordination.workloads import job_progress
+from vanillaswitch.coordination.workloads import placement_soft_state
 from vanillaswitch.coordination.workloads import placement_view
 from vanillaswitch.coordination.workloads import quotas
-from vanillaswitch.coordination.workloads import tasks
-from vanillaswitch.coordination.workloads import worker_facts
+from vanillaswitch.coordination.workloads import task_rows
+from vanillaswitch.coordination.workloads import worker_availability
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 
@@ -29,13 +29,13 @@
 HEALTHY_RUN_S = 10.0
 """A task that has run for this long shows that its job can run."""
 
-_LEASE_EXPIRED_S = tasks.LEASE_S * tasks.EXPIRY_MARGIN
+_LEASE_EXPIRED_S = task_rows.LEASE_S * task_rows.EXPIRY_MARGIN
 
 
 def find_ended(
-    own_tasks: Mapping[str, tasks.Task],
+    own_tasks: Mapping[str, task_rows.Task],
     reports: Mapping[str, platform.TaskReport],
-    soft_state: placement_memory.SoftState,
+    soft_state: placement_soft_state.SoftState,
     now: float,
 ) -> dict[str, platform.TaskReport]:
     """Returns the last report of each task that has ended, by name.
@@ -49,23 +49,23 @@
     found = {}
     for name, task in own_tasks.items():
         report = reports.get(task.operation)
-        if report and report.state in tasks.TERMINAL_STATES:
+        if report and report.state in task_rows.TERMINAL_STATES:
             found[name] = report
         elif _is_stopped(soft_state, task, now):
             found[name] = _substitute_report(
-                name, task, platform.TaskState.STOPPED
+                name, task, platform.ReportedTaskState.STOPPED
             )
         elif _has_lost_lease(soft_state, task, now) or _is_start_unaccepted(
             soft_state, task, now
         ):
             found[name] = _substitute_report(
-                name, task, platform.TaskState.LEASE_LAPSED
+                name, task, platform.ReportedTaskState.LEASE_EXPIRED
             )
     return dict(list(found.items())[:MAX_ENDED_PER_STEP])
 
 
 def _has_lost_lease(
-    soft_state: placement_memory.SoftState, task: tasks.Task, now: float
+    soft_state: placement_soft_state.SoftState, task: task_rows.Task, now: float
 ) -> bool:
     """Returns whether a task's lease has certainly expired on its worker.
 
@@ -80,7 +80,7 @@
 
 
 def _is_stopped(
-    soft_state: placement_memory.SoftState, task: tasks.Task, now: float
+    soft_state: placement_soft_state.SoftState, task: task_rows.Task, now: float
 ) -> bool:
     """Returns whether the row of a stopped task may be deleted.
 
@@ -95,7 +95,8 @@
 
 
 def stopped_tasks(
-    own_tasks: Mapping[str, tasks.Task], soft_state: placement_memory.SoftState
+    own_tasks: Mapping[str, task_rows.Task],
+    soft_state: placement_soft_state.SoftState,
 ) -> frozenset[str]:
     """Returns the names of stopped tasks, which use no capacity any more."""
     return frozenset(
@@ -106,7 +107,7 @@
 
 
 def _is_start_unaccepted(
-    soft_state: placement_memory.SoftState, task: tasks.Task, now: float
+    soft_state: placement_soft_state.SoftState, task: task_rows.Task, now: float
 ) -> bool:
     """Returns whether no start was accepted for longer than a lease.
 
@@ -122,16 +123,16 @@
 
 
 def _substitute_report(
-    name: str, task: tasks.Task, state: platform.TaskState
+    name: str, task: task_rows.Task, state: platform.ReportedTaskState
 ) -> platform.TaskReport:
     """Returns the report that the worker would send if it could."""
     return platform.TaskReport(name, task.operation, task.worker, state, 0.0, 0)
 
 
 def stop_reason(
-    task: tasks.Task,
+    task: task_rows.Task,
     config: config_lib.Config,
-    soft_state: placement_memory.SoftState,
+    soft_state: placement_soft_state.SoftState,
     now: float,
 ) -> str:
     """Returns why a task must stop; empty when it may go on."""
@@ -160,10 +161,10 @@
 
 
 def healthy_jobs(
-    own_tasks: Mapping[str, tasks.Task],
+    own_tasks: Mapping[str, task_rows.Task],
     reports: Mapping[str, platform.TaskReport],
-    soft_state: placement_memory.SoftState,
-    states: Mapping[str, jobs.JobProgress],
+    soft_state: placement_soft_state.SoftState,
+    states: Mapping[str, job_progress.JobProgress],
     now: float,
 ) -> frozenset[str]:
     """Returns the jobs with a task that finished or has run for a while.
@@ -181,17 +182,19 @@
         started_at = soft_state.start_sent_at.get(
             task.operation, soft_state.taken_at
         )
-        is_running = report and report.state is platform.TaskState.RUNNING
+        is_running = (
+            report and report.state is platform.ReportedTaskState.RUNNING
+        )
         if is_running and now - started_at >= HEALTHY_RUN_S:
             found.add(task.job)
     return frozenset(found)
 
 
 def find_tasks_to_stop(
-    own_tasks: Mapping[str, tasks.Task],
+    own_tasks: Mapping[str, task_rows.Task],
     fleet: fleet_state.Fleet,
     config: config_lib.Config,
-    soft_state: placement_memory.SoftState,
+    soft_state: placement_soft_state.SoftState,
     evictions: Mapping[str, str],
     now: float,
 ) -> dict[str, str]:
@@ -211,7 +214,7 @@
             continue
         reason = (
             stop_reason(task, config, soft_state, now)
-            or worker_facts.drain_reason(fleet.members.get(task.worker))
+            or worker_availability.drain_reason(fleet.members.get(task.worker))
             or evictions.get(name, "")
         )
         if reason:
@@ -220,41 +223,41 @@
 
 
 def updated_states(
-    snapshot: placement_view.Reading,
+    snapshot: placement_view.PlacementSnapshot,
     config: config_lib.Config,
     pools: frozenset[str],
     ended: Mapping[str, platform.TaskReport],
-) -> dict[str, jobs.JobProgress]:
+) -> dict[str, job_progress.JobProgress]:
     """Returns the state of each of the pools' jobs after some tasks ended."""
     found = {}
     for name, job in config.jobs.items():
         if job.pool in pools:
             row = snapshot.jobs.get(name)
-            state = row.row if row else jobs.JobProgress()
-            found[name] = jobs.reset_if_resized(state, job)
+            state = row.row if row else job_progress.JobProgress()
+            found[name] = job_progress.reset_if_resized(state, job)
     for name, report in ended.items():
         task = snapshot.tasks[name].row
         if task.job in found:
             member = snapshot.fleet.members.get(task.worker)
-            counts_failure = not worker_facts.drain_reason(member)
-            found[task.job] = jobs.record_task_end(
+            counts_failure = not worker_availability.drain_reason(member)
+            found[task.job] = job_progress.record_task_end(
                 found[task.job], task, report, counts_failure
             )
     cleared_workers = {
         report.worker
         for report in ended.values()
-        if report.state is platform.TaskState.FINISHED
+        if report.state is platform.ReportedTaskState.FINISHED
     }
     cleared_workers |= {
         n for n, m in snapshot.fleet.members.items() if m.row.cordoned
     }
-    capacities = worker_facts.capacities_by_pool(snapshot.fleet)
+    capacities = worker_availability.capacities_by_pool(snapshot.fleet)
     return {
         name: _set_aside_if_unrunnable(
             config,
             capacities,
             name,
-            jobs.without_failures_on(state, cleared_workers),
+            job_progress.without_failures_on(state, cleared_workers),
         )
         for name, state in found.items()
     }
@@ -262,13 +265,13 @@
 
 def _set_aside_if_unrunnable(
     config: config_lib.Config,
-    capacities: Mapping[str, list[tasks.Need]],
+    capacities: Mapping[str, list[task_rows.ResourceVector]],
     name: str,
-    state: jobs.JobProgress,
-) -> jobs.JobProgress:
+    state: job_progress.JobProgress,
+) -> job_progress.JobProgress:
     job = config.jobs[name]
     quota = quotas.quota_of(config, job.team)
-    reason = jobs.unrunnable_reason(
+    reason = job_progress.unrunnable_reason(
         state, job, capacities.get(job.pool, []), quota
     )
     return dataclasses.replace(state, aside=reason)
--- a/src/vanillaswitch/coordination/workloads/tasks.py
+++ b/src/vanillaswitch/coordination/workloads/task_rows.py
@@ -17,35 +17,37 @@
 
 RENEWALS_PER_TERM = 3
 
-TERMINAL_STATES = frozenset(platform.TaskState) - {platform.TaskState.RUNNING}
+TERMINAL_STATES = frozenset(platform.ReportedTaskState) - {
+    platform.ReportedTaskState.RUNNING
+}
 """A task in one of these states never runs again."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Need:
+class ResourceVector:
     """Resources: what a task needs, a worker has or a team may use."""
 
     cores: float
     memory_mb: int
     accelerators: int = 0
 
-    def plus(self, other: "Need") -> "Need":
+    def plus(self, other: "ResourceVector") -> "ResourceVector":
         """Returns the sum."""
-        return Need(
+        return ResourceVector(
             self.cores + other.cores,
             self.memory_mb + other.memory_mb,
             self.accelerators + other.accelerators,
         )
 
-    def minus(self, other: "Need") -> "Need":
+    def minus(self, other: "ResourceVector") -> "ResourceVector":
         """Returns the difference, which may be negative."""
-        return Need(
+        return ResourceVector(
             self.cores - other.cores,
             self.memory_mb - other.memory_mb,
             self.accelerators - other.accelerators,
         )
 
-    def fits_within(self, capacity: "Need") -> bool:
+    def fits_within(self, capacity: "ResourceVector") -> bool:
         """Returns whether no resource exceeds ``capacity``."""
         return (
             self.cores <= capacity.cores
@@ -54,7 +56,7 @@
         )
 
 
-NO_RESOURCES = Need(0.0, 0)
+NO_RESOURCES = ResourceVector(0.0, 0)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -75,7 +77,7 @@
     team: str
     worker: str
     operation: str
-    need: Need
+    need: ResourceVector
     checkpoint: str = ""
     stopping: str = ""
 
--- a/src/vanillaswitch/coordination/workloads/usage.py
+++ b/src/vanillaswitch/coordination/workloads/usage_estimates.py
@@ -7,7 +7,7 @@
 
 import dataclasses
 
-from vanillaswitch.coordination.workloads import tasks
+from vanillaswitch.coordination.workloads import task_rows
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 
@@ -49,28 +49,32 @@
     )
 
 
-def estimate_need(job: config_lib.Job, observed: ObservedUsage) -> tasks.Need:
+def estimate_need(
+    job: config_lib.Job, observed: ObservedUsage
+) -> task_rows.ResourceVector:
     """Returns the resources to reserve for one task of a job."""
     cores = observed.cores * SAFETY_FACTOR
     memory_mb = observed.memory_mb * SAFETY_FACTOR
     if observed.samples < MIN_SAMPLES:
         cores = max(cores, job.cores)
         memory_mb = max(memory_mb, job.memory_mb)
-    return tasks.Need(cores, round(memory_mb), job.accelerators)
+    return task_rows.ResourceVector(cores, round(memory_mb), job.accelerators)
 
 
-def min_need(job: config_lib.Job) -> tasks.Need:
+def min_need(job: config_lib.Job) -> task_rows.ResourceVector:
     """Returns the least that a task with this declaration may need."""
-    return tasks.Need(
+    return task_rows.ResourceVector(
         job.cores * MIN_SHARE_OF_DECLARED,
         round(job.memory_mb * MIN_SHARE_OF_DECLARED),
         job.accelerators,
     )
 
 
-def cap_need(need: tasks.Need, capacity: tasks.Need) -> tasks.Need:
+def cap_need(
+    need: task_rows.ResourceVector, capacity: task_rows.ResourceVector
+) -> task_rows.ResourceVector:
     """Returns a need whose cores and memory do not exceed a capacity."""
-    return tasks.Need(
+    return task_rows.ResourceVector(
         min(need.cores, capacity.cores),
         min(need.memory_mb, capacity.memory_mb),
         need.accelerators,
--- a/src/vanillaswitch/coordination/workloads/task_messages.py
+++ b/src/vanillaswitch/coordination/workloads/worker_calls.py
@@ -8,34 +8,34 @@
 from collections.abc import Mapping
 
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.workloads import placement_memory
-from vanillaswitch.coordination.workloads import tasks
+from vanillaswitch.coordination.workloads import placement_soft_state
+from vanillaswitch.coordination.workloads import task_rows
 from vanillaswitch.protocol import platform
 
 MAX_STOPS_SENT_PER_STEP = 64
 """Most stops sent in one step, so that they do not delay starts."""
 
 
-def renew(
-    context: controller.Context, soft_state: placement_memory.SoftState
+def renew_leases(
+    context: controller.DutyContext, soft_state: placement_soft_state.SoftState
 ) -> None:
     """Renews the leases of all tasks, with one call to each worker."""
-    term = tasks.LEASE_S
-    for worker, operations in sorted(soft_state.operations.items()):
+    term = task_rows.LEASE_S
+    for worker, operations in sorted(soft_state.operations_by_worker.items()):
         now = context.clock.monotonic()
-        last = soft_state.sent.get(worker)
-        if last is not None and now - last < term / tasks.RENEWALS_PER_TERM:
+        last = soft_state.renewal_sent_at.get(worker)
+        if last is not None and now - last < term / task_rows.RENEWALS_PER_TERM:
             continue
-        soft_state.sent[worker] = now
+        soft_state.renewal_sent_at[worker] = now
         workers = context.platform.workers
         if isinstance(workers.renew(worker, operations, term), platform.Done):
             soft_state.last_answer_at[worker] = context.clock.monotonic()
 
 
 def start(
-    context: controller.Context,
-    soft_state: placement_memory.SoftState,
-    task: tasks.Task,
+    context: controller.DutyContext,
+    soft_state: placement_soft_state.SoftState,
+    task: task_rows.Task,
 ) -> bool:
     """Sends a start; returns False when it certainly had no effect.
 
@@ -43,12 +43,12 @@
     paused after it wrote the intent must not send a start that its successor
     has given up.
     """
-    if not context.leased():
+    if not context.has_lease():
         return True
     soft_state.start_sent_at.setdefault(
         task.operation, context.clock.monotonic()
     )
-    outcome = context.platform.workers.start(task.worker, tasks.spec(task))
+    outcome = context.platform.workers.start(task.worker, task_rows.spec(task))
     if isinstance(outcome, platform.Done):
         soft_state.confirmed_starts.add(task.operation)
         soft_state.last_answer_at[task.worker] = context.clock.monotonic()
@@ -56,9 +56,9 @@
 
 
 def stop(
-    context: controller.Context,
-    soft_state: placement_memory.SoftState,
-    stopping: Iterable[tuple[tasks.Task, bool]],
+    context: controller.DutyContext,
+    soft_state: placement_soft_state.SoftState,
+    stopping: Iterable[tuple[task_rows.Task, bool]],
 ) -> None:
     """Stops tasks; those that can write a checkpoint are asked for it first.
 
@@ -86,9 +86,9 @@
 
 
 def throttle(
-    context: controller.Context,
-    soft_state: placement_memory.SoftState,
-    running: Mapping[str, tasks.Task],
+    context: controller.DutyContext,
+    soft_state: placement_soft_state.SoftState,
+    running: Mapping[str, task_rows.Task],
     cpu_shares: Mapping[str, float],
 ) -> None:
     """Sends tasks their share of processors where it has changed.
--- a/src/vanillaswitch/coordination/workloads/rooms.py
+++ b/src/vanillaswitch/coordination/workloads/worker_capacity.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 import dataclasses
 
-from vanillaswitch.coordination.workloads import tasks
+from vanillaswitch.coordination.workloads import task_rows
 from vanillaswitch.internal import registry
 
 MAX_UNPROVEN_TASKS = 4
@@ -27,13 +27,13 @@
 
     name: str
     pool: str
-    capacity: tasks.Need
+    capacity: task_rows.ResourceVector
     is_schedulable: bool = True
     is_proven: bool = True
 
 
 @dataclasses.dataclass(frozen=True)
-class Placed:
+class PlacedTask:
     """A task on a worker.
 
     Attributes:
@@ -43,14 +43,14 @@
 
     name: str
     worker: str
-    need: tasks.Need
+    need: task_rows.ResourceVector
     urgent: bool = False
     is_stopping: bool = False
     memory_mb_used: int = 0
 
 
 @dataclasses.dataclass(frozen=True)
-class Wanted:
+class PendingTask:
     """A task that has no worker yet.
 
     Attributes:
@@ -61,7 +61,7 @@
     job: str
     pool: str
     team: str
-    need: tasks.Need
+    need: task_rows.ResourceVector
     urgent: bool = False
     avoided_workers: frozenset[str] = frozenset()
 
@@ -79,9 +79,9 @@
     """
 
     worker: Worker
-    free: tasks.Need
-    releasing: tasks.Need = tasks.NO_RESOURCES
-    active_tasks: list[Placed] = dataclasses.field(default_factory=list)
+    free: task_rows.ResourceVector
+    releasing: task_rows.ResourceVector = task_rows.NO_RESOURCES
+    active_tasks: list[PlacedTask] = dataclasses.field(default_factory=list)
     starts: int = 0
 
     def accepts_starts(self) -> bool:
@@ -93,21 +93,23 @@
             self.worker.is_proven or len(self.active_tasks) < MAX_UNPROVEN_TASKS
         )
 
-    def reserve(self, task: Wanted) -> None:
+    def reserve(self, task: PendingTask) -> None:
         """Reserves the resources of a task."""
         self.free = self.free.minus(task.need)
         self.active_tasks.append(
-            Placed(task.name, self.worker.name, task.need, task.urgent)
+            PlacedTask(task.name, self.worker.name, task.need, task.urgent)
         )
 
-    def free_with_throttling(self) -> tasks.Need:
+    def free_with_throttling(self) -> task_rows.ResourceVector:
         """Returns what is free once all tasks but urgent ones are throttled."""
         cores = sum(t.need.cores for t in self.active_tasks if not t.urgent)
-        gained = tasks.Need(cores * (1 - MIN_CPU_SHARE), 0)
+        gained = task_rows.ResourceVector(cores * (1 - MIN_CPU_SHARE), 0)
         return self.free.plus(gained)
 
 
-Order = Callable[[Sequence[WorkerCapacity], tasks.Need], WorkerCapacity]
+Order = Callable[
+    [Sequence[WorkerCapacity], task_rows.ResourceVector], WorkerCapacity
+]
 """Chooses one of several workers that all have capacity, sorted by name."""
 
 ORDERS: registry.Registry[Order] = registry.Registry("placement order")
@@ -115,7 +117,7 @@
 
 @ORDERS.register("first-fit")
 def first_fit(
-    candidates: Sequence[WorkerCapacity], need: tasks.Need
+    candidates: Sequence[WorkerCapacity], need: task_rows.ResourceVector
 ) -> WorkerCapacity:
     """Returns the first worker by name; the baseline."""
     del need
@@ -124,7 +126,7 @@
 
 @ORDERS.register("best-fit")
 def best_fit(
-    candidates: Sequence[WorkerCapacity], need: tasks.Need
+    candidates: Sequence[WorkerCapacity], need: task_rows.ResourceVector
 ) -> WorkerCapacity:
     """Returns the worker with the least left over.
 
--- a/src/vanillaswitch/platform/job_request_handler.py
+++ b/src/vanillaswitch/platform/job_request_handler.py
@@ -51,7 +51,7 @@
         self._config = config
         self._clock = clock
 
-    def handle(self, incoming: requests.Incoming) -> requests.Reply:
+    def handle(self, incoming: requests.RawRequest) -> requests.Reply:
         """Handles one request, in the greenlet of its connection."""
         reply = self._route(incoming)
         if isinstance(reply, requests.Refusal):
@@ -67,7 +67,7 @@
             )
         return reply
 
-    def _route(self, incoming: requests.Incoming) -> requests.Reply:
+    def _route(self, incoming: requests.RawRequest) -> requests.Reply:
         config = self._config()
         if config is None:
             return _refusal(503, "no-configuration", "come back soon", 1.0)
@@ -90,7 +90,7 @@
         return _refusal(405, "method", "use POST, GET or DELETE")
 
     def _get_queue_length(
-        self, incoming: requests.Incoming, queue: fleet.Queue
+        self, incoming: requests.RawRequest, queue: fleet.Queue
     ) -> requests.Reply:
         if incoming.method != "GET":
             return _refusal(405, "method", "use GET")
@@ -101,7 +101,7 @@
 
     def _submit_job(
         self,
-        incoming: requests.Incoming,
+        incoming: requests.RawRequest,
         queue: fleet.Queue,
         job_id: str,
         version: int,
@@ -118,7 +118,7 @@
         except job_body.BadJobError as error:
             return _refusal(400, "bad-job", str(error))
         result = self._intake.submit(job, self._deadline(incoming))
-        waited_s = self._clock.monotonic() - incoming.received
+        waited_s = self._clock.monotonic() - incoming.received_at
         self._emit(
             events.HandedIn(
                 job_id,
@@ -137,7 +137,7 @@
         return _write_failure(result)
 
     def _get_state(
-        self, incoming: requests.Incoming, job_id: str
+        self, incoming: requests.RawRequest, job_id: str
     ) -> requests.Reply:
         state = self._owner_rpc.state(job_id)
         if state is None:
@@ -150,7 +150,7 @@
         return _ok(job_body.encode_state(state))
 
     def _cancel_job(
-        self, incoming: requests.Incoming, job_id: str
+        self, incoming: requests.RawRequest, job_id: str
     ) -> requests.Reply:
         state = self._owner_rpc.state(job_id)
         if state is not None and state.is_final:
@@ -165,13 +165,13 @@
             return _refusal(410, "no-job", "there is no such job")
         return _write_failure(result)
 
-    def _deadline(self, incoming: requests.Incoming) -> float:
+    def _deadline(self, incoming: requests.RawRequest) -> float:
         """Returns the monotonic time by which a response must be sent."""
         text = headers.first(incoming.headers, DEADLINE_HEADER) or ""
         timeout_s = DEFAULT_TIMEOUT_S
         if text.isdigit():
             timeout_s = int(text) / 1000
-        return incoming.received + max(0.0, timeout_s - RESPONSE_MARGIN_S)
+        return incoming.received_at + max(0.0, timeout_s - RESPONSE_MARGIN_S)
 
 
 def _find_queue(
--- a/src/vanillaswitch/protocol/claims.py
+++ b/src/vanillaswitch/protocol/claims.py
@@ -7,14 +7,14 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Proceed:
+class ClaimGranted:
     """The request is claimed for this process, which may send it once.
 
     Attributes:
         ticket: identifies the claim in the call that settles it.
     """
 
-    ticket: str
+    claim_id: str
 
 
 @dataclasses.dataclass(frozen=True)
@@ -33,7 +33,7 @@
 
     def begin(
         self, request: requests.Request
-    ) -> Proceed | Replay | requests.Refusal:
+    ) -> ClaimGranted | Replay | requests.Refusal:
         """Claims a request, or returns the known result for its key."""
 
     def release(self, ticket: str) -> None:
@@ -42,8 +42,8 @@
         Call it before the caller is told "not run".
         """
 
-    def finish(self, ticket: str, answer: requests.Answer) -> None:
+    def complete(self, ticket: str, answer: requests.Answer) -> None:
         """Stores the complete answer with the claim."""
 
-    def lost(self, ticket: str) -> None:
+    def mark_unknown(self, ticket: str) -> None:
         """Records that the request was sent and its outcome is unknown."""
--- a/src/vanillaswitch/protocol/minions.py
+++ b/src/vanillaswitch/protocol/minions.py
@@ -23,7 +23,7 @@
     data_centre: str
     rack: str
     slots: int
-    connections: int
+    max_connections: int
 
 
 @dataclasses.dataclass(frozen=True)
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Lost:
+class ResponseLost:
     """Bytes were sent without a complete answer: the request may have run.
 
     Attributes:
@@ -50,10 +50,10 @@
     """
 
     reason: str
-    silent: bool
+    timed_out: bool
 
 
-SendOutcome = Answered | NotSent | Lost
+SendOutcome = Answered | NotSent | ResponseLost
 
 
 class MinionClient(Protocol):
--- a/src/vanillaswitch/protocol/platform.py
+++ b/src/vanillaswitch/protocol/platform.py
@@ -138,7 +138,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Body:
+class ObjectContent:
     """The content of an object."""
 
     content: bytes
@@ -160,7 +160,7 @@
     def put(self, digest: str, content: bytes) -> Done | Unavailable:
         """Stores an object; idempotent."""
 
-    def get(self, digest: str) -> Body | Missing | Unavailable:
+    def get(self, digest: str) -> ObjectContent | Missing | Unavailable:
         """Fetches an object."""
 
 
@@ -211,7 +211,7 @@
     instances: tuple[Listing, ...]
 
 
-class Phase(enum.StrEnum):
+class MaintenancePhase(enum.StrEnum):
     """The maintenance phase of an instance."""
 
     SERVING = "serving"
@@ -233,7 +233,7 @@
     """
 
     instance: str
-    phase: Phase
+    phase: MaintenancePhase
     operation: str
     in_flight: int
     boots: int
@@ -270,14 +270,14 @@
         """Makes an instance accept new work again."""
 
 
-class TaskState(enum.StrEnum):
+class ReportedTaskState(enum.StrEnum):
     """The state of a task as its worker reports it."""
 
     RUNNING = "running"
     FINISHED = "finished"
     FAILED = "failed"
     STOPPED = "stopped"
-    LEASE_LAPSED = "lease-lapsed"
+    LEASE_EXPIRED = "lease-lapsed"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -307,7 +307,7 @@
     task: str
     operation: str
     worker: str
-    state: TaskState
+    state: ReportedTaskState
     cores_used: float
     memory_mb_used: int
     checkpoint: str = ""
--- a/src/vanillaswitch/protocol/requests.py
+++ b/src/vanillaswitch/protocol/requests.py
@@ -3,10 +3,10 @@
 import dataclasses
 import enum
 
-HEADER_CALLER = "Caller-Id"
-HEADER_REQUEST = "Request-Id"
+HEADER_CALLER_ID = "Caller-Id"
+HEADER_REQUEST_ID = "Request-Id"
 HEADER_TIMEOUT_MS = "Request-Timeout-Ms"
-HEADER_KEY = "Idempotency-Key"
+HEADER_IDEMPOTENCY_KEY = "Idempotency-Key"
 HEADER_ISSUED_MS = "Idempotency-Issued-Ms"
 HEADER_RETRY_AFTER = "Retry-After"
 HEADER_OUTCOME = "Request-Outcome"
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Incoming:
+class RawRequest:
     """A request as received, not yet checked against the configuration.
 
     The transport has already checked its framing and its size.
@@ -28,7 +28,7 @@
     target: str
     headers: Headers
     body: bytes
-    received: float
+    received_at: float
 
 
 @dataclasses.dataclass(frozen=True)
@@ -57,7 +57,7 @@
     headers: Headers
     body: bytes
     deadline: float
-    key: str = ""
+    idempotency_key: str = ""
     issued_ms: int = 0
 
 
--- a/src/vanillaswitch/state/rows.py
+++ b/src/vanillaswitch/state/rows.py
@@ -101,7 +101,7 @@
     service: str
     data_centre: str
     rack: str
-    phase: platform.Phase = platform.Phase.SERVING
+    phase: platform.MaintenancePhase = platform.MaintenancePhase.SERVING
     target_pool: str = ""
     operation: str = ""
     wave: str = ""
--- a/src/vanillaswitch/transport/caller_http.py
+++ b/src/vanillaswitch/transport/caller_http.py
@@ -39,7 +39,7 @@
     _RETRY_AFTER_DRAIN_S,
 )
 
-Handle = Callable[[requests.Incoming], requests.Reply]
+Handle = Callable[[requests.RawRequest], requests.Reply]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -136,7 +136,7 @@
         """Closes all connections at once."""
         self._server.stop(timeout=0)
 
-    def reply(self, incoming: requests.Incoming) -> requests.Reply:
+    def reply(self, incoming: requests.RawRequest) -> requests.Reply:
         """Returns what a request is answered with."""
         if self._draining:
             return _LEAVING
@@ -223,13 +223,13 @@
     return (200 if live else 503), {"live": live}
 
 
-def _incoming(environ: Mapping[str, Any]) -> requests.Incoming:
-    return requests.Incoming(
+def _incoming(environ: Mapping[str, Any]) -> requests.RawRequest:
+    return requests.RawRequest(
         method=environ["REQUEST_METHOD"],
         target=environ[checked_handler.ENVIRON_TARGET],
         headers=environ[checked_handler.ENVIRON_HEADERS],
         body=environ[checked_handler.ENVIRON_BODY],
-        received=environ[checked_handler.ENVIRON_RECEIVED],
+        received_at=environ[checked_handler.ENVIRON_RECEIVED],
     )
 
 
--- a/src/vanillaswitch/transport/minion_http.py
+++ b/src/vanillaswitch/transport/minion_http.py
@@ -27,9 +27,9 @@
 _OWN_FIELDS = (
     "host",
     "content-length",
-    requests.HEADER_REQUEST.lower(),
-    requests.HEADER_CALLER.lower(),
-    requests.HEADER_KEY.lower(),
+    requests.HEADER_REQUEST_ID.lower(),
+    requests.HEADER_CALLER_ID.lower(),
+    requests.HEADER_IDEMPOTENCY_KEY.lower(),
     requests.HEADER_TIMEOUT_MS.lower(),
 )
 
@@ -69,14 +69,16 @@
     lines = [
         f"{request.method} {request.target} HTTP/1.1",
         f"Host: {minion.address}",
-        f"{requests.HEADER_REQUEST}: {request.request_id}",
-        f"{requests.HEADER_CALLER}: {request.caller}",
+        f"{requests.HEADER_REQUEST_ID}: {request.request_id}",
+        f"{requests.HEADER_CALLER_ID}: {request.caller}",
     ]
     if headers.first(request.headers, requests.HEADER_TIMEOUT_MS):
         left_ms = max(1, int(timeout_s * 1000))
         lines.append(f"{requests.HEADER_TIMEOUT_MS}: {left_ms}")
-    if request.key:
-        lines.append(f"{requests.HEADER_KEY}: {request.key}")
+    if request.idempotency_key:
+        lines.append(
+            f"{requests.HEADER_IDEMPOTENCY_KEY}: {request.idempotency_key}"
+        )
     if request.body or request.method in _METHODS_WITH_BODY:
         lines.append(f"Content-Length: {len(request.body)}")
     passed_on = headers.without(
@@ -121,12 +123,12 @@
 
     def broken(
         self, reason: str, timed_out: bool = False
-    ) -> minions.NotSent | minions.Lost:
+    ) -> minions.NotSent | minions.ResponseLost:
         """Returns what is known when the exchange ended early."""
         if not self._sent:
             return minions.NotSent(reason)
         silent = timed_out and not self._reader.received
-        return minions.Lost(reason, silent)
+        return minions.ResponseLost(reason, silent)
 
     def _send(self, connection: socket.socket, data: bytes) -> None:
         # ``sendall`` does not tell how much had left when it failed. Here
@@ -144,9 +146,11 @@
         # A minion that answers one request twice leaves an answer on the
         # connection that may arrive just after it was found quiet. Where the
         # minion names the request that it answers, the name tells them apart.
-        named = headers.first(answer.headers, requests.HEADER_REQUEST)
+        named = headers.first(answer.headers, requests.HEADER_REQUEST_ID)
         if named is not None and named != self._request.request_id:
-            return minions.Lost("this answers another request", silent=False)
+            return minions.ResponseLost(
+                "this answers another request", timed_out=False
+            )
         return minions.Answered(answer)
 
 
@@ -237,12 +241,12 @@
 
     def _timed_out(
         self, exchange: _Exchange, address: str
-    ) -> minions.NotSent | minions.Lost:
+    ) -> minions.NotSent | minions.ResponseLost:
         outcome = exchange.broken("no whole answer in time", timed_out=True)
         # What lost track of one connection (a firewall that restarted, say)
         # has likely lost track of its neighbours of the same age, and each
         # would cost a request its whole timeout. New ones work.
-        if isinstance(outcome, minions.Lost) and outcome.silent:
+        if isinstance(outcome, minions.ResponseLost) and outcome.timed_out:
             self._pool.discard(address)
         return outcome
 
--- a/src/vanillaswitch/transport/platform_caller.py
+++ b/src/vanillaswitch/transport/platform_caller.py
@@ -47,7 +47,7 @@
         sent = self._send("POST", path, wire.encode_call(call))
         if isinstance(sent, minions.NotSent):
             return platform.Unavailable(sent.reason)
-        if isinstance(sent, minions.Lost):
+        if isinstance(sent, minions.ResponseLost):
             return platform.OutcomeUnknown(sent.reason)
         return typed(sent.answer)
 
@@ -72,7 +72,7 @@
             if isinstance(sent, minions.Answered):
                 return sent.answer
             reason = sent.reason
-            if isinstance(sent, minions.NotSent) or sent.silent:
+            if isinstance(sent, minions.NotSent) or sent.timed_out:
                 break
         return platform.Unavailable(reason)
 
--- a/src/vanillaswitch/transport/platform_http.py
+++ b/src/vanillaswitch/transport/platform_http.py
@@ -76,13 +76,13 @@
 
     def get(
         self, digest: str
-    ) -> platform.Body | platform.Missing | platform.Unavailable:
+    ) -> platform.ObjectContent | platform.Missing | platform.Unavailable:
         """Fetches an object."""
         answer = self._caller.exchange("GET", _object(digest), b"")
         if isinstance(answer, platform.Unavailable):
             return answer
         if answer.status == _OK:
-            return platform.Body(answer.body)
+            return platform.ObjectContent(answer.body)
         # Only the store itself says that an object is missing: a 404 of a
         # balancer would make a configuration look lost.
         outcome = platform_caller.typed(answer)
--- a/src/vanillaswitch/wiring/base.py
+++ b/src/vanillaswitch/wiring/base.py
@@ -12,9 +12,9 @@
 import gevent
 
 from vanillaswitch import errors
-from vanillaswitch.coordination.configuration import config_task
-from vanillaswitch.coordination.peering import announcer
-from vanillaswitch.coordination.peering import peer_task
+from vanillaswitch.coordination.configuration import config_sync
+from vanillaswitch.coordination.peering import heartbeat_sender
+from vanillaswitch.coordination.peering import peer_network
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import ids
 from vanillaswitch.internal import supervision
@@ -52,7 +52,7 @@
     rng: random.Random
     platform: platform.Platform
     config: config_view.ConfigView
-    network: peer_task.PeerNetwork
+    network: peer_network.PeerNetwork
 
     @property
     def policies(self) -> config_lib.Policies:
@@ -103,8 +103,8 @@
     role: peers.Role,
     clock: clocks.Clock,
     rng: random.Random,
-    snapshot: Callable[[], announcer.Own],
-) -> Iterator[peer_task.PeerNetwork]:
+    snapshot: Callable[[], heartbeat_sender.LocalStatus],
+) -> Iterator[peer_network.PeerNetwork]:
     """Yields this process's place among its peers.
 
     Args:
@@ -115,7 +115,7 @@
         snapshot: what to tell of this process; must not block.
     """
     open_transport = functools.partial(streams.run, clock=clock, rng=rng)
-    with peer_task.run(
+    with peer_network.run(
         settings,
         role,
         ids.new_id(rng),
@@ -134,7 +134,7 @@
     Yields:
         Returns the counters of "config...." by name.
     """
-    task = config_task.ConfigTask(
+    task = config_sync.ConfigSync(
         base.config,
         base.platform.table,
         base.platform.objects,
--- a/src/vanillaswitch/wiring/controller.py
+++ b/src/vanillaswitch/wiring/controller.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from vanillaswitch.coordination.control import controller as controller_lib
-from vanillaswitch.coordination.maintenance import move_duty
+from vanillaswitch.coordination.maintenance import pool_duty
 from vanillaswitch.coordination.maintenance import wave_duty
 from vanillaswitch.coordination.once import claim_expiry_duty
-from vanillaswitch.coordination.peering import announcer
+from vanillaswitch.coordination.peering import heartbeat_sender
 from vanillaswitch.coordination.workloads import placement_duty
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import supervision
@@ -23,7 +23,7 @@
 from vanillaswitch.transport import platform_http
 from vanillaswitch.wiring import base as base_lib
 
-DUTIES = (claim_expiry_duty, move_duty, placement_duty, wave_duty)
+DUTIES = (claim_expiry_duty, pool_duty, placement_duty, wave_duty)
 """Modules that register the steps of duties when they are imported."""
 
 
@@ -53,10 +53,10 @@
 
     def ready(self) -> tuple[int, Mapping[str, Any]]:
         """Returns the page that tells whether duties can be held."""
-        ready = self._inner.leased and self._base.config.config is not None
+        ready = self._inner.has_lease and self._base.config.config is not None
         return (200 if ready else 503), {
             "ready": ready,
-            "leased": self._inner.leased,
+            "leased": self._inner.has_lease,
             "config": self._base.config.number,
         }
 
@@ -102,8 +102,8 @@
     view = config_view.ConfigView()
     leaving = base_lib.Leaving()
 
-    def own() -> announcer.Own:
-        return announcer.Own(view.number, 0, leaving.begun, {})
+    def own() -> heartbeat_sender.LocalStatus:
+        return heartbeat_sender.LocalStatus(view.number, 0, leaving.begun, {})
 
     with contextlib.ExitStack() as stack:
         outside = stack.enter_context(platform_http.connect(settings.platform))
--- a/src/vanillaswitch/wiring/edge.py
+++ b/src/vanillaswitch/wiring/edge.py
@@ -11,7 +11,7 @@
 
 import gevent
 
-from vanillaswitch.coordination import prompt_table
+from vanillaswitch.coordination import hedged_table
 from vanillaswitch.coordination.fleet import events
 from vanillaswitch.coordination.fleet import operator_table
 from vanillaswitch.coordination.fleet import reference_clock
@@ -193,7 +193,7 @@
             client, settings.store_address, clock, shared.observe_store_clock
         )
         told = telemetry.Telemetry(logs.event)
-        table = prompt_table.PromptTable(store, clock)
+        table = hedged_table.HedgedTable(store, clock)
         view = _operators(table, shared, told)
         outside = _outside(settings, client, store, table, view, shared)
         asking = peer_calls.PeerCalls(clock, boot)
--- a/src/vanillaswitch/wiring/entry.py
+++ b/src/vanillaswitch/wiring/entry.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 from vanillaswitch import errors
-from vanillaswitch.coordination.entry import fleet_task
+from vanillaswitch.coordination.entry import fleet_refresher
 from vanillaswitch.coordination.entry import fleet_view
-from vanillaswitch.coordination.entry import lending
-from vanillaswitch.coordination.entry import request_path
+from vanillaswitch.coordination.entry import request_handler
+from vanillaswitch.coordination.entry import slot_lending
 from vanillaswitch.coordination.once import claim_rules
-from vanillaswitch.coordination.once import claims
-from vanillaswitch.coordination.peering import announcer
-from vanillaswitch.coordination.peering import peer_task
+from vanillaswitch.coordination.once import claim_service
+from vanillaswitch.coordination.peering import heartbeat_sender
+from vanillaswitch.coordination.peering import peer_network
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import metrics as metrics_lib
 from vanillaswitch.internal import supervision
@@ -35,9 +35,9 @@
     def __init__(
         self,
         base: base_lib.Base,
-        path: request_path.RequestPath,
+        path: request_handler.RequestHandler,
         fleet: fleet_view.FleetView,
-        claim_service: claims.Claims,
+        claim_service: claim_service.TableClaimService,
         metrics: metrics_lib.Metrics,
         leaving: base_lib.Leaving,
         config_counters: Callable[[], Mapping[str, int]],
@@ -78,7 +78,7 @@
             return False, "leaving"
         if self._base.config.config is None:
             return False, "no configuration yet"
-        if not self._fleet.loaded:
+        if not self._fleet.is_loaded:
             return False, "no list of minions yet"
         return True, ""
 
@@ -148,11 +148,11 @@
         """Tells from now on what ``loads`` returns."""
         self._loads = loads
 
-    def own(self) -> announcer.Own:
+    def own(self) -> heartbeat_sender.LocalStatus:
         """Returns what the next heartbeat tells."""
-        return announcer.Own(
+        return heartbeat_sender.LocalStatus(
             self._config.number,
-            self._fleet.version,
+            self._fleet.drain_version,
             self._leaving.begun,
             self._loads(),
         )
@@ -161,48 +161,50 @@
 @contextlib.contextmanager
 def _fleet_kept(
     base: base_lib.Base, fleet: fleet_view.FleetView
-) -> Iterator[fleet_task.FleetTask]:
+) -> Iterator[fleet_refresher.FleetRefresher]:
     """Keeps the view of the fleet fresh, by the platform and by peers."""
 
     def take(_sender: Any, notice: peers.DrainNotice, _reply: Any) -> None:
-        if fleet.take_drain(notice):
+        if fleet.update_drain(notice):
             base.network.broadcast(notice)
 
     base.network.subscribe(peers.DrainNotice, take)
-    task = fleet_task.FleetTask(
+    task = fleet_refresher.FleetRefresher(
         fleet,
         base.platform.instances,
         base.platform.table,
         base.clock,
         lambda: base.policies.drain_poll_ms / 1000,
     )
-    with task.running():
+    with task.run_refresher():
         yield task
 
 
 @contextlib.contextmanager
-def _claims_kept(base: base_lib.Base) -> Iterator[claims.Claims]:
+def _claims_kept(
+    base: base_lib.Base,
+) -> Iterator[claim_service.TableClaimService]:
     """Yields the claims of this boot, and answers its peers' queries."""
     holder = claim_rules.Holder(
-        base.settings.process, base.network.boot, base.network.address
+        base.settings.process, base.network.boot_id, base.network.address
     )
-    parts = claims.make_parts(
+    parts = claim_service.make_components(
         holder,
         base.platform.table,
         base.platform.objects,
-        base.network.ask,
+        base.network.query_claim,
         lambda: base.network.membership.members,
         base.clock,
         base.rng,
         lambda: base.policies.claim_retention_s,
     )
-    service = claims.Claims(parts)
+    service = claim_service.TableClaimService(parts)
 
     def answer(_sender: Any, query: peers.ClaimQuery, reply: Any) -> None:
         reply(service.answer_query(query))
 
     base.network.subscribe(peers.ClaimQuery, answer)
-    tasks = (parts.committer.run, parts.ledger.run, parts.witness.run)
+    tasks = (parts.committer.run, parts.records.run, parts.history.run)
     with supervision.running(*tasks):
         yield service
 
@@ -211,34 +213,36 @@
 def _path_open(
     base: base_lib.Base,
     fleet: fleet_view.FleetView,
-    fleets: fleet_task.FleetTask,
-    service: claims.Claims,
+    fleets: fleet_refresher.FleetRefresher,
+    service: claim_service.TableClaimService,
     metrics: metrics_lib.Metrics,
-) -> Iterator[request_path.RequestPath]:
+) -> Iterator[request_handler.RequestHandler]:
     """Yields the way of requests, which lends slots to its peers."""
     network = base.network
 
     def entries() -> tuple[str, ...]:
-        others = network.alive(peers.Role.ENTRY)
+        others = network.live_heartbeats(peers.Role.ENTRY)
         return (base.settings.process, *(one.process for one in others))
 
-    def take(_sender: Any, message: lending.Message, _reply: Any) -> None:
-        path.told(message)
+    def take(
+        _sender: Any, message: slot_lending.LoanMessage, _reply: Any
+    ) -> None:
+        path.handle_peer_message(message)
 
     with minion_http.open_client(base.clock) as client:
-        path = request_path.RequestPath(
+        path = request_handler.RequestHandler(
             base.clock,
             base.rng,
             base.settings.data_centre,
             base.config,
             fleet,
-            fleets.catch_up,
-            network.peer_loads,
+            fleets.refresh_after_pause,
+            network.peer_in_flight,
             entries,
             client,
             service,
             metrics,
-            network.boot,
+            network.boot_id,
             functools.partial(_send_loan, network),
         )
         kinds: tuple[type[Any], ...]
@@ -250,10 +254,10 @@
 
 
 def _send_loan(
-    network: peer_task.PeerNetwork, envelope: lending.Envelope
+    network: peer_network.PeerNetwork, envelope: slot_lending.AddressedMessage
 ) -> None:
-    for entry in network.alive(peers.Role.ENTRY):
-        if entry.process == envelope.process:
+    for entry in network.live_heartbeats(peers.Role.ENTRY):
+        if entry.process == envelope.recipient:
             network.send(entry.address, envelope.message)
 
 
@@ -285,7 +289,7 @@
         fleets = enter(_fleet_kept(base, fleet))
         service = enter(_claims_kept(base))
         path = enter(_path_open(base, fleet, fleets, service, metrics))
-        told.count_loads(lambda: path.loads)
+        told.count_loads(lambda: path.in_flight_by_minion)
         running = Entry(
             base, path, fleet, service, metrics, leaving, config_counters
         )
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -134,7 +134,7 @@
             headers=(),
             body=self._source.randbytes(64),
             deadline=0.0,
-            key=key,
+            idempotency_key=key,
             issued_ms=issued_ms,
         )
 
@@ -146,7 +146,7 @@
         fresh: bool = True,
     ) -> Told:
         fields = [(requests.HEADER_TIMEOUT_MS, str(timeout_ms))]
-        if request.key:
+        if request.idempotency_key:
             issued = (requests.HEADER_ISSUED_MS, str(request.issued_ms))
             fields.append(issued)
         attempt = dataclasses.replace(
@@ -169,9 +169,9 @@
 
 def _told(outcome: minions.SendOutcome, request: requests.Request) -> Told:
     result = verdicts.judge(outcome, request)
-    told = Told(request.key, request.request_id, result)
+    told = Told(request.idempotency_key, request.request_id, result)
     if not isinstance(outcome, minions.Answered):
-        cut = isinstance(outcome, minions.Lost)
+        cut = isinstance(outcome, minions.ResponseLost)
         return dataclasses.replace(told, cut=cut, code=outcome.reason)
     answer = outcome.answer
     if result in (verdicts.Result.ANSWERED, verdicts.Result.WRONG):
--- a/standins/control.py
+++ b/standins/control.py
@@ -13,7 +13,7 @@
 from vanillaswitch.transport import sockets
 
 _TIMEOUT_S = 1.0
-_OFF = (platform.Phase.REBOOTING, platform.Phase.DOWN)
+_OFF = (platform.MaintenancePhase.REBOOTING, platform.MaintenancePhase.DOWN)
 _GONE = (OSError, http.client.HTTPException)
 
 
@@ -31,10 +31,10 @@
         """
         self._addresses = dict(addresses)
 
-    def on_phase(self, instance: str, phase: platform.Phase) -> None:
+    def on_phase(self, instance: str, phase: platform.MaintenancePhase) -> None:
         """Makes a minion show that it leaves, or that it serves again."""
         switches = {
-            "leaving": phase is not platform.Phase.SERVING,
+            "leaving": phase is not platform.MaintenancePhase.SERVING,
             "rebooting": phase in _OFF,
         }
         body = json.dumps(switches)
--- a/standins/faulty_minion.py
+++ b/standins/faulty_minion.py
@@ -85,7 +85,7 @@
                 return whole
 
     def _answer(self, number: int) -> bytes:
-        name = f"{requests.HEADER_REQUEST}: r-{number}\r\n".encode()
+        name = f"{requests.HEADER_REQUEST_ID}: r-{number}\r\n".encode()
         extra = name if self._named else b""
         return raw_http.answer(self.body(number), extra)
 
--- a/standins/instances.py
+++ b/standins/instances.py
@@ -8,7 +8,7 @@
 from vanillaswitch.internal import clock as clock_module
 from vanillaswitch.protocol import platform
 
-OnPhase = Callable[[str, platform.Phase], None]
+OnPhase = Callable[[str, platform.MaintenancePhase], None]
 """Called with an instance's name and the phase that it entered."""
 
 Outcome = (
@@ -24,7 +24,7 @@
     """One instance as it really is, whatever the list says."""
 
     listing: platform.Listing
-    phase: platform.Phase = platform.Phase.SERVING
+    phase: platform.MaintenancePhase = platform.MaintenancePhase.SERVING
     operation: str = ""
     operations: set[str] = dataclasses.field(default_factory=set)
     boots: int = 1
@@ -130,11 +130,11 @@
             return False
         self._pass_time(machine)
         return machine.phase not in (
-            platform.Phase.REBOOTING,
-            platform.Phase.DOWN,
+            platform.MaintenancePhase.REBOOTING,
+            platform.MaintenancePhase.DOWN,
         )
 
-    def phase(self, instance: str) -> platform.Phase:
+    def phase(self, instance: str) -> platform.MaintenancePhase:
         """Returns the true phase, for tests."""
         machine = self._machines[instance]
         self._pass_time(machine)
@@ -235,7 +235,7 @@
         self._pass_time(machine)
         if operation in machine.operations:
             return platform.Done()
-        if machine.phase is platform.Phase.DOWN:
+        if machine.phase is platform.MaintenancePhase.DOWN:
             return platform.Unavailable("the instance is down")
         machine.operations.add(operation)
         machine.operation = operation
@@ -244,25 +244,25 @@
         return platform.Done()
 
     def _begin_drain(self, machine: _Machine) -> None:
-        if machine.phase is platform.Phase.SERVING:
-            self._enter(machine, platform.Phase.DRAINING)
+        if machine.phase is platform.MaintenancePhase.SERVING:
+            self._enter(machine, platform.MaintenancePhase.DRAINING)
 
     def _begin_reboot(self, machine: _Machine) -> None:
         if self._load(machine):
             self._reboots_in_use += 1
         machine.in_flight = 0
         machine.reboot_ends = self._clock.monotonic() + self._reboot_s
-        self._enter(machine, platform.Phase.REBOOTING)
+        self._enter(machine, platform.MaintenancePhase.REBOOTING)
 
     def _resume(self, machine: _Machine) -> None:
-        if machine.phase is not platform.Phase.REBOOTING:
-            self._enter(machine, platform.Phase.SERVING)
+        if machine.phase is not platform.MaintenancePhase.REBOOTING:
+            self._enter(machine, platform.MaintenancePhase.SERVING)
 
     def _pass_time(self, machine: _Machine) -> None:
-        draining = machine.phase is platform.Phase.DRAINING
-        rebooting = machine.phase is platform.Phase.REBOOTING
+        draining = machine.phase is platform.MaintenancePhase.DRAINING
+        rebooting = machine.phase is platform.MaintenancePhase.REBOOTING
         if draining and not self._load(machine):
-            self._enter(machine, platform.Phase.DRAINED)
+            self._enter(machine, platform.MaintenancePhase.DRAINED)
         if rebooting and self._clock.monotonic() >= machine.reboot_ends:
             self._end_reboot(machine)
 
@@ -271,13 +271,15 @@
             self._go_down(machine, machine.reboot_ends)
             return
         machine.boots += 1
-        self._enter(machine, platform.Phase.DRAINED)
+        self._enter(machine, platform.MaintenancePhase.DRAINED)
 
     def _go_down(self, machine: _Machine, when: float) -> None:
         machine.listed.append((when, None))
-        self._enter(machine, platform.Phase.DOWN)
+        self._enter(machine, platform.MaintenancePhase.DOWN)
 
-    def _enter(self, machine: _Machine, phase: platform.Phase) -> None:
+    def _enter(
+        self, machine: _Machine, phase: platform.MaintenancePhase
+    ) -> None:
         machine.phase = phase
         for listener in self._listeners:
             listener(machine.listing.instance, phase)
--- a/standins/load.py
+++ b/standins/load.py
@@ -104,7 +104,7 @@
         headers=tuple(fields),
         body=body,
         deadline=0.0,
-        key=ids.new_id(source) if one.once else "",
+        idempotency_key=ids.new_id(source) if one.once else "",
         issued_ms=issued_ms if one.once else 0,
     )
     entry = plan.entries[number % len(plan.entries)]
--- a/standins/measure_calls.py
+++ b/standins/measure_calls.py
@@ -112,7 +112,9 @@
     config = check.check(folder.read(source))
     with platform_http.connect(running.platform, 10.0) as outside:
         clock, rng = clocks.SystemClock(), random.Random(1)
-        rollout.apply(outside, clock, rng, config, "measure", rollout.NONE_YET)
+        rollout.apply(
+            outside, clock, rng, config, "measure", rollout.NO_CONFIG_NUMBER
+        )
     running.wait_ready()
 
 
--- a/standins/measure_control.py
+++ b/standins/measure_control.py
@@ -106,10 +106,10 @@
 def _start_wave(
     outside: platform.Platform, config: config_lib.Config
 ) -> fleet_state.Fleet:
-    fleet = fleet_state.read(outside)
+    fleet = fleet_state.read_with_statuses(outside)
     if isinstance(fleet, platform.Unavailable):
         raise deployment.DeploymentError(fleet.reason)
-    plan = wave_plan.plan(fleet, config, config.waves[WAVE])
+    plan = wave_plan.plan_wave(fleet, config, config.waves[WAVE])
     wave = wave_state.Wave(
         state=wave_state.WaveState.RUNNING,
         run=WAVE,
--- a/standins/measure_maintenance.py
+++ b/standins/measure_maintenance.py
@@ -17,12 +17,12 @@
 from standins import measure_measures
 from standins import measurements
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.control import duties
+from vanillaswitch.coordination.control import duty_assignment
 from vanillaswitch.coordination.control import duty_names
 from vanillaswitch.coordination.maintenance import fleet_state
-from vanillaswitch.coordination.maintenance import move_duty  # noqa: F401
 from vanillaswitch.coordination.maintenance import operator_commits
-from vanillaswitch.coordination.maintenance import wave_control
+from vanillaswitch.coordination.maintenance import pool_duty  # noqa: F401
+from vanillaswitch.coordination.maintenance import wave_commands
 from vanillaswitch.coordination.maintenance import wave_duty  # noqa: F401
 from vanillaswitch.coordination.maintenance import wave_plan
 from vanillaswitch.internal import ids
@@ -76,7 +76,7 @@
         self.memory = fleet_lib.MemoryPlatform(fleet, self.clock)
         self.counted = counted_platform.Counted(self.memory)
         self._rng = random.Random(1)
-        self._fences: dict[str, duties.Fence] = {}
+        self._fences: dict[str, duty_assignment.Fence] = {}
         self._memories: dict[str, dict[str, Any]] = {}
         self._due: dict[str, float] = {}
         for name, member in adopted.members.items():
@@ -95,8 +95,8 @@
         if duty not in self._fences:
             key = keys.duty(duty)
             version = self.put(key, rows.Duty("measure", "boot", 1))
-            self._fences[duty] = duties.Fence(key, version, 1)
-        context = controller.Context(
+            self._fences[duty] = duty_assignment.Fence(key, version, 1)
+        context = controller.DutyContext(
             self.counted.interface,
             self.clock,
             self._rng,
@@ -105,18 +105,18 @@
             self._memories.setdefault(duty, {}),
         )
         if self.clock.now >= self._due.get(duty, 0.0):
-            kind = duty_names.kind(duty)
-            controller.STEPS.get(kind)(context, duty, self._fences[duty])
-            pause_s = controller.pause_after(context.memory)
+            kind = duty_names.kind_of(duty)
+            controller.DUTY_STEPS.get(kind)(context, duty, self._fences[duty])
+            pause_s = controller.next_step_pause_s(context.soft_state)
             self._due[duty] = self.clock.now + pause_s
 
     def start_wave(self) -> None:
         """Starts the wave as the operators' command does."""
         outside = self.memory.interface
-        fleet = fleet_state.read(outside)
+        fleet = fleet_state.read_with_statuses(outside)
         assert isinstance(fleet, fleet_state.Fleet)
-        request = wave_control.Request(WAVE, "measure", 0.0, "run")
-        changed = wave_control.start(fleet, self.config, request)
+        request = wave_commands.WaveRequest(WAVE, "measure", 0.0, "run")
+        changed = wave_commands.start(fleet, self.config, request)
         operator_commits.commit(
             outside.table, self.clock, self._rng, fleet, changed
         )
@@ -134,7 +134,10 @@
         assert isinstance(found, platform.Rows)
         for row in found.rows:
             name = keys.name_of(keys.INSTANCES, row.key)
-            if self.memory.instances.phase(name) is not platform.Phase.SERVING:
+            if (
+                self.memory.instances.phase(name)
+                is not platform.MaintenancePhase.SERVING
+            ):
                 service = row.value["service"]
                 down[service] = down.get(service, 0) + 1
         return max(down.values(), default=0)
@@ -162,7 +165,7 @@
         aside_s += time.process_time() - aside
         if over:
             break
-        site.clock.sleep(controller.STEP_S)
+        site.clock.sleep(controller.STEP_PAUSE_S)
     seconds = site.clock.now - began
     cpu_s = _cpu_s(site) - start_cpu - aside_s
     return {
--- a/standins/measure_measures.py
+++ b/standins/measure_measures.py
@@ -21,10 +21,10 @@
 from standins import measurements
 from standins import target
 from vanillaswitch.coordination.maintenance import budgets
-from vanillaswitch.coordination.maintenance import buffer
 from vanillaswitch.coordination.maintenance import fleet_state
-from vanillaswitch.coordination.maintenance import moves
-from vanillaswitch.coordination.maintenance import pool_needs
+from vanillaswitch.coordination.maintenance import move_planner
+from vanillaswitch.coordination.maintenance import pool_demand
+from vanillaswitch.coordination.maintenance import spare_capacity
 from vanillaswitch.coordination.maintenance import wave_plan
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import check
@@ -71,12 +71,14 @@
 def adopted(world: World) -> fleet_state.Fleet:
     """Returns the fleet as it is after each instance got its first pool."""
     workers = [
-        moves.Worker(one.instance, f"{one.data_centre}/{one.rack}")
+        move_planner.PoolWorker(one.instance, f"{one.data_centre}/{one.rack}")
         for one in world.listings
         if one.kind is platform.InstanceKind.WORKER
     ]
     needs = {name: pool.workers for name, pool in world.config.pools.items()}
-    planned = moves.fewest({buffer.SPARE_POOL: workers}, needs)
+    planned = move_planner.plan_fewest_moves(
+        {spare_capacity.SPARE_POOL: workers}, needs
+    )
     pools = {move.worker: move.target for move in planned}
     members = {
         one.instance: _member(world, one, pools.get(one.instance, ""))
@@ -95,14 +97,14 @@
     else:
         pool = service = listing.service
     row = rows.Instance(
-        pool or buffer.SPARE_POOL,
+        pool or spare_capacity.SPARE_POOL,
         listing.kind,
         service,
         listing.data_centre,
         listing.rack,
     )
     status = platform.InstanceStatus(
-        listing.instance, platform.Phase.SERVING, "", 0, 1
+        listing.instance, platform.MaintenancePhase.SERVING, "", 0, 1
     )
     return fleet_state.Member(listing.instance, 1, row, listing, status)
 
@@ -110,7 +112,7 @@
 def without_rack(fleet: fleet_state.Fleet) -> fleet_state.Fleet:
     """Returns the fleet after the loss of the rack with most workers."""
     by_rack: dict[str, set[str]] = {}
-    for member in pool_needs.workers(fleet):
+    for member in pool_demand.list_workers(fleet):
         by_rack.setdefault(member.domain, set()).add(member.name)
     rack = max(by_rack, key=lambda name: (len(by_rack[name]), name))
     members = {
@@ -124,19 +126,21 @@
 
 def buffer_cost(world: World, fleet: fleet_state.Fleet) -> list[dict[str, Any]]:
     """Returns spare workers over all, with so many down in maintenance."""
-    calm = pool_needs.demands(fleet, world.config)
-    workers = len(pool_needs.workers(fleet))
+    calm = pool_demand.service_demands(fleet, world.config)
+    workers = len(pool_demand.list_workers(fleet))
     figures = []
-    for planned in range(max(demand.allowed for demand in calm) + 1):
+    for planned in range(max(demand.max_down for demand in calm) + 1):
         demands = [
-            dataclasses.replace(one, planned=min(planned, one.allowed))
+            dataclasses.replace(one, in_maintenance=min(planned, one.max_down))
             for one in calm
         ]
-        bound = buffer.lower_bound(demands)
+        bound = spare_capacity.min_spare_size(demands)
         found: dict[str, Any] = {"planned_per_service": planned}
-        for name in buffer.SIZINGS.names:
-            size = buffer.SIZINGS.get(name)(demands)
-            gaps = buffer.uncovered(demands, buffer.place(demands, size))
+        for name in spare_capacity.SIZING_POLICIES.names:
+            size = spare_capacity.SIZING_POLICIES.get(name)(demands)
+            gaps = spare_capacity.uncovered_racks(
+                demands, spare_capacity.place_spares(demands, size)
+            )
             found[name] = {
                 "spare": size,
                 "cost": round(size / (workers + size), 4),
@@ -153,8 +157,8 @@
     """Returns rounds and modelled seconds of a wave over all services."""
     wave = config_lib.Wave(tuple(world.config.services), kind)
     found: dict[str, Any] = {}
-    for name in wave_plan.ORDERS.names:
-        plan = wave_plan.plan(fleet, world.config, wave, name)
+    for name in wave_plan.ORDER_STRATEGIES.names:
+        plan = wave_plan.plan_wave(fleet, world.config, wave, name)
         found[name] = {
             "rounds": len(plan.rounds),
             "modelled_s": plan.expected_s,
@@ -166,29 +170,27 @@
         for growth in GROWTHS
     }
     found["rack-at-a-time"]["bad version"] = _bad_version(
-        wave_plan.ORDERS.get("rack-at-a-time")(targets, rooms, wave)
+        wave_plan.ORDER_STRATEGIES.get("rack-at-a-time")(targets, rooms, wave)
     )
     found["lower_bound_rounds"] = {
-        "any": wave_plan.fewest_rounds(targets, rooms),
-        "canary and growth": wave_plan.fewest_growing_rounds(
-            targets, rooms, wave
-        ),
+        "any": wave_plan.min_rounds(targets, rooms),
+        "canary and growth": wave_plan.min_growing_rounds(targets, rooms, wave),
     }
     return found
 
 
 def _with_growth(
-    targets: list[wave_plan.Target],
+    targets: list[wave_plan.WaveTargetInstance],
     rooms: dict[str, int],
     wave: config_lib.Wave,
     growth: float,
 ) -> dict[str, Any]:
     grown = dataclasses.replace(wave, growth=growth)
-    rounds = wave_plan.ORDERS.get("growing")(targets, rooms, grown)
-    kind = wave_plan.KINDS[wave.targets]
+    rounds = wave_plan.ORDER_STRATEGIES.get("growing")(targets, rooms, grown)
+    kind = wave_plan.KIND_BY_TARGET[wave.targets]
     return {
         "rounds": len(rounds),
-        "modelled_s": wave_plan.expected_s(len(rounds), kind),
+        "modelled_s": wave_plan.estimate_duration_s(len(rounds), kind),
         "bad version": _bad_version(rounds),
     }
 
@@ -211,14 +213,14 @@
 
 def _targets(
     world: World, fleet: fleet_state.Fleet, kind: config_lib.WaveTarget
-) -> tuple[list[wave_plan.Target], dict[str, int]]:
-    instance_kind = wave_plan.KINDS[kind]
+) -> tuple[list[wave_plan.WaveTargetInstance], dict[str, int]]:
+    instance_kind = wave_plan.KIND_BY_TARGET[kind]
     rooms = {
         service: budgets.headroom(fleet, world.config, service, instance_kind)
         for service in world.config.services
     }
     targets = [
-        wave_plan.Target(member.name, service, member.domain)
+        wave_plan.WaveTargetInstance(member.name, service, member.domain)
         for service, room in rooms.items()
         if room > 0
         for member in budgets.members_of(fleet, service, instance_kind)
@@ -227,21 +229,25 @@
     return targets, rooms
 
 
-def move_counts(held: moves.Held, needs: moves.Needs) -> dict[str, Any]:
+def move_counts(
+    held: move_planner.WorkersByPool, needs: move_planner.RequiredWorkers
+) -> dict[str, Any]:
     """Returns how many workers change pool, and what stays missing."""
     found: dict[str, Any] = {}
-    for name in moves.PLANNERS.names:
-        planned = moves.PLANNERS.get(name)(held, needs)
+    for name in move_planner.MOVE_PLANNERS.names:
+        planned = move_planner.MOVE_PLANNERS.get(name)(held, needs)
         found[name] = {
             "moves": len(planned),
             "still_missing": _missing_after(held, needs, planned),
         }
-    found["lower_bound"] = moves.lower_bound(held, needs)
+    found["lower_bound"] = move_planner.min_moves(held, needs)
     return found
 
 
 def _missing_after(
-    held: moves.Held, needs: moves.Needs, planned: tuple[moves.Move, ...]
+    held: move_planner.WorkersByPool,
+    needs: move_planner.RequiredWorkers,
+    planned: tuple[move_planner.Move, ...],
 ) -> int:
     counts = {pool: len(workers) for pool, workers in held.items()}
     for move in planned:
@@ -250,18 +256,20 @@
     return sum(
         max(0, need - counts.get(pool, 0))
         for pool, need in needs.items()
-        if pool != buffer.SPARE_POOL
+        if pool != spare_capacity.SPARE_POOL
     )
 
 
 def with_spares(
     world: World, fleet: fleet_state.Fleet, count: int
-) -> dict[str, list[moves.Worker]]:
+) -> dict[str, list[move_planner.PoolWorker]]:
     """Returns the workers of each pool, with so many spares in other racks."""
     lost = {m.name for m in fleet.members.values() if m.status is None}
-    held = pool_needs.held(fleet, lost)
-    held[buffer.SPARE_POOL] = [
-        moves.Worker(f"spare-{number:03}", f"spare/{number // target.RACK}")
+    held = pool_demand.workers_by_pool(fleet, lost)
+    held[spare_capacity.SPARE_POOL] = [
+        move_planner.PoolWorker(
+            f"spare-{number:03}", f"spare/{number // target.RACK}"
+        )
         for number in range(count)
     ]
     return {**{pool: [] for pool in world.config.pools}, **held}
@@ -307,7 +315,7 @@
                     [run[name]["still_missing"] for run in wrong]
                 ),
             }
-            for name in moves.PLANNERS.names
+            for name in move_planner.MOVE_PLANNERS.names
         }
         | {"lower_bound": _mean([run["lower_bound"] for run in wrong])},
     }
@@ -325,12 +333,14 @@
     )
 
     def plan() -> None:
-        needs = pool_needs.needs(fleet, world.config)
-        moves.fewest(pool_needs.held(fleet), needs)
-        wave_plan.plan(fleet, world.config, wave)
+        needs = pool_demand.required_workers(fleet, world.config)
+        move_planner.plan_fewest_moves(
+            pool_demand.workers_by_pool(fleet), needs
+        )
+        wave_plan.plan_wave(fleet, world.config, wave)
 
     return {
-        "workers": len(pool_needs.workers(fleet)),
+        "workers": len(pool_demand.list_workers(fleet)),
         "pools": len(world.config.pools),
         "cpu_ms": sorted(_cpu_ms(plan) for _ in range(TIMES))[TIMES // 2],
         "peak_kib": _peak_kib(plan),
@@ -357,7 +367,7 @@
     lost = without_rack(fleet)
     targets = config_lib.WaveTarget
     return {
-        "workers": len(pool_needs.workers(fleet)),
+        "workers": len(pool_demand.list_workers(fleet)),
         "pools": len(world.config.pools),
         "buffer": buffer_cost(world, fleet),
         "roll-out": {
--- a/standins/measure_membership.py
+++ b/standins/measure_membership.py
@@ -26,9 +26,9 @@
 import gevent
 import gevent.socket
 
-from vanillaswitch.coordination.peering import announcer
 from vanillaswitch.coordination.peering import heartbeat_schedule
-from vanillaswitch.coordination.peering import peer_task
+from vanillaswitch.coordination.peering import heartbeat_sender
+from vanillaswitch.coordination.peering import peer_network
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import ids
 from vanillaswitch.internal import logs
@@ -46,14 +46,14 @@
 LOOPBACK = "127.0.0.1:0"
 
 
-def _own(role: peers.Role, rng: random.Random) -> announcer.Own:
+def _own(role: peers.Role, rng: random.Random) -> heartbeat_sender.LocalStatus:
     """Returns loads as of an entry whose minions are well used."""
     loads = {
         f"hall-recife-berthing-{number}": rng.randint(1, 3)
         for number in range(MINIONS)
         if role is peers.Role.ENTRY and rng.random() < BUSY_SHARE
     }
-    return announcer.Own(7, 1234, leaving=False, loads=loads)
+    return heartbeat_sender.LocalStatus(7, 1234, is_leaving=False, loads=loads)
 
 
 def _settings(number: int, seeds: tuple[str, ...]) -> settings_lib.Settings:
@@ -69,13 +69,13 @@
 
 def _joined(
     stack: contextlib.ExitStack, size: int
-) -> list[peer_task.PeerNetwork]:
+) -> list[peer_network.PeerNetwork]:
     clock = clocks.SystemClock()
-    networks: list[peer_task.PeerNetwork] = []
+    networks: list[peer_network.PeerNetwork] = []
     for number in range(size):
         rng = random.Random(SEED * 1000 + number)
         role = peers.Role.CONTROLLER if number % 2 else peers.Role.ENTRY
-        network = peer_task.run(
+        network = peer_network.run(
             _settings(number, tuple(one.address for one in networks[:2])),
             role,
             ids.new_id(rng),
@@ -104,7 +104,7 @@
     return total
 
 
-def _totals(network: peer_task.PeerNetwork) -> tuple[int, int, int]:
+def _totals(network: peer_network.PeerNetwork) -> tuple[int, int, int]:
     counters = network.counters
     return (
         counters["bytes_in"],
@@ -127,7 +127,7 @@
         used = time.process_time() - used
         after = [_totals(one) for one in networks]
         packets = _segments() - packets
-        alive = min(len(one.alive()) for one in networks)
+        alive = min(len(one.live_heartbeats()) for one in networks)
     rates = [
         tuple((b - a) / took for a, b in zip(first, last, strict=True))
         for first, last in zip(before, after, strict=True)
@@ -150,17 +150,19 @@
 @click.command()
 @click.argument("sizes", type=int, nargs=-1)
 @click.option("--seconds", default=10.0, help="How long to measure each.")
-@click.option("--near", default=heartbeat_schedule.NEAR_A_TICK)
-@click.option("--far", default=heartbeat_schedule.FAR_A_TICK)
-@click.option("--far-ticks", default=heartbeat_schedule.FAR_SHORTEST_TICKS)
+@click.option("--near", default=heartbeat_schedule.SAME_ROLE_PER_TICK)
+@click.option("--far", default=heartbeat_schedule.OTHER_ROLES_PER_TICK)
+@click.option(
+    "--far-ticks", default=heartbeat_schedule.OTHER_ROLES_MIN_PERIOD_TICKS
+)
 def main(
     sizes: tuple[int, ...], seconds: float, near: int, far: int, far_ticks: int
 ) -> None:
     """Prints the figures of groups of these sizes, one JSON line each."""
     logs.configure("measure", "silent")
-    heartbeat_schedule.NEAR_A_TICK = near
-    heartbeat_schedule.FAR_A_TICK = far
-    heartbeat_schedule.FAR_SHORTEST_TICKS = far_ticks
+    heartbeat_schedule.SAME_ROLE_PER_TICK = near
+    heartbeat_schedule.OTHER_ROLES_PER_TICK = far
+    heartbeat_schedule.OTHER_ROLES_MIN_PERIOD_TICKS = far_ticks
     for size in sizes or (8, 16, 32):
         figures = measure(size, seconds)
         peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
--- a/standins/measure_placement.py
+++ b/standins/measure_placement.py
@@ -12,11 +12,11 @@
 import time
 
 from vanillaswitch.coordination.workloads import placement
-from vanillaswitch.coordination.workloads import rooms
-from vanillaswitch.coordination.workloads import tasks
+from vanillaswitch.coordination.workloads import task_rows
+from vanillaswitch.coordination.workloads import worker_capacity
 from vanillaswitch.state import config as config_lib
 
-SIZE = tasks.Need(16.0, 65_536)
+SIZE = task_rows.ResourceVector(16.0, 65_536)
 SHAPES = ((1.0, 4_096), (2.0, 4_096), (4.0, 8_192), (8.0, 49_152))
 WRONG_BY = (0.5, 3.0)
 
@@ -41,25 +41,29 @@
     plan_s: float
 
 
-def _wanted(count: int, pools: int, rng: random.Random) -> list[rooms.Wanted]:
+def _wanted(
+    count: int, pools: int, rng: random.Random
+) -> list[worker_capacity.PendingTask]:
     found = []
     for number in range(count):
         cores, memory_mb = rng.choice(SHAPES)
-        need = tasks.Need(cores, memory_mb)
+        need = task_rows.ResourceVector(cores, memory_mb)
         pool = f"pool{number % pools}"
         job = f"job{number}"
-        found.append(rooms.Wanted(f"{job}/0", job, pool, "team", need))
+        found.append(
+            worker_capacity.PendingTask(f"{job}/0", job, pool, "team", need)
+        )
     return found
 
 
 def _real(
-    wanted: list[rooms.Wanted], rng: random.Random
-) -> dict[str, tasks.Need]:
+    wanted: list[worker_capacity.PendingTask], rng: random.Random
+) -> dict[str, task_rows.ResourceVector]:
     """Returns the real needs: declarations are wrong by 0.5 to 3 times."""
     found = {}
     for task in wanted:
         factor = rng.uniform(*WRONG_BY)
-        found[task.name] = tasks.Need(
+        found[task.name] = task_rows.ResourceVector(
             min(task.need.cores * factor, SIZE.cores),
             min(round(task.need.memory_mb * factor), SIZE.memory_mb),
         )
@@ -75,10 +79,10 @@
     real = _real(wanted, rng)
     if by_usage:
         wanted = [dataclasses.replace(w, need=real[w.name]) for w in wanted]
-    unlimited = tasks.Need(1e9, 10**12)
-    view = placement.View(
+    unlimited = task_rows.ResourceVector(1e9, 10**12)
+    view = placement.PlannerInput(
         tuple(
-            rooms.Worker(f"w{n:04}", f"pool{n % pools}", SIZE)
+            worker_capacity.Worker(f"w{n:04}", f"pool{n % pools}", SIZE)
             for n in range(workers)
         ),
         (),
@@ -143,12 +147,13 @@
             {}, {}, {}, policies=config_lib.Policies(placement=order)
         )
         self._workers = tuple(
-            rooms.Worker(f"w{n:04}", "pool", SIZE) for n in range(workers)
+            worker_capacity.Worker(f"w{n:04}", "pool", SIZE)
+            for n in range(workers)
         )
         mean_cores = sum(cores for cores, _ in SHAPES) / len(SHAPES)
         self._arrivals = load * workers * SIZE.cores / mean_cores / 20
-        self._waiting: dict[str, tuple[int, rooms.Wanted]] = {}
-        self._running: dict[str, tuple[int, rooms.Placed]] = {}
+        self._waiting: dict[str, tuple[int, worker_capacity.PendingTask]] = {}
+        self._running: dict[str, tuple[int, worker_capacity.PlacedTask]] = {}
         self._jobs = 0
         self.waits: list[tuple[bool, int]] = []
         self.core_shares: list[float] = []
@@ -176,16 +181,20 @@
             tasks_of_job = self._rng.randint(1, 6)
             for index in range(tasks_of_job):
                 name = f"j{self._jobs:05}/{index}"
-                wanted = rooms.Wanted(
-                    name, name.split("/")[0], "pool", "team", tasks.Need(*shape)
+                wanted = worker_capacity.PendingTask(
+                    name,
+                    name.split("/")[0],
+                    "pool",
+                    "team",
+                    task_rows.ResourceVector(*shape),
                 )
                 self._waiting[name] = (step, wanted)
             self._jobs += 1
             left -= tasks_of_job
 
     def _start(self, step: int) -> None:
-        unlimited = tasks.Need(1e9, 10**12)
-        view = placement.View(
+        unlimited = task_rows.ResourceVector(1e9, 10**12)
+        view = placement.PlannerInput(
             self._workers,
             tuple(placed for _, placed in self._running.values()),
             tuple(wanted for _, wanted in self._waiting.values()),
@@ -197,11 +206,11 @@
             self._waited(wanted, step - since)
             # Drawn by name, so that each order meets the same run times.
             runs = random.Random(name).randint(5, 35)
-            placed = rooms.Placed(name, worker, wanted.need)
+            placed = worker_capacity.PlacedTask(name, worker, wanted.need)
             self._running[name] = (step + runs, placed)
 
-    def _waited(self, wanted: rooms.Wanted, steps: int) -> None:
-        large = wanted.need == tasks.Need(*LARGE)
+    def _waited(self, wanted: worker_capacity.PendingTask, steps: int) -> None:
+        large = wanted.need == task_rows.ResourceVector(*LARGE)
         self.waits.append((large, steps))
 
     def _look(self) -> None:
@@ -241,12 +250,12 @@
     """Prints one JSON line for each order and condition."""
     for workers in (6, 30):
         for load in (0.4, 0.55, 0.7, 1.0):
-            for order in rooms.ORDERS.names:
+            for order in worker_capacity.ORDERS.names:
                 churned = churn(order, workers, load)
                 print(json.dumps(dataclasses.asdict(churned)))
     for workers, pools, count in ((30, 5, 60), (1300, 153, 2600)):
         for by_usage in (False, True):
-            for order in rooms.ORDERS.names:
+            for order in worker_capacity.ORDERS.names:
                 found = measure(order, by_usage, workers, pools, count)
                 print(json.dumps(dataclasses.asdict(found)))
 
--- a/standins/measure_planning.py
+++ b/standins/measure_planning.py
@@ -33,8 +33,8 @@
 from vanillaswitch.coordination.configuration import rollout
 from vanillaswitch.coordination.control import controller
 from vanillaswitch.coordination.maintenance import fleet_state
-from vanillaswitch.coordination.maintenance import moves
-from vanillaswitch.coordination.maintenance import pool_needs
+from vanillaswitch.coordination.maintenance import move_planner
+from vanillaswitch.coordination.maintenance import pool_demand
 from vanillaswitch.coordination.maintenance import wave_plan
 from vanillaswitch.coordination.workloads import placement
 from vanillaswitch.coordination.workloads import placement_view
@@ -84,29 +84,30 @@
                 took = _round(world)
                 with self._record.open("a") as out:
                     out.write(json.dumps(took) + "\n")
-                gevent.sleep(controller.STEP_S)
+                gevent.sleep(controller.STEP_PAUSE_S)
 
 
 def _round(world: steps_world.World) -> dict[str, float]:
     """Runs one round and returns its milliseconds by the clock."""
     began = time.monotonic()
-    fleet = fleet_state.read(world.outside)
+    fleet = fleet_state.read_with_statuses(world.outside)
     assert isinstance(fleet, fleet_state.Fleet)
     read = time.monotonic()
     config = world.config
-    wave_plan.plan(fleet, config, config.waves["wave-workers"])
-    moves.PLANNERS.get(moves.DEFAULT_PLANNER)(
-        pool_needs.held(fleet), pool_needs.needs(fleet, config)
+    wave_plan.plan_wave(fleet, config, config.waves["wave-workers"])
+    move_planner.MOVE_PLANNERS.get(move_planner.DEFAULT_PLANNER)(
+        pool_demand.workers_by_pool(fleet),
+        pool_demand.required_workers(fleet, config),
     )
-    inputs = placement_view.Inputs(
-        placement_view.Reading(fleet, {}, {}, {}, {}),
+    inputs = placement_view.ViewInputs(
+        placement_view.PlacementSnapshot(fleet, {}, {}, {}, {}),
         config,
         frozenset(config.pools),
         {},
         frozenset(),
         {},
     )
-    placement.plan(placement_view.build(inputs), config)
+    placement.plan(placement_view.build_view(inputs), config)
     ended = time.monotonic()
     return {"read_ms": 1000 * (read - began), "plan_ms": 1000 * (ended - read)}
 
@@ -170,7 +171,7 @@
         rng = random.SystemRandom()
         clock = clocks.SystemClock()
         config = world.config
-        first = rollout.NONE_YET
+        first = rollout.NO_CONFIG_NUMBER
         applied = rollout.apply(
             world.outside, clock, rng, config, "measure", first
         )
--- a/standins/measure_rollout.py
+++ b/standins/measure_rollout.py
@@ -72,7 +72,7 @@
     ):
         self._running = running
         self._config = config
-        self._number = rollout.NONE_YET
+        self._number = rollout.NO_CONFIG_NUMBER
         self._rng = random.Random(1)
 
     def apply(self) -> float:
@@ -82,7 +82,7 @@
         policies = dataclasses.replace(self._config.policies, retry_ratio=ratio)
         config = dataclasses.replace(self._config, policies=policies)
         with platform_http.connect(self._running.platform, 10.0) as outside:
-            controllers = rollout.peer_addresses(outside.table)
+            controllers = rollout.controller_addresses(outside.table)
             outcome = rollout.apply(
                 outside,
                 clocks.SystemClock(),
--- a/standins/measure_slots.py
+++ b/standins/measure_slots.py
@@ -75,7 +75,7 @@
         self._events = slots_world.Events()
         self._config = _config(case.policy)
         view = self._fleet()
-        minions = view.minions(slots_world.SERVICE, self._config, 0.0)
+        minions = view.available_minions(slots_world.SERVICE, self._config, 0.0)
         self._minions = {
             one.instance: slots_world.MinionModel(self._events, one)
             for one in minions
@@ -127,7 +127,7 @@
             )
             for number in range(MINIONS)
         )
-        fleet.take_list(listed, 0.0)
+        fleet.update_instances(listed, 0.0)
         return fleet
 
     def _entry(self, name: str, number: int) -> slots_entry.EntryModel:
@@ -274,7 +274,7 @@
     cases = [
         Case(policy, load, condition, seed, seconds)
         for policy, load, condition, seed in itertools.product(
-            chosen or routing.policies.names,
+            chosen or routing.POLICY_REGISTRY.names,
             loads or LOADS,
             conditions or CONDITIONS,
             range(1, seeds + 1),
--- a/standins/measure_steps.py
+++ b/standins/measure_steps.py
@@ -23,14 +23,14 @@
 from standins import steps_world
 from standins import target
 from vanillaswitch.coordination.control import duty_names
-from vanillaswitch.coordination.maintenance import buffer
 from vanillaswitch.coordination.maintenance import fleet_state
+from vanillaswitch.coordination.maintenance import spare_capacity
 from vanillaswitch.coordination.maintenance import wave_plan
 from vanillaswitch.coordination.maintenance import wave_state
 from vanillaswitch.coordination.workloads import placement
 from vanillaswitch.coordination.workloads import placement_duty
 from vanillaswitch.coordination.workloads import placement_view
-from vanillaswitch.coordination.workloads import task_messages
+from vanillaswitch.coordination.workloads import worker_calls
 from vanillaswitch.internal import ids
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
@@ -47,17 +47,17 @@
 
 def _turn(world: steps_world.World, name: str) -> None:
     """Runs a whole placement turn, not only what is done between two."""
-    memory = placement_duty._memory(world.context(name))
-    memory.turned = None
+    memory = placement_duty._soft_state(world.context(name))
+    memory.last_pass_at = None
     world.step(name)
 
 
 def _renew(world: steps_world.World, name: str) -> None:
     """Renews the leases of a duty's tasks once."""
     context = world.context(name)
-    memory = placement_duty._memory(context)
-    memory.sent.clear()
-    task_messages.renew(context, memory)
+    memory = placement_duty._soft_state(context)
+    memory.renewal_sent_at.clear()
+    worker_calls.renew_leases(context, memory)
 
 
 def _steps(address: str, share: float) -> dict[str, dict[str, float]]:
@@ -72,7 +72,7 @@
         idle_wave = f"{duty_names.WAVE}/wave-workers"
         found = {
             "reading the fleet": world.measured(
-                lambda: fleet_state.read_recorded(world.outside)
+                lambda: fleet_state.read_without_statuses(world.outside)
             ),
             "pool-group": world.measured(lambda: world.step(group)),
             "wave at rest": world.measured(lambda: world.step(idle_wave)),
@@ -80,7 +80,11 @@
         }
         gc.collect()
         after = process_stats.memory(os.getpid()).anonymous
-        workers = len(placement_duty._memory(world.context(place)).operations)
+        workers = len(
+            placement_duty._soft_state(
+                world.context(place)
+            ).operations_by_worker
+        )
         return found | {
             "memory": {"anonymous_kib": after, "state_kib": after - bare},
             "renewals": {
@@ -97,7 +101,7 @@
     """Measures steps of a wave over all minions, in its first rounds."""
     wave = "wave-minions"
     whole = _whole(world)
-    plan = wave_plan.plan(whole, world.config, world.config.waves[wave])
+    plan = wave_plan.plan_wave(whole, world.config, world.config.waves[wave])
     row = wave_state.Wave(
         wave_state.WaveState.RUNNING, wave, plan.rounds, 0.0, plan.expected_s
     )
@@ -110,7 +114,7 @@
 
 
 def _whole(world: steps_world.World) -> fleet_state.Fleet:
-    fleet = fleet_state.read(world.outside)
+    fleet = fleet_state.read_with_statuses(world.outside)
     assert isinstance(fleet, fleet_state.Fleet)
     return fleet
 
@@ -130,8 +134,8 @@
     config = world.config
     whole = _whole(world)
     wave = config.waves["wave-workers"]
-    inputs = placement_view.Inputs(
-        placement_view.Reading(whole, {}, {}, {}, {}),
+    inputs = placement_view.ViewInputs(
+        placement_view.PlacementSnapshot(whole, {}, {}, {}, {}),
         config,
         frozenset(config.pools),
         {},
@@ -139,30 +143,32 @@
         {},
     )
     demands = _demands(whole, config)
-    view = placement_view.build(inputs)
+    view = placement_view.build_view(inputs)
     return {
-        "wave_plan_ms": _cpu_ms(lambda: wave_plan.plan(whole, config, wave)),
-        "placement_view_ms": _cpu_ms(lambda: placement_view.build(inputs)),
+        "wave_plan_ms": _cpu_ms(
+            lambda: wave_plan.plan_wave(whole, config, wave)
+        ),
+        "placement_view_ms": _cpu_ms(lambda: placement_view.build_view(inputs)),
         "placement_plan_ms": _cpu_ms(lambda: placement.plan(view, config)),
         "tasks_placed": len(placement.plan(view, config).starts),
-        "buffer_ms": _cpu_ms(lambda: buffer.shared(demands)),
+        "buffer_ms": _cpu_ms(lambda: spare_capacity.size_shared_spare(demands)),
     }
 
 
 def _demands(
     fleet: fleet_state.Fleet, config: config_lib.Config
-) -> list[buffer.Demand]:
+) -> list[spare_capacity.ServiceDemand]:
     racks: dict[str, dict[str, int]] = {name: {} for name in config.services}
     for member in fleet.members.values():
         if member.row.kind is platform.InstanceKind.WORKER:
             by_rack = racks[member.row.service]
             by_rack[member.domain] = by_rack.get(member.domain, 0) + 1
     return [
-        buffer.Demand(
+        spare_capacity.ServiceDemand(
             name,
-            pools=1,
-            by_rack=by_rack,
-            allowed=config.services[name].availability_budget.workers_down,
+            pool_count=1,
+            workers_by_rack=by_rack,
+            max_down=config.services[name].availability_budget.workers_down,
         )
         for name, by_rack in racks.items()
     ]
--- a/standins/minion_work.py
+++ b/standins/minion_work.py
@@ -25,9 +25,9 @@
     """Returns what a request asks for."""
     values = {name.lower(): value for name, value in fields}
     return Work(
-        request_id=values.get(requests.HEADER_REQUEST.lower(), ""),
-        caller=values.get(requests.HEADER_CALLER.lower(), ""),
-        key=values.get(requests.HEADER_KEY.lower(), ""),
+        request_id=values.get(requests.HEADER_REQUEST_ID.lower(), ""),
+        caller=values.get(requests.HEADER_CALLER_ID.lower(), ""),
+        key=values.get(requests.HEADER_IDEMPOTENCY_KEY.lower(), ""),
         target=target,
         digest=digest(body),
     )
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -37,7 +37,7 @@
 
     def get(
         self, digest: str
-    ) -> platform.Body | platform.Missing | platform.Unavailable:
+    ) -> platform.ObjectContent | platform.Missing | platform.Unavailable:
         """Fetches an object."""
         return self.faults.read(lambda: self._get(digest))
 
@@ -45,7 +45,7 @@
         self._contents[digest] = content
         return platform.Done()
 
-    def _get(self, digest: str) -> platform.Body | platform.Missing:
+    def _get(self, digest: str) -> platform.ObjectContent | platform.Missing:
         if digest not in self._contents:
             return platform.Missing()
-        return platform.Body(self._contents[digest])
+        return platform.ObjectContent(self._contents[digest])
--- a/standins/phase_log.py
+++ b/standins/phase_log.py
@@ -9,9 +9,9 @@
 
 _MAINTAINED = frozenset(
     {
-        platform.Phase.DRAINING,
-        platform.Phase.DRAINED,
-        platform.Phase.REBOOTING,
+        platform.MaintenancePhase.DRAINING,
+        platform.MaintenancePhase.DRAINED,
+        platform.MaintenancePhase.REBOOTING,
     }
 )
 
@@ -22,18 +22,20 @@
     def __init__(self, listings: Iterable[platform.Listing]):
         """Begins with all instances serving."""
         self._listings = {one.instance: one for one in listings}
-        self._phases = dict.fromkeys(self._listings, platform.Phase.SERVING)
+        self._phases = dict.fromkeys(
+            self._listings, platform.MaintenancePhase.SERVING
+        )
         self._drains: collections.Counter[str] = collections.Counter()
         self._reboots: collections.Counter[str] = collections.Counter()
         self._most_down: collections.Counter[str] = collections.Counter()
         self._most_domains: collections.Counter[str] = collections.Counter()
 
-    def on_phase(self, instance: str, phase: platform.Phase) -> None:
+    def on_phase(self, instance: str, phase: platform.MaintenancePhase) -> None:
         """Notes that an instance entered a phase."""
         self._phases[instance] = phase
-        if phase is platform.Phase.DRAINING:
+        if phase is platform.MaintenancePhase.DRAINING:
             self._drains[instance] += 1
-        if phase is platform.Phase.REBOOTING:
+        if phase is platform.MaintenancePhase.REBOOTING:
             self._reboots[instance] += 1
         service = self._listings[instance].service
         if service:
@@ -59,7 +61,7 @@
             (listing.data_centre, self._phases[name])
             for name, listing in self._listings.items()
             if listing.service == service
-            and self._phases[name] is not platform.Phase.SERVING
+            and self._phases[name] is not platform.MaintenancePhase.SERVING
         ]
         domains = {place for place, phase in down if phase in _MAINTAINED}
         self._most_down[service] = max(self._most_down[service], len(down))
--- a/standins/platform_http.py
+++ b/standins/platform_http.py
@@ -94,7 +94,7 @@
         self, request: falcon.Request, response: falcon.Response, digest: str
     ) -> None:
         found = self._store.get(digest)
-        if not isinstance(found, platform.Body):
+        if not isinstance(found, platform.ObjectContent):
             _answer(request, response, found)
             return
         response.content_type = "application/octet-stream"
--- a/standins/slots_entry.py
+++ b/standins/slots_entry.py
@@ -13,12 +13,12 @@
 
 from standins import slots_world
 from vanillaswitch.coordination.entry import admission
+from vanillaswitch.coordination.entry import class_queues
 from vanillaswitch.coordination.entry import dispatch
 from vanillaswitch.coordination.entry import fleet_view
-from vanillaswitch.coordination.entry import lanes
-from vanillaswitch.coordination.entry import lending
 from vanillaswitch.coordination.entry import retry
-from vanillaswitch.coordination.entry import slot_book
+from vanillaswitch.coordination.entry import slot_allocator
+from vanillaswitch.coordination.entry import slot_lending
 from vanillaswitch.coordination.peering import heartbeat_schedule
 from vanillaswitch.coordination.peering import peer_membership
 from vanillaswitch.protocol import minions as minions_lib
@@ -27,7 +27,7 @@
 from vanillaswitch.state import config as config_lib
 from vanillaswitch.state import config_view
 
-_LOST = minions_lib.Lost("no answer in time", silent=True)
+_LOST = minions_lib.ResponseLost("no answer in time", timed_out=True)
 _REFUSED = minions_lib.NotSent("refused")
 _ANSWERED = minions_lib.Answered(requests.Answer(200, (), b""))
 ENDED = requests.Refusal(requests.Outcome.NOT_RUN, 503, "ended", "", 1.0)
@@ -62,7 +62,7 @@
         self._peer_loads: Mapping[str, int] = {}
         view = config_view.ConfigView()
         view.offer(1, "digest", config)
-        self.book = slot_book.SlotBook(
+        self.book = slot_allocator.SlotAllocator(
             rng,
             data_centre,
             view,
@@ -72,7 +72,9 @@
             name,
         )
         self.queue = admission.ServiceQueue()
-        self.lending = lending.Lending(rng, self.book, lambda _: self.queue)
+        self.lending = slot_lending.SlotLending(
+            rng, self.book, lambda _: self.queue
+        )
         self._budget = retry.RetryBudget()
         self._runs: dict[int, slots_world.Run] = {}
         self._tickets = 0
@@ -83,7 +85,8 @@
     def living(self) -> tuple[str, ...]:
         """The other entries that it believes alive."""
         return tuple(
-            one.process for one in peer_membership.alive(self._members)
+            one.process
+            for one in peer_membership.live_heartbeats(self._members)
         )
 
     @property
@@ -102,29 +105,33 @@
         deadline = call.sent + slots_world.CALLER_S + traffic.timeout_s
         run = slots_world.Run(call, self._tickets, deadline, reply)
         self._runs[run.ticket] = run
-        arrival = lanes.Arrival(
+        arrival = class_queues.QueuedRequest(
             run.ticket, traffic.name, traffic.definition, now, deadline
         )
-        self._act(self.queue.arrive(arrival, self._slots(), now))
+        self._act(self.queue.enqueue(arrival, self._slots(), now))
 
     def poll(self) -> None:
         """Looks at the waiting requests again."""
         if not self.killed:
             self._act(self.queue.poll(self._slots(), self._events.now))
 
-    def told(self, message: lending.Message) -> None:
+    def told(self, message: slot_lending.LoanMessage) -> None:
         """Takes a message about loans in."""
         if self.killed:
             return
-        services, envelopes = self.lending.take(message, self._events.now)
+        services, envelopes = self.lending.handle_message(
+            message, self._events.now
+        )
         self._post(envelopes)
         if services:
             self.poll()
 
-    def _post(self, envelopes: tuple[lending.Envelope, ...]) -> None:
+    def _post(
+        self, envelopes: tuple[slot_lending.AddressedMessage, ...]
+    ) -> None:
         for one in envelopes:
             self.messages += 1
-            other = self.others[one.process]
+            other = self.others[one.recipient]
             way = slots_world.latency_s(self.data_centre, other.data_centre)
             self._events.after(way, functools.partial(other.told, one.message))
 
@@ -133,21 +140,23 @@
         if self.killed:
             return
         now = self._events.now
-        self._members = peer_membership.tick(self._members, now)
-        self._peer_loads = peer_membership.loads(self._members, now)
+        self._members = peer_membership.with_liveness_checked(
+            self._members, now
+        )
+        self._peer_loads = peer_membership.peer_in_flight(self._members, now)
         self._ticks += 1
-        group = heartbeat_schedule.near(sorted(self.others))
-        for target in heartbeat_schedule.due(group, self._ticks):
+        group = heartbeat_schedule.same_role_group(sorted(self.others))
+        for target in heartbeat_schedule.due_targets(group, self._ticks):
             self._send(self.others[target.address], target.interval_s)
         self._events.after(heartbeat_schedule.TICK_S, self.tick)
 
     def heard(self, heartbeat: peers.Heartbeat) -> None:
         """Takes a heartbeat in."""
         now = self._events.now
-        self._members = peer_membership.on_heartbeat(
+        self._members = peer_membership.with_heartbeat(
             self._members, heartbeat, now
         )
-        self._peer_loads = peer_membership.loads(self._members, now)
+        self._peer_loads = peer_membership.peer_in_flight(self._members, now)
 
     def _send(self, other: "EntryModel", interval_s: float) -> None:
         heartbeat = peers.Heartbeat(
@@ -160,14 +169,14 @@
             config_version=1,
             view_version=1,
             leaving=False,
-            loads=self.book.loads(self._events.now),
+            loads=self.book.in_flight_by_minion(self._events.now),
             interval_s=interval_s,
         )
         way = slots_world.latency_s(self.data_centre, other.data_centre)
         self._events.after(way, lambda: other.heard(heartbeat))
 
-    def _slots(self) -> admission.Slots:
-        return self.book.count(slots_world.SERVICE, self._events.now)
+    def _slots(self) -> admission.SlotCounts:
+        return self.book.count_slots(slots_world.SERVICE, self._events.now)
 
     def _act(self, actions: tuple[admission.Action, ...]) -> None:
         for action in actions:
@@ -178,7 +187,9 @@
                     run = self._runs[ticket]
                     run.minion = self._pick(run, frozenset())
                     self._attempt(run)
-        self._post(self.lending.settle(slots_world.SERVICE, self._events.now))
+        self._post(
+            self.lending.update_loans(slots_world.SERVICE, self._events.now)
+        )
         if self.queue.waiting and not self._polling:
             self._polling = True
             self._events.after(dispatch.POLL_S, self._poll_again)
@@ -191,7 +202,7 @@
         self, run: slots_world.Run, excluded: frozenset[str]
     ) -> minions_lib.Minion | None:
         run.since = self._events.now
-        return self.book.take(
+        return self.book.allocate(
             slots_world.SERVICE, excluded, run.since, run.ticket
         )
 
@@ -199,7 +210,7 @@
         self,
         run: slots_world.Run,
         minion: minions_lib.Minion,
-        verdict: slot_book.Verdict,
+        verdict: slot_allocator.AttemptResult,
     ) -> None:
         now = self._events.now
         self.book.release(minion, verdict, run.since, now, run.ticket)
@@ -211,12 +222,12 @@
             raise AssertionError("a request started without a slot")
         before = run.attempts
         if not before.count:
-            self._budget.first_attempt(self._ratio)
+            self._budget.credit_first_attempt(self._ratio)
             self.first_attempts += 1
-        run.attempts = before.begun()
+        run.attempts = before.with_attempt_started()
         kind = run.call.traffic.definition.kind
         left = run.deadline - self._events.now
-        again = self._budget.available and retry.may_retry(
+        again = self._budget.has_token and retry.may_retry(
             kind, run.attempts, left
         )
         timeout = retry.attempt_timeout_s(kind, self._service, left, again)
@@ -243,16 +254,18 @@
     def _ended(
         self,
         run: slots_world.Run,
-        before: retry.Attempts,
+        before: retry.AttemptState,
         outcome: minions_lib.SendOutcome,
     ) -> None:
-        run.attempts = run.attempts.ended(before, retry.effect(outcome, ()))
+        run.attempts = run.attempts.with_attempt_ended(
+            before, retry.effect_of(outcome, ())
+        )
         if isinstance(outcome, minions_lib.Answered):
-            self._leave(run, slot_book.Verdict.ANSWERED, None)
+            self._leave(run, slot_allocator.AttemptResult.ANSWERED, None)
             return
-        verdict = slot_book.Verdict.UNCLEAR
-        if retry.is_failure_of_minion(outcome):
-            verdict = slot_book.Verdict.FAILED
+        verdict = slot_allocator.AttemptResult.UNKNOWN
+        if retry.is_minion_failure(outcome):
+            verdict = slot_allocator.AttemptResult.FAILED
         if self._may_retry(run) and run.minion is not None:
             self.retries += 1
             tried = run.minion.instance
@@ -267,19 +280,22 @@
     def _may_retry(self, run: slots_world.Run) -> bool:
         kind = run.call.traffic.definition.kind
         left = run.deadline - self._events.now
-        return retry.may_retry(kind, run.attempts, left) and self._budget.take()
+        return (
+            retry.may_retry(kind, run.attempts, left)
+            and self._budget.try_take()
+        )
 
     def _leave(
         self,
         run: slots_world.Run,
-        verdict: slot_book.Verdict,
+        verdict: slot_allocator.AttemptResult,
         refusal: requests.Refusal | None,
     ) -> None:
         now = self._events.now
         if run.minion is not None:
             self._release(run, run.minion, verdict)
         del self._runs[run.ticket]
-        self.queue.finish(run.ticket, now, measured=True)
+        self.queue.remove(run.ticket, now, record_duration=True)
         if refusal is not None and run.attempts.may_have_run:
             refusal = dataclasses.replace(
                 refusal, outcome=requests.Outcome.UNKNOWN
--- a/standins/slots_forwarding.py
+++ b/standins/slots_forwarding.py
@@ -33,20 +33,24 @@
 class OwnerPolicy:
     """Uses all slots of the minions that an entry owns, and no others."""
 
-    def limit(self, minion: minions_lib.Minion, loads: routing.Loads) -> int:
+    def limit(
+        self, minion: minions_lib.Minion, loads: routing.MinionLoads
+    ) -> int:
         """Returns all slots of a minion that we own, none of another."""
-        owner = owner_of(minion.instance, loads.entries)
-        return minion.slots if owner == loads.entries[0] else 0
+        owner = owner_of(minion.instance, loads.live_entries)
+        return minion.slots if owner == loads.live_entries[0] else 0
 
-    def room(self, minion: minions_lib.Minion, loads: routing.Loads) -> int:
+    def room(
+        self, minion: minions_lib.Minion, loads: routing.MinionLoads
+    ) -> int:
         """Returns the free slots of a minion, by our own count alone."""
-        used = loads.own.get(minion.instance, 0)
+        used = loads.own_in_flight.get(minion.instance, 0)
         return self.limit(minion, loads) - used
 
     def choose(
         self,
         candidates: Sequence[minions_lib.Minion],
-        loads: routing.Loads,
+        loads: routing.MinionLoads,
         data_centre: str,
         rng: random.Random,
     ) -> minions_lib.Minion:
@@ -54,14 +58,14 @@
         return min(
             candidates,
             key=lambda minion: (
-                loads.own.get(minion.instance, 0),
+                loads.own_in_flight.get(minion.instance, 0),
                 minion.data_centre != data_centre,
                 rng.random(),
             ),
         )
 
 
-routing.policies.register(POLICY)(OwnerPolicy())
+routing.POLICY_REGISTRY.register(POLICY)(OwnerPolicy())
 
 
 class Forwarder:
--- a/standins/slots_world.py
+++ b/standins/slots_world.py
@@ -140,7 +140,9 @@
     ticket: int
     deadline: float
     reply: Callable[[requests.Refusal | None], None]
-    attempts: retry.Attempts = dataclasses.field(default_factory=retry.Attempts)
+    attempts: retry.AttemptState = dataclasses.field(
+        default_factory=retry.AttemptState
+    )
     minion: minions_lib.Minion | None = None
     since: float = 0.0
 
--- a/standins/steps_world.py
+++ b/standins/steps_world.py
@@ -17,9 +17,9 @@
 from standins import target
 from standins import traffic
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.control import duties
+from vanillaswitch.coordination.control import duty_assignment
 from vanillaswitch.coordination.control import duty_names
-from vanillaswitch.coordination.maintenance import move_duty
+from vanillaswitch.coordination.maintenance import pool_duty
 from vanillaswitch.coordination.maintenance import wave_duty
 from vanillaswitch.coordination.workloads import placement_duty
 from vanillaswitch.internal import clock as clocks
@@ -38,7 +38,7 @@
 MOST_TURNS = 200
 REPORT_LAG_S = 1.0
 
-DUTIES = (move_duty, placement_duty, wave_duty)
+DUTIES = (pool_duty, placement_duty, wave_duty)
 """Modules that register their steps when they are imported."""
 
 
@@ -53,27 +53,27 @@
         self.outside = outside
         self.config = _config(size)
         self._rng = random.SystemRandom()
-        self._fences: dict[str, duties.Fence] = {}
+        self._fences: dict[str, duty_assignment.Fence] = {}
         self._memories: dict[str, dict[str, Any]] = {}
         self._clock = clocks.SystemClock()
 
-    def context(self, name: str) -> controller.Context:
+    def context(self, name: str) -> controller.DutyContext:
         """Returns what a duty's step works with."""
-        return controller.Context(
+        return controller.DutyContext(
             platform=self.outside,
             clock=self._clock,
             rng=self._rng,
             config=self.config,
             broadcast=lambda message: None,  # noqa: ARG005
-            memory=self._memories.setdefault(name, {}),
+            soft_state=self._memories.setdefault(name, {}),
         )
 
     def step(self, name: str) -> None:
         """Runs one step of a duty."""
-        step = controller.STEPS.get(duty_names.kind(name))
+        step = controller.DUTY_STEPS.get(duty_names.kind_of(name))
         step(self.context(name), name, self._fence(name))
 
-    def _fence(self, name: str) -> duties.Fence:
+    def _fence(self, name: str) -> duty_assignment.Fence:
         if name not in self._fences:
             key = keys.duty(name)
             value = rows.dump(rows.Duty("measure", "boot", 1))
@@ -83,7 +83,7 @@
                 platform.Transaction(token, (put,))
             )
             assert isinstance(outcome, platform.Committed)
-            self._fences[name] = duties.Fence(key, outcome.version, 1)
+            self._fences[name] = duty_assignment.Fence(key, outcome.version, 1)
         return self._fences[name]
 
     def traffic(self) -> tuple[int, int, int]:
