--- a/standins/verdicts.py
+++ b/standins/verdicts.py
@@ -26,7 +26,7 @@
     """Returns what an entry's answer says of a request."""
     if isinstance(outcome, minions.NotSent):
         return Result.FAILED
-    if isinstance(outcome, minions.Lost):
+    if isinstance(outcome, minions.ResponseLost):
         return Result.UNKNOWN
     answer = outcome.answer
     told = headers.first(answer.headers, requests.HEADER_OUTCOME)
@@ -52,11 +52,11 @@
     work = minion_work.Work(
         request_id=request.request_id,
         caller=request.caller,
-        key=request.key,
+        key=request.idempotency_key,
         target=request.target,
         digest=minion_work.digest(request.body),
     )
     expected = minion_work.expected_answer(request.service, work)
-    if request.key and isinstance(document, dict):
+    if request.idempotency_key and isinstance(document, dict):
         document["request_id"] = work.request_id
     return bool(document == expected)
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -23,24 +23,24 @@
     lease_until: float
     finishes: float
     ended: float = math.inf
-    end_state: platform.TaskState = platform.TaskState.RUNNING
+    end_state: platform.ReportedTaskState = platform.ReportedTaskState.RUNNING
     share: float = 1.0
     checkpoint: str = ""
 
-    def state_at(self, when: float) -> platform.TaskState:
+    def state_at(self, when: float) -> platform.ReportedTaskState:
         """Returns the state as of ``when``: whatever ended it first."""
         ends = min(self.ended, self.finishes, self.lease_until)
         if when < ends:
-            return platform.TaskState.RUNNING
+            return platform.ReportedTaskState.RUNNING
         if self.ended == ends:
             return self.end_state
         if self.finishes == ends:
-            return platform.TaskState.FINISHED
-        return platform.TaskState.LEASE_LAPSED
+            return platform.ReportedTaskState.FINISHED
+        return platform.ReportedTaskState.LEASE_EXPIRED
 
-    def end(self, when: float, state: platform.TaskState) -> None:
+    def end(self, when: float, state: platform.ReportedTaskState) -> None:
         """Ends the task, unless it has ended already."""
-        if self.state_at(when) is platform.TaskState.RUNNING:
+        if self.state_at(when) is platform.ReportedTaskState.RUNNING:
             self.ended = when
             self.end_state = state
 
@@ -124,7 +124,9 @@
         """Stops a task."""
 
         def end(task: _Task) -> None:
-            task.end(self._clock.monotonic(), platform.TaskState.STOPPED)
+            task.end(
+                self._clock.monotonic(), platform.ReportedTaskState.STOPPED
+            )
 
         return self.faults.write(lambda: self._change(worker, operation, end))
 
@@ -141,7 +143,10 @@
             return platform.Done()
         if not self._instances.is_up(worker):
             return platform.Unavailable("the worker does not answer")
-        if self._instances.phase(worker) is not platform.Phase.SERVING:
+        if (
+            self._instances.phase(worker)
+            is not platform.MaintenancePhase.SERVING
+        ):
             return platform.Unavailable("the worker takes no new tasks")
         now = self._clock.monotonic()
         task = _Task(
@@ -155,7 +160,7 @@
         self._tasks[spec.operation] = task
         self.starts.append(spec.job)
         if worker in self.failing_workers or spec.job in self.failing_jobs:
-            task.end(now, platform.TaskState.FAILED)
+            task.end(now, platform.ReportedTaskState.FAILED)
         return platform.Done()
 
     def _renew(
@@ -189,7 +194,7 @@
             task
             for task in self._tasks.values()
             if task.worker == worker
-            and task.state_at(now) is platform.TaskState.RUNNING
+            and task.state_at(now) is platform.ReportedTaskState.RUNNING
         ]
 
     def _reports(self) -> tuple[platform.TaskReport, ...]:
@@ -203,7 +208,7 @@
     def _report(self, task: _Task, when: float) -> platform.TaskReport:
         state = task.state_at(when)
         factor = self.usage_factor.get(task.spec.job, 1.0)
-        if state is not platform.TaskState.RUNNING:
+        if state is not platform.ReportedTaskState.RUNNING:
             factor = 0.0
         return platform.TaskReport(
             task.spec.task,
@@ -215,11 +220,16 @@
             task.checkpoint,
         )
 
-    def _on_phase(self, instance: str, phase: platform.Phase) -> None:
-        if phase in (platform.Phase.REBOOTING, platform.Phase.DOWN):
+    def _on_phase(
+        self, instance: str, phase: platform.MaintenancePhase
+    ) -> None:
+        if phase in (
+            platform.MaintenancePhase.REBOOTING,
+            platform.MaintenancePhase.DOWN,
+        ):
             now = self._clock.monotonic()
             for task in self._running(instance):
-                task.end(now, platform.TaskState.FAILED)
+                task.end(now, platform.ReportedTaskState.FAILED)
 
 
 def _write_checkpoint(task: _Task) -> None:
--- a/tests/common/claim_world.py
+++ b/tests/common/claim_harness.py
@@ -11,7 +11,7 @@
 from standins import table as table_module
 from tests.common import clocks
 from vanillaswitch.coordination.once import claim_rules
-from vanillaswitch.coordination.once import claims
+from vanillaswitch.coordination.once import claim_service
 from vanillaswitch.coordination.peering import peer_membership
 from vanillaswitch.protocol import claims as claims_protocol
 from vanillaswitch.protocol import peers
@@ -23,7 +23,7 @@
 WATCH_INTERVAL_S = 4.0
 
 
-class ForgetfulTable(table_module.MemoryTable):
+class NonDeduplicatingTable(table_module.MemoryTable):
     """A table that treats each copy of a transaction as a new one.
 
     The interface does not guarantee that a table recognises a token again, so
@@ -55,12 +55,12 @@
 class _Entry:
     """One boot of an entry."""
 
-    def __init__(self, harness: "World", name: str, boot: str):
+    def __init__(self, harness: "ClaimHarness", name: str, boot: str):
         self.name = name
         self.boot = boot
         self.link = _Link(harness.table)
         self.cut_from_peers = False
-        self.parts = claims.make_parts(
+        self.components = claim_service.make_components(
             claim_rules.Holder(name, boot, f"peer-{name}"),
             self.link,
             harness.objects,
@@ -70,33 +70,33 @@
             harness.rng,
             lambda: RETENTION_S,
         )
-        self.claims = claims.Claims(self.parts)
-        self._task = gevent.spawn(self.parts.committer.run)
+        self.claims = claim_service.TableClaimService(self.components)
+        self._task = gevent.spawn(self.components.committer.run)
 
     def kill(self) -> None:
         self._task.kill()
 
     def write_all(self) -> None:
-        self.parts.ledger.write_all()
+        self.components.records.write_all()
 
 
 @dataclasses.dataclass
-class Attempt:
+class ClaimedRequest:
     """A claimed request that an entry is processing."""
 
     entry: _Entry
     request: requests.Request
-    ticket: str
+    claim_id: str
     answer: requests.Answer | None = None
 
 
-class World:
+class ClaimHarness:
     """The entries, table, object store and clock shared by claim tests."""
 
     def __init__(self, names=("a", "b", "c")):
         self.clock = clocks.ManualClock()
         self.rng = random.Random(5)
-        self.table = ForgetfulTable()
+        self.table = NonDeduplicatingTable()
         self.objects = objects_module.MemoryObjects()
         self.runs: collections.Counter[tuple[str, str]] = collections.Counter()
         self.entries: dict[str, _Entry] = {}
@@ -112,12 +112,12 @@
         for _ in range(int(seconds / WATCH_INTERVAL_S)):
             self.clock.advance(WATCH_INTERVAL_S)
             for entry in self.entries.values():
-                entry.parts.witness.watch()
+                entry.components.history.watch()
 
     def members(self, observer: _Entry) -> dict[str, peer_membership.Member]:
         """Returns the other entries as members that are all alive."""
         now = self.clock.monotonic()
-        alive = peer_membership.Standing.ALIVE
+        alive = peer_membership.Liveness.ALIVE
         return {
             name: peer_membership.Member(_heartbeat(entry), alive, now, now)
             for name, entry in self.entries.items()
@@ -149,13 +149,15 @@
             headers=(),
             body=body,
             deadline=self.clock.monotonic() + 1.0,
-            key=key,
+            idempotency_key=key,
             issued_ms=self.issued_ms,
         )
 
-    def run(self, attempt: Attempt, body: bytes = b"done") -> requests.Answer:
+    def run(
+        self, attempt: ClaimedRequest, body: bytes = b"done"
+    ) -> requests.Answer:
         """Runs the request at the minion; fails if it runs a second time."""
-        name = (attempt.request.caller, attempt.request.key)
+        name = (attempt.request.caller, attempt.request.idempotency_key)
         self.runs[name] += 1
         assert self.runs[name] == 1, f"{name} ran twice"
         attempt.answer = requests.Answer(
@@ -163,22 +165,22 @@
         )
         return attempt.answer
 
-    def finish(self, attempt: Attempt, body: bytes = b"done"):
+    def run_and_complete(self, attempt: ClaimedRequest, body: bytes = b"done"):
         """Runs the request at the minion and completes its claim."""
         answer = self.run(attempt, body)
-        attempt.entry.claims.finish(attempt.ticket, answer)
+        attempt.entry.claims.complete(attempt.claim_id, answer)
         return answer
 
     def begin(self, name: str, request=None):
         """Begins a request at an entry and returns the result."""
         return self.entries[name].claims.begin(request or self.request())
 
-    def attempt(self, name: str, request=None) -> Attempt:
+    def claim_request(self, name: str, request=None) -> ClaimedRequest:
         """Begins a request, which must get the claim."""
         request = request or self.request()
         begun = self.begin(name, request)
-        assert isinstance(begun, claims_protocol.Proceed), begun
-        return Attempt(self.entries[name], request, begun.ticket)
+        assert isinstance(begun, claims_protocol.ClaimGranted), begun
+        return ClaimedRequest(self.entries[name], request, begun.claim_id)
 
     def query_claim(self, sender: _Entry, peer: str, query: peers.ClaimQuery):
         """Passes a query to the live entry at an address."""
--- a/tests/common/config_stores.py
+++ b/tests/common/config_platform.py
@@ -10,7 +10,7 @@
 from standins import table as table_module
 from tests.common import clocks
 from tests.common import configs
-from vanillaswitch.coordination.configuration import config_task
+from vanillaswitch.coordination.configuration import config_sync
 from vanillaswitch.coordination.configuration import rollout
 from vanillaswitch.protocol import peers
 from vanillaswitch.protocol import platform as platform_module
@@ -36,7 +36,7 @@
     del message
 
 
-class Store:
+class ConfigPlatform:
     """A platform with a table and an object store that can fail."""
 
     def __init__(self):
@@ -62,7 +62,7 @@
     def new_process(self, broadcast=ignore_message):
         """Returns the view and the task of a new process."""
         view = config_view.ConfigView()
-        task = config_task.ConfigTask(
+        task = config_sync.ConfigSync(
             view, self.table, self.objects, self.clock, broadcast
         )
         return view, task
--- a/tests/common/benches.py
+++ b/tests/common/fleet_harness.py
@@ -12,7 +12,7 @@
 from standins import fleet as fleet_module
 from tests.common import clocks
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.control import duties
+from vanillaswitch.coordination.control import duty_assignment
 from vanillaswitch.coordination.maintenance import fleet_state
 from vanillaswitch.protocol import peers
 from vanillaswitch.protocol import platform
@@ -54,7 +54,7 @@
         return call
 
 
-def config_of(
+def build_config(
     services: Sequence[str] = ("quotes",),
     minions: int = 6,
     minions_down: int = 2,
@@ -108,7 +108,7 @@
 
 
 @dataclasses.dataclass
-class Bench:
+class FleetHarness:
     """A platform, rows for its instances, and one holder for each duty."""
 
     listings: list[platform.Listing]
@@ -128,10 +128,10 @@
         self.rng = random.Random(1)
         self.memory: dict[str, dict[str, Any]] = {}
         self.notices: list[peers.Message] = []
-        self.fences: dict[str, duties.Fence] = {}
-        self.kill_at: int | None = None
-        self.kill_when = "before"
-        self._calls = 0
+        self.fences: dict[str, duty_assignment.Fence] = {}
+        self.kill_at_call: int | None = None
+        self.kill_before_or_after = "before"
+        self.call_count = 0
         self._interfaces: dict[int, platform.Platform] = {}
         self.process_by_duty: dict[str, int] = {}
         for listing in self.listings:
@@ -165,7 +165,7 @@
     def hand_over(self, duty: str, process: int) -> None:
         """A controller of another process takes over the duty."""
         self.process_by_duty[duty] = process
-        self.take_over(duty)
+        self.replace_holder(duty)
 
     def put(self, key: str, row: object) -> int:
         """Writes a row regardless of its version; returns the new version."""
@@ -176,19 +176,21 @@
         put = platform.Put(key, version, rows.dump(row))
         return table.commit(platform.Transaction(token, (put,))).version
 
-    def take_over(self, duty: str) -> None:
+    def replace_holder(self, duty: str) -> None:
         """A new controller without soft state takes over the duty."""
         epoch = self.fences[duty].epoch + 1 if duty in self.fences else 1
         row = rows.Duty(f"controller-{epoch}", "boot", epoch)
         key = keys.duty(duty)
-        self.fences[duty] = duties.Fence(key, self.put(key, row), epoch)
+        self.fences[duty] = duty_assignment.Fence(
+            key, self.put(key, row), epoch
+        )
         self.memory[duty] = {}
 
     def step(self, duty: str) -> None:
         """Runs one step; a new controller replaces one that is killed."""
         if duty not in self.fences:
-            self.take_over(duty)
-        context = controller.Context(
+            self.replace_holder(duty)
+        context = controller.DutyContext(
             self.interface(self.process_by_duty.get(duty, 0)),
             self.clock,
             self.rng,
@@ -198,9 +200,9 @@
         )
         kind = duty.partition("/")[0]
         try:
-            controller.STEPS.get(kind)(context, duty, self.fences[duty])
+            controller.DUTY_STEPS.get(kind)(context, duty, self.fences[duty])
         except KilledError:
-            self.take_over(duty)
+            self.replace_holder(duty)
         self.clock.advance(0.5)
 
     def before_next_commit(self, event: Callable[[], object]) -> None:
@@ -217,19 +219,19 @@
 
     def fleet(self) -> fleet_state.Fleet:
         """Reads the fleet without faults."""
-        return fleet_state.read(self.platform.interface)
+        return fleet_state.read_with_statuses(self.platform.interface)
 
-    def not_serving(self) -> set[str]:
+    def instances_not_serving(self) -> set[str]:
         """Returns the instances that don't serve, as the platform knows."""
         return {
             one.instance
             for one in self.listings
             if self.platform.instances.phase(one.instance)
-            is not platform.Phase.SERVING
+            is not platform.MaintenancePhase.SERVING
         }
 
     def _count_call(self) -> str:
-        self._calls += 1
-        if self._calls == self.kill_at:
-            return self.kill_when
+        self.call_count += 1
+        if self.call_count == self.kill_at_call:
+            return self.kill_before_or_after
         return ""
--- a/tests/common/outer_names.py
+++ b/tests/common/outer_names.py
@@ -26,7 +26,7 @@
 import vanillaswitch
 from vanillaswitch import platform as platform_adapter
 from vanillaswitch.cli import main
-from vanillaswitch.coordination.configuration import config_task
+from vanillaswitch.coordination.configuration import config_sync
 from vanillaswitch.coordination.fleet import events
 from vanillaswitch.coordination.fleet import status_summaries
 from vanillaswitch.coordination.fleet.ownership import fenced_writer
@@ -73,14 +73,14 @@
         yield from _fields("row", kind)
     yield from _fields("setting", settings.Settings)
     yield from _fields("configuration", config.Config)
-    yield from _fields("counter config", config_task.Counters)
+    yield from _fields("counter config", config_sync.Counters)
     yield from _fields("histogram", histograms.Summary)
     for kind in _data_classes(status_summaries):
         yield from _fields("command-output", kind)
     for kind in (
         fleet.Machine,
         unusable.Unusable,
-        budgets.Standing,
+        budgets.BudgetStatus,
         wave_plan.WavePlan,
     ):
         yield from _fields("command-output", kind)
--- a/tests/common/placing.py
+++ b/tests/common/placement_harness.py
@@ -8,10 +8,10 @@
 from standins import fleet as fleet_lib
 from tests.common import clocks
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.control import duties
-from vanillaswitch.coordination.workloads import jobs
+from vanillaswitch.coordination.control import duty_assignment
+from vanillaswitch.coordination.workloads import job_progress
 from vanillaswitch.coordination.workloads import placement_duty
-from vanillaswitch.coordination.workloads import tasks
+from vanillaswitch.coordination.workloads import task_rows
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config
 from vanillaswitch.state import keys
@@ -76,7 +76,7 @@
         assert isinstance(found, platform.Rows)
         epoch = found.rows[0].value["epoch"] + 1 if found.rows else 1
         version = self.put(keys.duty(DUTY), rows.Duty("c", "b", epoch))
-        self.fence = duties.Fence(keys.duty(DUTY), version, epoch)
+        self.fence = duty_assignment.Fence(keys.duty(DUTY), version, epoch)
         self.memory: dict[str, Any] = {}
 
     def put(self, key: str, row: object) -> int:
@@ -100,29 +100,29 @@
         wanted = {**self.config.jobs, **changes}
         self.config = dataclasses.replace(self.config, jobs=wanted)
 
-    def context(self) -> controller.Context:
+    def context(self) -> controller.DutyContext:
         """Returns the context of the next step."""
-        return controller.Context(
+        return controller.DutyContext(
             platform=self.platform.interface,
             clock=self.clock,
             rng=self.rng,
             config=self.config,
             broadcast=self.memory.setdefault("sent", []).append,
-            memory=self.memory,
-            leased=lambda: self.is_leased,
+            soft_state=self.memory,
+            has_lease=lambda: self.is_leased,
         )
 
     def step(self, count: int = 1) -> None:
         """Runs steps, each followed by the pause between two steps."""
         for _ in range(count):
             placement_duty.step(self.context(), DUTY, self.fence)
-            self.clock.advance(controller.STEP_S)
+            self.clock.advance(controller.STEP_PAUSE_S)
 
     def renew_leases(self, count: int) -> None:
         """Renews task leases as while the session lease has expired."""
         for _ in range(count):
             placement_duty.renew_leases(self.context(), DUTY, self.fence)
-            self.clock.advance(controller.STEP_S)
+            self.clock.advance(controller.STEP_PAUSE_S)
 
     def running(self) -> dict[str, str]:
         """Returns the worker of each task that runs right now.
@@ -135,7 +135,7 @@
         reports = workers.reports()
         workers._lag_s = lag
         assert not isinstance(reports, platform.Unavailable)
-        running = platform.TaskState.RUNNING
+        running = platform.ReportedTaskState.RUNNING
         found = [(r.task, r.worker) for r in reports if r.state is running]
         assert len(dict(found)) == len(found), f"a task runs twice: {found}"
         return dict(found)
@@ -145,19 +145,21 @@
         tasks_there = self.platform.workers._tasks.values()
         return sum(task.worker == worker for task in tasks_there)
 
-    def job_state(self, name: str) -> jobs.JobProgress:
+    def job_state(self, name: str) -> job_progress.JobProgress:
         """Returns the state in a job's row, the initial one if it has none."""
         found = self.platform.table.read([keys.job(name)])
         assert isinstance(found, platform.Rows)
-        states = [rows.load(jobs.JobProgress, row.value) for row in found.rows]
-        return states[0] if states else jobs.JobProgress()
+        states = [
+            rows.load(job_progress.JobProgress, row.value) for row in found.rows
+        ]
+        return states[0] if states else job_progress.JobProgress()
 
-    def task_rows(self) -> dict[str, tasks.Task]:
+    def task_rows(self) -> dict[str, task_rows.Task]:
         """Returns the task rows by name."""
         found = self.platform.table.scan(keys.TASKS)
         assert isinstance(found, platform.Rows)
         return {
-            keys.name_of(keys.TASKS, r.key): rows.load(tasks.Task, r.value)
+            keys.name_of(keys.TASKS, r.key): rows.load(task_rows.Task, r.value)
             for r in found.rows
         }
 
--- a/tests/common/paths.py
+++ b/tests/common/request_path_harness.py
@@ -9,8 +9,8 @@
 
 from tests.common import clocks
 from vanillaswitch.coordination.entry import fleet_view
-from vanillaswitch.coordination.entry import lending
-from vanillaswitch.coordination.entry import request_path
+from vanillaswitch.coordination.entry import request_handler
+from vanillaswitch.coordination.entry import slot_lending
 from vanillaswitch.internal import metrics
 from vanillaswitch.protocol import claims
 from vanillaswitch.protocol import minions
@@ -57,7 +57,7 @@
     return minions.Minion(name, "berthing", name, "recife", "r", slots, 64)
 
 
-def listings(
+def make_listings(
     *names: str, state: platform.ListedState = platform.ListedState.LIVE
 ) -> tuple[platform.Listing, ...]:
     """Returns list entries of minions as the platform reports them."""
@@ -68,29 +68,31 @@
     )
 
 
-def incoming(
+def make_raw_request(
     clock: clocks.ManualClock,
     target: str = QUOTE,
     method: str = "GET",
     key: str = "",
     timeout_ms: int = 1000,
     request_id: str = "r1",
-) -> requests.Incoming:
+) -> requests.RawRequest:
     """Returns a request as received over HTTP."""
     headers = {
-        requests.HEADER_CALLER: "caller-1",
-        requests.HEADER_REQUEST: request_id,
+        requests.HEADER_CALLER_ID: "caller-1",
+        requests.HEADER_REQUEST_ID: request_id,
         requests.HEADER_TIMEOUT_MS: str(timeout_ms),
     }
     if key:
-        headers[requests.HEADER_KEY] = key
+        headers[requests.HEADER_IDEMPOTENCY_KEY] = key
         headers[requests.HEADER_ISSUED_MS] = str(int(clock.wall() * 1000))
-    return requests.Incoming(
+    return requests.RawRequest(
         method, target, tuple(headers.items()), b"", clock.monotonic()
     )
 
 
-def answer_to(request: requests.Request, status: int = 200) -> minions.Answered:
+def echo_answer(
+    request: requests.Request, status: int = 200
+) -> minions.Answered:
     """Returns an answer whose body is the request's id."""
     body = request.request_id.encode()
     return minions.Answered(requests.Answer(status, (), body))
@@ -103,21 +105,21 @@
         self.settled: list[tuple[str, str]] = []
         self.begun = 0
 
-    def begin(self, request: requests.Request) -> claims.Proceed:
+    def begin(self, request: requests.Request) -> claims.ClaimGranted:
         """Claims a request."""
         self.begun += 1
-        return claims.Proceed(request.request_id)
+        return claims.ClaimGranted(request.request_id)
 
     def release(self, ticket: str) -> None:
         """Records a release."""
         self.settled.append((ticket, "released"))
 
-    def finish(self, ticket: str, answer: requests.Answer) -> None:
+    def complete(self, ticket: str, answer: requests.Answer) -> None:
         """Records a complete answer and checks that it is the request's."""
         assert answer.body == ticket.encode()
         self.settled.append((ticket, "finished"))
 
-    def lost(self, ticket: str) -> None:
+    def mark_unknown(self, ticket: str) -> None:
         """Records an unknown outcome."""
         self.settled.append((ticket, "lost"))
 
@@ -134,7 +136,7 @@
 
     def __init__(self, responder: Responder | None = None):
         self.responder = responder or (
-            lambda _, request, __: answer_to(request)
+            lambda _, request, __: echo_answer(request)
         )
         self.minions: list[str] = []
         self.fresh: list[bool] = []
@@ -154,7 +156,7 @@
         return self.responder(minion, request, timeout_s)
 
 
-class Rig:
+class RequestPathHarness:
     """A request path and the parts that tests control."""
 
     def __init__(
@@ -163,10 +165,10 @@
         minions_up: int = 3,
         configuration: config.Config | None = None,
         entries: tuple[str, ...] = ("entry",),
-        lend: Callable[[lending.Envelope], None] = lambda _: None,
+        lend: Callable[[slot_lending.AddressedMessage], None] = lambda _: None,
     ):
         self.clock = clocks.ManualClock()
-        self.sends = FakeMinionClient(responder)
+        self.minion_client = FakeMinionClient(responder)
         self.claims = FakeClaims()
         self.metrics = metrics.Metrics()
         self.config = config_view.ConfigView()
@@ -174,19 +176,19 @@
         self.peer_loads: dict[str, int] = {}
         self.catch_up: Callable[[float], bool] = lambda _: self.refresh()
         names = (f"m{number}" for number in range(minions_up))
-        self.fleet.take_list(listings(*names), 0)
+        self.fleet.update_instances(make_listings(*names), 0)
         self.config.offer(1, "digest", configuration or make_config())
-        self.path = request_path.RequestPath(
+        self.path = request_handler.RequestHandler(
             clock=self.clock,
             rng=random.Random(1),
             data_centre="recife",
             config=self.config,
             fleet=self.fleet,
             catch_up=lambda timeout_s: self.catch_up(timeout_s),
-            peer_loads=lambda: self.peer_loads,
-            entries=lambda: entries,
-            lend=lend,
-            client=self.sends,
+            peer_in_flight=lambda: self.peer_loads,
+            live_entries=lambda: entries,
+            send_loan_message=lend,
+            client=self.minion_client,
             claims=self.claims,
             metrics=self.metrics,
         )
@@ -203,17 +205,19 @@
     def free_slot_of_peer(self, name: str) -> None:
         """Has peers free the first slot that they took at a minion."""
         self.peer_loads[name] -= 1
-        self.path.told(peers.SlotReturn("peer", (f"{name}-0/0",)))
+        self.path.handle_peer_message(
+            peers.SlotReturn("peer", (f"{name}-0/0",))
+        )
 
     def refresh(self) -> bool:
         """Refreshes the view of the fleet immediately."""
         now = self.clock.monotonic()
-        self.fleet.refreshed(self.fleet.pauses, now, whole=True)
+        self.fleet.finish_refresh(self.fleet.pause_count, now, is_complete=True)
         return True
 
     def handle(self, target: str = QUOTE, **options: Any) -> requests.Reply:
         """Handles one request; see ``incoming`` for the arguments."""
-        return self.path.handle(incoming(self.clock, target, **options))
+        return self.path.handle(make_raw_request(self.clock, target, **options))
 
     def charge(self, key: str = "", **options: Any) -> requests.Reply:
         """Handles one request that must not run twice."""
@@ -221,9 +225,9 @@
 
 
 @contextlib.contextmanager
-def running(
+def run_request_path(
     responder: Responder | None = None, minions_up: int = 3, routing: str = ""
-) -> Iterator[Rig]:
+) -> Iterator[RequestPathHarness]:
     """Yields a running request path.
 
     Uses the default routing policy unless ``routing`` names one.
@@ -232,6 +236,6 @@
     if routing:
         policies = config.Policies(routing=routing)
         configuration = dataclasses.replace(configuration, policies=policies)
-    rig = Rig(responder, minions_up, configuration)
+    rig = RequestPathHarness(responder, minions_up, configuration)
     with rig.path.running():
         yield rig
--- a/tests/common/sessions.py
+++ b/tests/common/sessions.py
@@ -166,14 +166,14 @@
         fields = [
             f"{ask.method} {ask.target} HTTP/1.1",
             "Host: entry",
-            f"{requests.HEADER_CALLER}: {self.caller}",
-            f"{requests.HEADER_REQUEST}: request-{self._sent}",
+            f"{requests.HEADER_CALLER_ID}: {self.caller}",
+            f"{requests.HEADER_REQUEST_ID}: request-{self._sent}",
             f"Content-Length: {len(ask.body)}",
         ]
         if timeout:
             fields.append(f"{requests.HEADER_TIMEOUT_MS}: {TIMEOUT_MS}")
         if ask.key:
-            fields.append(f"{requests.HEADER_KEY}: {ask.key}")
+            fields.append(f"{requests.HEADER_IDEMPOTENCY_KEY}: {ask.key}")
             issued = f"{requests.HEADER_ISSUED_MS}: {self.issued_ms}"
             fields.append(issued)
         self.record.add(f"{self.caller} sends to {entry}", [*fields, ask.body])
@@ -204,7 +204,9 @@
         written behind.
         """
         entries = self.entries.values()
-        self.wait(lambda: not any(one._path.loads for one in entries))
+        self.wait(
+            lambda: not any(one._path.in_flight_by_minion for one in entries)
+        )
         table = self.standin.table
         if table.faults.down:
             return
--- a/tests/common/maintenance.py
+++ b/tests/common/wave_harness.py
@@ -20,7 +20,7 @@
 _DUTY = f"wave/{WAVE}"
 
 
-class Maintenance:
+class WaveHarness:
     """A wave over the minions of one service."""
 
     def __init__(
@@ -49,7 +49,7 @@
         [row] = self._platform.table.read([keys.wave(WAVE)]).rows
         return row.value["state"]
 
-    def adopt(self) -> None:
+    def write_instance_rows(self) -> None:
         """Writes a row for each instance of the platform's list."""
         for one in self._platform.instances.list().instances:
             row = rows.Instance(
@@ -57,15 +57,15 @@
             )
             self._put(keys.instance(one.instance), row)
 
-    def hold(self) -> None:
+    def wait_for_duty(self) -> None:
         """Runs the controller until it holds the wave's duty."""
         while _DUTY not in self._controller.fences:
             self._tick()
 
     def start(self) -> None:
         """Starts the wave in the way of the operators' command."""
-        fleet = fleet_state.read(self._platform.interface)
-        plan = wave_plan.plan(fleet, self.config, self.config.waves[WAVE])
+        fleet = fleet_state.read_with_statuses(self._platform.interface)
+        plan = wave_plan.plan_wave(fleet, self.config, self.config.waves[WAVE])
         row = wave_state.Wave(
             wave_state.WaveState.RUNNING,
             "run-1",
@@ -86,4 +86,4 @@
 
     def _tick(self) -> None:
         self._controller.tick()
-        self._clock.advance(controller_lib.STEP_S)
+        self._clock.advance(controller_lib.STEP_PAUSE_S)
--- a/tests/common/whole_entries.py
+++ b/tests/common/whole_entries.py
@@ -110,7 +110,12 @@
         )
         config = check.check(folder.read(deployments.CONFIG))
         rollout.apply(
-            standin, clock, random.Random(1), config, "test", rollout.NONE_YET
+            standin,
+            clock,
+            random.Random(1),
+            config,
+            "test",
+            rollout.NO_CONFIG_NUMBER,
         )
         callers = stack.enter_context(callers_lib.run(seed, SERVICE))
         world = World(standin, address, minions, callers)
--- a/tests/common/wire.py
+++ b/tests/common/wire.py
@@ -34,7 +34,7 @@
     target = "/berthing/quote"
     return requests.Request(
         request_id, "harbour", "berthing", "quote", method, target, headers,
-        body, deadline=0.0, key=key,
+        body, deadline=0.0, idempotency_key=key,
     )  # fmt: skip
 
 
--- a/tests/cover/test_admission.py
+++ b/tests/cover/test_admission.py
@@ -5,7 +5,7 @@
 import pytest
 
 from vanillaswitch.coordination.entry import admission
-from vanillaswitch.coordination.entry import lanes
+from vanillaswitch.coordination.entry import class_queues
 from vanillaswitch.protocol import requests
 from vanillaswitch.state import config
 
@@ -19,13 +19,15 @@
 
 def _arrival(
     ticket: int, name: str, deadline: float = 1e6, now: float = 0.0
-) -> lanes.Arrival:
-    return lanes.Arrival(ticket, name, _CLASSES[name], now, deadline)
+) -> class_queues.QueuedRequest:
+    return class_queues.QueuedRequest(
+        ticket, name, _CLASSES[name], now, deadline
+    )
 
 
 def _started(actions: tuple[admission.Action, ...]) -> list[int]:
     starts = (item for item in actions if isinstance(item, admission.Start))
-    return [start.ticket for start in starts]
+    return [start.request_number for start in starts]
 
 
 class QueueModel:
@@ -34,7 +36,7 @@
     def __init__(self):
         self.queue = admission.ServiceQueue()
         self.now, self.total = 0.0, 4
-        self.waiting: dict[int, lanes.Arrival] = {}
+        self.waiting: dict[int, class_queues.QueuedRequest] = {}
         self.running: list[int] = []
 
     def apply(self, event: str, ticket: int, number: int) -> None:
@@ -46,35 +48,35 @@
             self.total = number % 16
         elif event == "finish" and self.running:
             finished = self.running.pop(number % len(self.running))
-            self.queue.finish(finished, self.now, measured=True)
+            self.queue.remove(finished, self.now, record_duration=True)
         elif event == "abandon" and self.waiting:
-            abandoned = self.waiting.pop(sorted(self.waiting)[0]).ticket
-            self.queue.finish(abandoned, self.now, measured=False)
+            abandoned = self.waiting.pop(sorted(self.waiting)[0]).request_number
+            self.queue.remove(abandoned, self.now, record_duration=False)
         elif event == "arrive":
             name = sorted(_CLASSES)[number % 3]
             deadline = self.now + (number + 1) / 50
             arrival = _arrival(ticket, name, deadline, self.now)
             self.waiting[ticket] = arrival
             self._check_actions(
-                self.queue.arrive(arrival, slots, self.now), slots
+                self.queue.enqueue(arrival, slots, self.now), slots
             )
         slots = self._slots()
         self._check_actions(self.queue.poll(slots, self.now), slots)
 
-    def _slots(self) -> admission.Slots:
-        return admission.Slots(
+    def _slots(self) -> admission.SlotCounts:
+        return admission.SlotCounts(
             self.total, max(0, self.total - len(self.running))
         )
 
     def _check_actions(
-        self, actions: tuple[admission.Action, ...], slots: admission.Slots
+        self, actions: tuple[admission.Action, ...], slots: admission.SlotCounts
     ) -> None:
         assert len(_started(actions)) <= slots.free
         for action in actions:
-            arrival = self.waiting.pop(action.ticket)
+            arrival = self.waiting.pop(action.request_number)
             if isinstance(action, admission.Start):
                 assert self.now < arrival.deadline
-                self.running.append(action.ticket)
+                self.running.append(action.request_number)
             else:
                 assert action.refusal.outcome is requests.Outcome.NOT_RUN
                 assert action.refusal.retry_after_s > 0
@@ -107,42 +109,42 @@
     """
     queue = admission.ServiceQueue()
     no_slot_free, all_free = (
-        admission.Slots(slots, 0),
-        admission.Slots(slots, slots),
+        admission.SlotCounts(slots, 0),
+        admission.SlotCounts(slots, slots),
     )
     finished_counts = {"quote": 0, "report": 0}
     names: dict[int, str] = {}
     for ticket, name in enumerate(sorted(finished_counts), start=-2):
-        queue.arrive(_arrival(ticket, name), all_free, 0)
-        queue.finish(ticket, work, measured=True)
+        queue.enqueue(_arrival(ticket, name), all_free, 0)
+        queue.remove(ticket, work, record_duration=True)
     for step in range(1, 101):
         now = step * work
         for name in sorted(finished_counts) * slots:
             ticket = len(names)
             names[ticket] = name
-            queue.arrive(_arrival(ticket, name, now=now), no_slot_free, now)
+            queue.enqueue(_arrival(ticket, name, now=now), no_slot_free, now)
         for ticket in _started(queue.poll(all_free, now)):
             finished_counts[names[ticket]] += 1
-            queue.finish(ticket, now + work, measured=True)
+            queue.remove(ticket, now + work, record_duration=True)
     assert sum(finished_counts.values()) == 100 * slots
     assert 0.23 <= finished_counts["report"] / (100 * slots) <= 0.27
 
 
 def test_lower_classes_leave_the_reserved_slots_to_the_most_urgent_class():
     queue = admission.ServiceQueue()
-    queue.arrive(_arrival(1, "quote"), admission.Slots(16, 16), 0)
-    two_free = admission.Slots(16, 2)
-    assert not _started(queue.arrive(_arrival(2, "report"), two_free, 0))
-    assert _started(queue.arrive(_arrival(3, "quote"), two_free, 0)) == [3]
+    queue.enqueue(_arrival(1, "quote"), admission.SlotCounts(16, 16), 0)
+    two_free = admission.SlotCounts(16, 2)
+    assert not _started(queue.enqueue(_arrival(2, "report"), two_free, 0))
+    assert _started(queue.enqueue(_arrival(3, "quote"), two_free, 0)) == [3]
 
 
 def test_a_request_that_cannot_start_in_time_is_refused_immediately():
     """The refusal says when the backlog ahead will have been processed."""
     queue = admission.ServiceQueue()
-    no_slot_free = admission.Slots(1, 0)
+    no_slot_free = admission.SlotCounts(1, 0)
     for ticket in (1, 2):
-        assert not queue.arrive(_arrival(ticket, "quote"), no_slot_free, 0)
-    (refused,) = queue.arrive(
+        assert not queue.enqueue(_arrival(ticket, "quote"), no_slot_free, 0)
+    (refused,) = queue.enqueue(
         _arrival(3, "quote", deadline=0.07), no_slot_free, 0
     )
     assert isinstance(refused, admission.Refuse)
@@ -157,10 +159,10 @@
     never fall again.
     """
     queue = admission.ServiceQueue()
-    one_slot_free = admission.Slots(1, 1)
+    one_slot_free = admission.SlotCounts(1, 1)
     for ticket in range(20):
-        queue.arrive(_arrival(ticket, "quote"), one_slot_free, 0)
-        queue.finish(ticket, 10, measured=True)
+        queue.enqueue(_arrival(ticket, "quote"), one_slot_free, 0)
+        queue.remove(ticket, 10, record_duration=True)
     arrival = _arrival(99, "quote", deadline=21, now=20)
     assert queue.forecast(arrival, one_slot_free, 20) is None
-    assert _started(queue.arrive(arrival, one_slot_free, 20)) == [99]
+    assert _started(queue.enqueue(arrival, one_slot_free, 20)) == [99]
--- a/tests/cover/test_caller_http.py
+++ b/tests/cover/test_caller_http.py
@@ -57,7 +57,7 @@
         sent = [b"%x\r\n%b\r\n" % (len(one), one) for one in pieces]
         sent.append(b"0\r\nTrailer: x\r\n\r\n")
     head = "POST /b?a=%20b HTTP/1.1\r\nHost: h\r\n" + ": ".join(framing)
-    expected = requests.Incoming(
+    expected = requests.RawRequest(
         "POST", "/b?a=%20b", (("Host", "h"), framing), body, 1000.0
     )
     recorder = wire.Recorder()
--- a/tests/cover/test_commits.py
+++ b/tests/cover/test_commits.py
@@ -7,9 +7,9 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from tests.common import claim_world
+from tests.common import claim_harness
 from tests.common import clocks
-from vanillaswitch.coordination import commits
+from vanillaswitch.coordination import commit_retries
 from vanillaswitch.coordination.once import group_commit
 from vanillaswitch.protocol import platform
 
@@ -22,7 +22,7 @@
 )
 
 
-class _ScriptedTable(claim_world.ForgetfulTable):
+class _ScriptedTable(claim_harness.NonDeduplicatingTable):
     """Runs one step of a script before each commit; counts effects."""
 
     def __init__(self, steps=(), others=None):
@@ -87,7 +87,9 @@
     transaction = platform.Transaction("ours", tuple(puts))
     clock = clocks.ManualClock()
     deadline = clock.monotonic() + 2.0
-    outcome = commits.settle(table, transaction, clock, deadline, exclusive)
+    outcome = commit_retries.commit_with_retries(
+        table, transaction, clock, deadline, exclusive
+    )
     effects_at_return = table.effects
     table.faults.release_delayed()
     assert table.effects <= 1
@@ -102,7 +104,7 @@
     table = _ScriptedTable(["drop"] * 99)
     put = platform.Put("x", platform.ABSENT, {})
     started = clock.monotonic()
-    outcome = commits.settle(
+    outcome = commit_retries.commit_with_retries(
         table, platform.Transaction("ours", (put,)), clock, started + 2.0
     )
     assert isinstance(outcome, platform.OutcomeUnknown)
@@ -132,7 +134,7 @@
     submissions = [committer.submit(put, deadline) for put in puts]
     outcomes = [committer.wait(submission) for submission in submissions]
     task.kill()
-    assert committer.transactions <= 2
+    assert committer.transaction_count <= 2
     for put, outcome in zip(puts, outcomes, strict=True):
         row = table._row_or_absent(put.key)
         if put in others:
@@ -174,12 +176,12 @@
 
 def test_a_charge_costs_two_rows_and_few_transactions():
     """Counts the writes for 40 concurrent charges at one entry."""
-    world = claim_world.World(("a",))
+    world = claim_harness.ClaimHarness(("a",))
     orders = [world.request(f"k{number}") for number in range(40)]
-    tasks = [gevent.spawn(world.attempt, "a", order) for order in orders]
+    tasks = [gevent.spawn(world.claim_request, "a", order) for order in orders]
     for attempt in [task.get() for task in tasks]:
-        world.finish(attempt)
+        world.run_and_complete(attempt)
     world.entries["a"].write_all()
     world.close()
     assert world.table.rows_written == 80
-    assert world.entries["a"].parts.committer.transactions == 2
+    assert world.entries["a"].components.committer.transaction_count == 2
--- a/tests/cover/test_config_command.py
+++ b/tests/cover/test_config_command.py
@@ -7,7 +7,7 @@
 import click.testing
 import pytest
 
-from tests.common import config_stores as stores
+from tests.common import config_platform
 from tests.common import configs
 from vanillaswitch.cli import config as cli
 from vanillaswitch.cli import fleet
@@ -20,7 +20,7 @@
 @pytest.fixture
 def run():
     """Runs a subcommand; ``run.store`` is the platform behind it."""
-    store = stores.Store()
+    store = config_platform.ConfigPlatform()
 
     def invoke(*arguments):
         found = click.testing.CliRunner().invoke(
--- a/tests/cover/test_duties.py
+++ b/tests/cover/test_duties.py
@@ -5,10 +5,10 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 
-from tests.common import benches
-from tests.common import controllers
+from tests.common import controller_group
+from tests.common import fleet_harness
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.control import duties
+from vanillaswitch.coordination.control import duty_assignment
 from vanillaswitch.coordination.control import duty_names
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
@@ -19,10 +19,10 @@
 
 
 @st.composite
-def duty_tables(draw: st.DrawFn) -> dict[str, duties.DutyRecord]:
+def duty_tables(draw: st.DrawFn) -> dict[str, duty_assignment.DutyRecord]:
     holders = draw(st.lists(st.sampled_from(["", *"abcdefgh"]), max_size=40))
     return {
-        f"wave/{n}": duties.DutyRecord(
+        f"wave/{n}": duty_assignment.DutyRecord(
             f"wave/{n}", n + 1, rows.Duty(holder, "b", n)
         )
         for n, holder in enumerate(holders)
@@ -35,9 +35,9 @@
 
 @given(duty_tables(), MEMBERS)
 def test_shares_differ_by_at_most_one(
-    table: dict[str, duties.DutyRecord], members: set[str]
+    table: dict[str, duty_assignment.DutyRecord], members: set[str]
 ) -> None:
-    assigned = list(duties.assign(table, boot_ids(members)).values())
+    assigned = list(duty_assignment.assign(table, boot_ids(members)).values())
     counts = [assigned.count(member) for member in members]
     assert sum(counts) == len(table)
     assert max(counts) - min(counts) <= 1
@@ -45,9 +45,9 @@
 
 @given(duty_tables(), MEMBERS)
 def test_a_duty_leaves_a_live_holder_only_when_its_share_is_full(
-    table: dict[str, duties.DutyRecord], members: set[str]
+    table: dict[str, duty_assignment.DutyRecord], members: set[str]
 ) -> None:
-    assigned = duties.assign(table, boot_ids(members))
+    assigned = duty_assignment.assign(table, boot_ids(members))
     for member in members:
         held = {n for n, h in table.items() if h.duty.holder == member}
         if held - {n for n, holder in assigned.items() if holder == member}:
@@ -57,11 +57,13 @@
 
 @given(duty_tables(), MEMBERS)
 def test_each_change_is_written_by_exactly_one_controller(
-    table: dict[str, duties.DutyRecord], members: set[str]
+    table: dict[str, duty_assignment.DutyRecord], members: set[str]
 ) -> None:
     live_boot_ids = boot_ids(members)
     puts = [
-        p for m in members for p in duties.pending_puts(table, live_boot_ids, m)
+        p
+        for m in members
+        for p in duty_assignment.pending_puts(table, live_boot_ids, m)
     ]
     assert len({put.key for put in puts}) == len(puts)
     for put in puts:
@@ -76,8 +78,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.group = controllers.ControllerGroup("abc", duties=4)
-        self.fences: list[tuple[str, duties.Fence]] = []
+        self.group = controller_group.ControllerGroup("abc", duties=4)
+        self.fences: list[tuple[str, duty_assignment.Fence]] = []
         self.writes = 0
         self.epochs: dict[str, int] = {}
 
@@ -95,7 +97,7 @@
     @stateful.rule(thirds=st.integers(1, 5))
     def time_passes(self, thirds: int) -> None:
         """All controllers are paused."""
-        self.group.clock.advance(controllers.TERM * thirds / 3)
+        self.group.clock.advance(controller_group.TERM * thirds / 3)
 
     @stateful.rule(name=st.sampled_from("abc"))
     def replace(self, name: str) -> None:
@@ -170,26 +172,26 @@
 
 
 def test_a_configuration_implies_one_name_for_each_duty() -> None:
-    names = duty_names.of_config(controllers.config_with_duties(5))
+    names = duty_names.of_config(controller_group.config_with_duties(5))
     assert names == ("claim-expiry", "repair", "wave/w0", "wave/w1", "wave/w2")
 
 
 def test_a_pool_duty_pauses_longer_only_while_it_is_idle():
     pools = {"a": config_lib.Pool("a", 1)}
-    bench = benches.Bench(
-        benches.worker_listings(2),
-        benches.config_of(("a",), minions=0, pools=pools),
+    bench = fleet_harness.FleetHarness(
+        fleet_harness.worker_listings(2),
+        fleet_harness.build_config(("a",), minions=0, pools=pools),
         lambda one: ("a", "a") if one.instance[-1] == "0" else ("spare", ""),
     )
 
     def pause_after_step():
         bench.step("pool-group/a")
-        return controller.pause_after(bench.memory["pool-group/a"])
+        return controller.next_step_pause_s(bench.memory["pool-group/a"])
 
-    assert pause_after_step() == controller.IDLE_S
+    assert pause_after_step() == controller.IDLE_PAUSE_S
     pools["a"] = config_lib.Pool("a", 2)
     while bench.fleet().members["worker-001"].row.pool != "a":
-        assert pause_after_step() == controller.STEP_S
+        assert pause_after_step() == controller.STEP_PAUSE_S
     pauses = [pause_after_step() for _ in range(20)]
-    assert pauses[-1] == controller.IDLE_S
-    assert not bench.not_serving()
+    assert pauses[-1] == controller.IDLE_PAUSE_S
+    assert not bench.instances_not_serving()
--- a/tests/cover/test_claim_company.py
+++ b/tests/cover/test_entry_contact.py
@@ -5,9 +5,9 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from vanillaswitch.coordination.once import claim_company
+from vanillaswitch.coordination.once import claim_history
 from vanillaswitch.coordination.once import claim_rules
-from vanillaswitch.coordination.once import claim_witness
+from vanillaswitch.coordination.once import entry_contact
 from vanillaswitch.coordination.peering import peer_membership
 from vanillaswitch.protocol import claims
 from vanillaswitch.protocol import peers
@@ -28,7 +28,7 @@
 
 @hypothesis.given(st.lists(_REPLIES, max_size=4))
 def test_not_run_needs_a_denial_from_each_entry(replies):
-    reply = claim_witness.combine_replies(replies, ("a", "b"), NEEDED_S)
+    reply = claim_history.combine_replies(replies, ("a", "b"), NEEDED_S)
     states = [one.state for one in replies if one]
     if reply == claim_rules.CLAIMS_UNAVAILABLE:
         assert len(states) == len(replies)
@@ -48,12 +48,12 @@
     unqueried_entry = dataclasses.replace(denial, entries=("a", "c"))
     too_short = dataclasses.replace(denial, unbroken_s=9.9)
     unknown = peers.ClaimReply("q", peers.ClaimState.UNKNOWN, None, 10.0)
-    result = claim_witness.combine_replies(
+    result = claim_history.combine_replies(
         [denial, denial], ("a", "b"), NEEDED_S
     )
     assert result == claim_rules.CLAIMS_UNAVAILABLE
     for flawed in (unqueried_entry, too_short, unknown, None):
-        reply = claim_witness.combine_replies(
+        reply = claim_history.combine_replies(
             [denial, flawed], ("a", "b"), NEEDED_S
         )
         assert reply == claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
@@ -64,18 +64,18 @@
         name, "boot", peers.Role.ENTRY, address, "", 1, 1, 1, False, {}
     )
     last = dataclasses.replace(last, **changes)
-    standing = peer_membership.Standing(standing)
+    standing = peer_membership.Liveness(standing)
     return peer_membership.Member(last, standing, 0.0, 0.0)
 
 
 def unbroken_since(*observations, wait_s=1.0):
     """Returns the start of the unbroken contact after some observations."""
-    contact = claim_company.EntryContact(0.0)
+    contact = entry_contact.EntryContact(0.0)
     now = 0.0
     for members in observations:
         now += wait_s
-        members = {one.last.process: one for one in members}
-        contact = claim_company.observe(contact, members, now)
+        members = {one.last_heartbeat.process: one for one in members}
+        contact = entry_contact.observe(contact, members, now)
     return contact.unbroken_since
 
 
@@ -95,7 +95,7 @@
         assert unbroken_since([member()], [member(standing=standing)]) == 2
     other = member("b", "2", "gone", role=peers.Role.CONTROLLER)
     assert unbroken_since([member()], [member(), other]) == 0
-    retired = (peer_membership.Retired("old", 1, 0.0),)
+    retired = (peer_membership.PreviousBoot("old", 1, 0.0),)
     replaced = dataclasses.replace(member(), retired=retired)
     assert unbroken_since([member()], [replaced]) == 2
 
@@ -113,7 +113,7 @@
 
 
 def test_a_pause_of_this_process_interrupts_the_contact():
-    paused_s = claim_company.MAX_OBSERVATION_GAP_S + 1
+    paused_s = entry_contact.MAX_OBSERVATION_GAP_S + 1
     assert (
         unbroken_since([member()], [member()], wait_s=paused_s) == 2 * paused_s
     )
--- a/tests/cover/test_fleet.py
+++ b/tests/cover/test_fleet.py
@@ -43,19 +43,19 @@
 def test_a_drain_ends_when_nothing_is_in_flight(standin):
     standin.instances.set_in_flight(MINION, 1)
     standin.instances.drain(MINION, "d")
-    assert standin.instances.phase(MINION) is platform.Phase.DRAINING
+    assert standin.instances.phase(MINION) is platform.MaintenancePhase.DRAINING
     standin.instances.set_in_flight(MINION, 0)
-    assert standin.instances.phase(MINION) is platform.Phase.DRAINED
+    assert standin.instances.phase(MINION) is platform.MaintenancePhase.DRAINED
     assert standin.instances.reboots_in_use == 0
 
 
 def test_a_running_task_keeps_its_worker_draining(standin):
     start(standin, "op")
     standin.instances.drain(WORKER, "d")
-    assert standin.instances.phase(WORKER) is platform.Phase.DRAINING
+    assert standin.instances.phase(WORKER) is platform.MaintenancePhase.DRAINING
     assert isinstance(start(standin, "late"), platform.Unavailable)
     standin.workers.stop(WORKER, "op")
-    assert standin.instances.phase(WORKER) is platform.Phase.DRAINED
+    assert standin.instances.phase(WORKER) is platform.MaintenancePhase.DRAINED
 
 
 def test_the_list_lags_behind_what_is_true(standin, clock):
@@ -73,7 +73,10 @@
     assert standin.instances.status([MINION]) == ()
     standin.instances.thaw(MINION)
     (status,) = standin.instances.status([MINION])
-    assert (status.phase, status.operation) == (platform.Phase.DRAINED, "d")
+    assert (status.phase, status.operation) == (
+        platform.MaintenancePhase.DRAINED,
+        "d",
+    )
 
 
 def test_an_instance_may_fail_to_return_from_a_reboot(standin, clock):
@@ -81,7 +84,7 @@
     standin.instances.reboot(MINION, "r")
     clock.advance(platforms.FLEET.reboot_s)
     (status,) = standin.instances.status([MINION])
-    assert (status.phase, status.boots) == (platform.Phase.DOWN, 1)
+    assert (status.phase, status.boots) == (platform.MaintenancePhase.DOWN, 1)
 
 
 def test_an_instance_that_vanished_is_missing(standin):
@@ -95,7 +98,7 @@
     standin.instances.reboot(WORKER, "r")
     assert standin.instances.reboots_in_use == 1
     clock.advance(platforms.FLEET.reboot_s)
-    assert states(standin) == [platform.TaskState.FAILED]
+    assert states(standin) == [platform.ReportedTaskState.FAILED]
 
 
 def test_real_usage_differs_from_declared_and_comes_late(standin, clock):
@@ -116,9 +119,9 @@
     start(standin, "c")
     clock.advance(5.0 + platforms.FLEET.lag_s)
     assert states(standin) == [
-        platform.TaskState.FINISHED,
-        platform.TaskState.FAILED,
-        platform.TaskState.FAILED,
+        platform.ReportedTaskState.FINISHED,
+        platform.ReportedTaskState.FAILED,
+        platform.ReportedTaskState.FAILED,
     ]
 
 
@@ -143,7 +146,7 @@
     )
     standin.instances.add_load(controls.in_flight)
     standin.instances.drain(MINION, "d")
-    assert standin.instances.phase(MINION) is platform.Phase.DRAINED
+    assert standin.instances.phase(MINION) is platform.MaintenancePhase.DRAINED
 
 
 def test_a_fleet_is_read_from_a_file(tmp_path):
--- a/tests/cover/test_fleet_view.py
+++ b/tests/cover/test_fleet_view.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 
 from tests.common import clocks
-from tests.common import paths
-from vanillaswitch.coordination.entry import fleet_task
+from tests.common import request_path_harness
+from vanillaswitch.coordination.entry import fleet_refresher
 from vanillaswitch.coordination.entry import fleet_view
 from vanillaswitch.internal import clock as clock_lib
 from vanillaswitch.protocol import peers
@@ -14,7 +14,7 @@
 from vanillaswitch.state import keys
 from vanillaswitch.state import rows
 
-_CONFIG = paths.make_config()
+_CONFIG = request_path_harness.make_config()
 _NOTICES = st.lists(
     st.builds(
         peers.DrainNotice,
@@ -27,13 +27,15 @@
 
 
 def _names(view: fleet_view.FleetView, now: float = 0.0) -> list[str]:
-    minions = view.minions("berthing", _CONFIG, now)
+    minions = view.available_minions("berthing", _CONFIG, now)
     return [minion.instance for minion in minions]
 
 
 def _view() -> fleet_view.FleetView:
     view = fleet_view.FleetView()
-    view.take_list(paths.listings("m0", "m1", "m2"), 0)
+    view.update_instances(
+        request_path_harness.make_listings("m0", "m1", "m2"), 0
+    )
     return view
 
 
@@ -41,26 +43,32 @@
 def test_drains_in_any_order_and_duplicated_give_the_same_view(notices, rng):
     in_order, shuffled = _view(), _view()
     for notice in sorted(notices, key=lambda notice: notice.version):
-        in_order.take_drain(notice)
+        in_order.update_drain(notice)
     twice = notices * 2
     rng.shuffle(twice)
     for notice in twice:
-        shuffled.take_drain(notice)
+        shuffled.update_drain(notice)
     assert _names(shuffled) == _names(in_order)
     assert set(shuffled.drains) == set(in_order.drains)
-    assert shuffled.version == max((n.version for n in notices), default=0)
+    assert shuffled.drain_version == max(
+        (n.version for n in notices), default=0
+    )
 
 
 def test_only_live_minions_of_the_service_get_work():
     view = fleet_view.FleetView()
-    assert not view.loaded
-    leaving = paths.listings("m1", state=platform.ListedState.LEAVING)
-    view.take_list((*paths.listings("m0"), *leaving), 0)
+    assert not view.is_loaded
+    leaving = request_path_harness.make_listings(
+        "m1", state=platform.ListedState.LEAVING
+    )
+    view.update_instances(
+        (*request_path_harness.make_listings("m0"), *leaving), 0
+    )
     assert _names(view) == ["m0"]
-    assert view.minions("pilotage", _CONFIG, 0) == ()
-    assert view.minions("berthing", _CONFIG, 0)[0].slots == 8
-    changed = paths.make_config(slots_per_minion=3)
-    assert view.minions("berthing", changed, 0)[0].slots == 3
+    assert view.available_minions("pilotage", _CONFIG, 0) == ()
+    assert view.available_minions("berthing", _CONFIG, 0)[0].slots == 8
+    changed = request_path_harness.make_config(slots_per_minion=3)
+    assert view.available_minions("berthing", changed, 0)[0].slots == 3
 
 
 def test_a_minion_that_declined_work_is_excluded_unless_all_did():
@@ -75,8 +83,8 @@
 
 def test_an_instance_list_that_was_requested_earlier_is_ignored():
     view = _view()
-    view.take_list(paths.listings("m0"), 2)
-    view.take_list(paths.listings("m0", "m1"), 1)
+    view.update_instances(request_path_harness.make_listings("m0"), 2)
+    view.update_instances(request_path_harness.make_listings("m0", "m1"), 1)
     assert _names(view) == ["m0"]
 
 
@@ -89,7 +97,9 @@
 
     def list(self):
         """Reads the list."""
-        return self.down or platform.Listings(paths.listings("m0", "m1"))
+        return self.down or platform.Listings(
+            request_path_harness.make_listings("m0", "m1")
+        )
 
     def scan(self, prefix):
         """Reads the budgets."""
@@ -105,7 +115,7 @@
 
 def _task(clock: clock_lib.Clock, fake: FakePlatform):
     view = fleet_view.FleetView()
-    task = fleet_task.FleetTask(view, fake, fake, clock, lambda: 1.0)
+    task = fleet_refresher.FleetRefresher(view, fake, fake, clock, lambda: 1.0)
     return view, task
 
 
@@ -129,13 +139,13 @@
     clock, fake = clocks.ManualClock(), FakePlatform()
     view, task = _task(clock, fake)
     assert task.poll()
-    assert view.tick(clock.monotonic())
+    assert view.check_for_pause(clock.monotonic())
     fake.down = platform.Unavailable("down")
-    clock.advance(fleet_view.PAUSE_S + 1)
-    assert not view.tick(clock.monotonic())
-    assert view.take_drain(peers.DrainNotice("berthing", 9, ("m0",)))
+    clock.advance(fleet_view.PAUSE_THRESHOLD_S + 1)
+    assert not view.check_for_pause(clock.monotonic())
+    assert view.update_drain(peers.DrainNotice("berthing", 9, ("m0",)))
     assert task.catch_up(1.0)
-    assert view.tick(clock.monotonic())
+    assert view.check_for_pause(clock.monotonic())
     assert _names(view) == ["m1"]
 
 
@@ -149,10 +159,10 @@
 
 def test_a_refresh_that_was_under_way_during_a_pause_does_not_count():
     view = _view()
-    view.tick(0)
-    before = view.pauses
-    view.tick(60)
-    view.refreshed(before, 0, whole=True)
-    assert not view.current
-    view.refreshed(view.pauses, 60, whole=True)
-    assert view.current
+    view.check_for_pause(0)
+    before = view.pause_count
+    view.check_for_pause(60)
+    view.finish_refresh(before, 0, is_complete=True)
+    assert not view.is_current
+    view.finish_refresh(view.pause_count, 60, is_complete=True)
+    assert view.is_current
--- a/tests/cover/test_heartbeat_schedule.py
+++ b/tests/cover/test_heartbeat_schedule.py
@@ -7,7 +7,9 @@
 from vanillaswitch.coordination.peering import heartbeat_schedule
 
 SIZES = st.integers(0, 70)
-GROUPS = st.sampled_from([heartbeat_schedule.near, heartbeat_schedule.far])
+GROUPS = st.sampled_from(
+    [heartbeat_schedule.same_role_group, heartbeat_schedule.other_roles_group]
+)
 
 
 def group_of_size(make_group, size):
@@ -18,7 +20,9 @@
 @given(GROUPS, SIZES, st.integers(0, 1000))
 def test_heartbeats_per_tick_are_bounded(make_group, size, tick):
     group = group_of_size(make_group, size)
-    assert len(heartbeat_schedule.due(group, tick)) <= group.max_per_tick
+    assert (
+        len(heartbeat_schedule.due_targets(group, tick)) <= group.max_per_tick
+    )
 
 
 @properties.steady
@@ -31,7 +35,7 @@
     sent = [
         target
         for tick in ticks
-        for target in heartbeat_schedule.due(group, tick)
+        for target in heartbeat_schedule.due_targets(group, tick)
     ]
     assert sorted(one.address for one in sent) == sorted(group.addresses)
     needed_s = group.period_ticks * heartbeat_schedule.TICK_S
--- a/tests/cover/test_instance_steps.py
+++ b/tests/cover/test_instance_steps.py
@@ -2,25 +2,36 @@
 
 import pytest
 
-from tests.common import benches
+from tests.common import fleet_harness
 from vanillaswitch.coordination.maintenance import instance_steps
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import rows
 
-Phase = platform.Phase
+Phase = platform.MaintenancePhase
 
 
 def result_of_step(
     row_phase, phase, operation="op", in_flight=0, boots=1, undo=False
 ):
     row = rows.Instance(
-        "p", benches.MINION, "s", "dc", "r", row_phase, "", "op", "w", boots=1
+        "p",
+        fleet_harness.MINION,
+        "s",
+        "dc",
+        "r",
+        row_phase,
+        "",
+        "op",
+        "w",
+        boots=1,
     )
     status = platform.InstanceStatus("i", phase, operation, in_flight, boots)
-    step = instance_steps.step("i", row, status, undo, "s", lambda: "new")
+    step = instance_steps.next_step("i", row, status, undo, "s", lambda: "new")
     if isinstance(step, instance_steps.Advance):
         return step.row.phase
-    return step.action if isinstance(step, instance_steps.Call) else None
+    return (
+        step.action if isinstance(step, instance_steps.PlatformCall) else None
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/cover/test_jobs.py
+++ b/tests/cover/test_jobs.py
@@ -2,9 +2,9 @@
 
 import dataclasses
 
-from tests.common import placing
+from tests.common import placement_harness
 from vanillaswitch.coordination.control import controller
-from vanillaswitch.coordination.workloads import jobs
+from vanillaswitch.coordination.workloads import job_progress
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config
 from vanillaswitch.state import keys
@@ -14,7 +14,9 @@
 
 
 def test_tasks_run_in_parallel_until_they_finish() -> None:
-    harness = placing.PlacementHarness(2, {"a": placing.job(tasks=5)})
+    harness = placement_harness.PlacementHarness(
+        2, {"a": placement_harness.job(tasks=5)}
+    )
     harness.platform.workers.run_time_s["a"] = 20.0
     harness.step()
     assert len(harness.running()) == 5
@@ -26,24 +28,24 @@
 
 def test_an_urgent_task_starts_in_time_on_full_workers() -> None:
     """Counts steps: the job waits for at most one pause, then for the steps."""
-    whole_worker = placing.job(
+    whole_worker = placement_harness.job(
         tasks=2, cores=16, memory_mb=60000, checkpoints=True
     )
-    harness = placing.PlacementHarness(2, {"long": whole_worker})
+    harness = placement_harness.PlacementHarness(2, {"long": whole_worker})
     harness.step(8)
-    urgent = placing.job(cores=8, memory_mb=30000, urgent=True)
+    urgent = placement_harness.job(cores=8, memory_mb=30000, urgent=True)
     harness.set_jobs(quote=urgent)
     steps = 0
     while "quote/0" not in harness.running():
         harness.step()
         steps += 1
-    assert (steps + 1) * controller.STEP_S <= URGENT_S
+    assert (steps + 1) * controller.STEP_PAUSE_S <= URGENT_S
     assert len(harness.running()) == 2
 
 
 def test_a_waiting_urgent_job_makes_every_step_plan() -> None:
-    urgent = placing.job(cores=16, memory_mb=60000, urgent=True)
-    harness = placing.PlacementHarness(1, {"a": urgent, "b": urgent})
+    urgent = placement_harness.job(cores=16, memory_mb=60000, urgent=True)
+    harness = placement_harness.PlacementHarness(1, {"a": urgent, "b": urgent})
     harness.step(8)
     assert len(harness.running()) == 1
     soft_state = harness.memory["placement"]
@@ -51,10 +53,12 @@
 
 
 def test_an_evicted_task_resumes_from_its_checkpoint() -> None:
-    whole_worker = placing.job(cores=16, memory_mb=60000, checkpoints=True)
-    harness = placing.PlacementHarness(1, {"long": whole_worker})
+    whole_worker = placement_harness.job(
+        cores=16, memory_mb=60000, checkpoints=True
+    )
+    harness = placement_harness.PlacementHarness(1, {"long": whole_worker})
     harness.step(8)
-    urgent = placing.job(memory_mb=30000, urgent=True)
+    urgent = placement_harness.job(memory_mb=30000, urgent=True)
     harness.set_jobs(quote=urgent)
     harness.platform.workers.run_time_s["quote"] = 5.0
     harness.step(60)
@@ -64,25 +68,29 @@
 
 
 def test_a_job_that_fits_no_worker_is_set_aside_with_a_reason() -> None:
-    harness = placing.PlacementHarness(2, {"huge": placing.job(cores=64)})
+    harness = placement_harness.PlacementHarness(
+        2, {"huge": placement_harness.job(cores=64)}
+    )
     harness.step(2)
     assert "fits no worker" in harness.job_state("huge").aside
     assert harness.platform.table.read([keys.decisions("job/huge")]).rows  # type: ignore[union-attr]
-    harness.set_jobs(huge=placing.job(cores=8))
+    harness.set_jobs(huge=placement_harness.job(cores=8))
     harness.step(2)
     assert harness.running() == {"huge/0": harness.running()["huge/0"]}
     assert harness.job_state("huge").aside == ""
 
 
 def test_a_job_declared_at_up_to_twice_a_worker_is_started() -> None:
-    harness = placing.PlacementHarness(1, {"big": placing.job(cores=30)})
+    harness = placement_harness.PlacementHarness(
+        1, {"big": placement_harness.job(cores=30)}
+    )
     harness.step()
     assert harness.running() == {"big/0": "w0"}
 
 
 def test_quota_limits_a_team_across_all_its_jobs() -> None:
-    two_jobs = {name: placing.job(tasks=4) for name in "ab"}
-    harness = placing.PlacementHarness(4, two_jobs)
+    two_jobs = {name: placement_harness.job(tasks=4) for name in "ab"}
+    harness = placement_harness.PlacementHarness(4, two_jobs)
     teams = {"billing": config.Team(cores=20, memory_mb=10**6)}
     harness.config = dataclasses.replace(harness.config, teams=teams)
     harness.step(3)
@@ -90,12 +98,14 @@
 
 
 def test_tasks_leave_a_draining_worker() -> None:
-    harness = placing.PlacementHarness(2, {"a": placing.job(tasks=6)})
+    harness = placement_harness.PlacementHarness(
+        2, {"a": placement_harness.job(tasks=6)}
+    )
     harness.step(6)
     found = harness.platform.table.read([keys.instance("w0")])
     assert isinstance(found, platform.Rows)
     row = rows.load(rows.Instance, found.rows[0].value)
-    phase = platform.Phase.DRAINING
+    phase = platform.MaintenancePhase.DRAINING
     harness.put(keys.instance("w0"), dataclasses.replace(row, phase=phase))
     harness.put(keys.budget("backoffice"), rows.Budget({"w0": "op"}))
     harness.platform.instances.drain("w0", "op")
@@ -105,7 +115,9 @@
 
 
 def test_leases_are_renewed_without_table_writes() -> None:
-    harness = placing.PlacementHarness(2, {"a": placing.job(tasks=4)})
+    harness = placement_harness.PlacementHarness(
+        2, {"a": placement_harness.job(tasks=4)}
+    )
     harness.step(10)
     commits_before = harness.platform.table.commits
     harness.step(200)
@@ -114,8 +126,8 @@
 
 
 def test_tasks_that_outgrow_memory_are_spread_over_workers() -> None:
-    harness = placing.PlacementHarness(
-        2, {"a": placing.job(tasks=4, cores=4, memory_mb=16000)}
+    harness = placement_harness.PlacementHarness(
+        2, {"a": placement_harness.job(tasks=4, cores=4, memory_mb=16000)}
     )
     harness.platform.workers.usage_factor["a"] = 2.0
     harness.step(60)
@@ -125,17 +137,19 @@
 
 
 def test_jobs_set_aside_do_not_make_a_worker_faulty() -> None:
-    failed = jobs.JobProgress(failed_on={"w0": 1})
+    failed = job_progress.JobProgress(failed_on={"w0": 1})
     set_aside = dataclasses.replace(failed, aside="fails everywhere")
     two = {"a": failed, "b": failed, "c": set_aside}
-    assert jobs.faulty_workers(two, (), {"a"}) == {}
+    assert job_progress.faulty_workers(two, (), {"a"}) == {}
     three = {**two, "d": failed}
-    assert jobs.faulty_workers(three, (), {"a"}) == {"w0": ("a", "b", "d")}
-    assert jobs.faulty_workers(three, {"w0"}, {"a"}) == {}
-    assert jobs.faulty_workers(three, (), {"another"}) == {}
+    assert job_progress.faulty_workers(three, (), {"a"}) == {
+        "w0": ("a", "b", "d")
+    }
+    assert job_progress.faulty_workers(three, {"w0"}, {"a"}) == {}
+    assert job_progress.faulty_workers(three, (), {"another"}) == {}
 
 
 def test_cordons_never_exceed_the_allowance() -> None:
     faulty = {f"w{n}": ("a", "b", "c") for n in range(4)}
-    assert jobs.choose_cordons(faulty, 2) == ("w0", "w1")
-    assert jobs.choose_cordons(faulty, -1) == ()
+    assert job_progress.choose_cordons(faulty, 2) == ("w0", "w1")
+    assert job_progress.choose_cordons(faulty, -1) == ()
--- a/tests/cover/test_minion_http.py
+++ b/tests/cover/test_minion_http.py
@@ -94,8 +94,8 @@
     client = minion_http.HttpMinionClient(clocks.ManualClock(), small)
     with raw_http.scripted(reply) as (script, address):
         outcome = wire.send(client, address)
-        assert isinstance(outcome, minions.Lost)
-        assert not outcome.silent
+        assert isinstance(outcome, minions.ResponseLost)
+        assert not outcome.timed_out
         assert len(script.requests) == 1
 
 
--- a/tests/cover/test_moves.py
+++ b/tests/cover/test_moves.py
@@ -5,10 +5,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from vanillaswitch.coordination.maintenance import buffer
-from vanillaswitch.coordination.maintenance import moves
+from vanillaswitch.coordination.maintenance import move_planner
+from vanillaswitch.coordination.maintenance import spare_capacity
 
-SPARE = buffer.SPARE_POOL
+SPARE = spare_capacity.SPARE_POOL
 POOLS = ("a", "b", "c")
 
 by_pool = st.fixed_dictionaries(
@@ -20,7 +20,7 @@
     numbers = itertools.count()
     return {
         pool: [
-            moves.Worker(f"w{number:02}", f"r{number % 3}")
+            move_planner.PoolWorker(f"w{number:02}", f"r{number % 3}")
             for number in itertools.islice(numbers, count)
         ]
         for pool, count in counts.items()
@@ -42,27 +42,29 @@
 @given(by_pool, by_pool)
 def test_a_plan_fills_all_it_can_with_the_fewest_moves(counts, needs):
     held = held_of(counts)
-    planned = moves.fewest(held, needs)
+    planned = move_planner.plan_fewest_moves(held, needs)
     filling = [move for move in planned if move.target != SPARE]
     need = sum(needs[pool] for pool in POOLS)
     shortage = max(0, need - sum(counts.values()))
     assert count_missing(counts_after(held, planned), needs) == shortage
     assert len(filling) == count_missing(counts, needs) - shortage
-    assert len(filling) == moves.lower_bound(held, needs)
+    assert len(filling) == move_planner.min_moves(held, needs)
     assert len({move.worker for move in planned}) == len(planned)
 
 
 @given(by_pool, by_pool)
 def test_a_second_plan_has_no_moves(counts, needs):
     held = held_of(counts)
-    settled = held_of(counts_after(held, moves.fewest(held, needs)))
-    assert moves.fewest(settled, needs) == ()
+    settled = held_of(
+        counts_after(held, move_planner.plan_fewest_moves(held, needs))
+    )
+    assert move_planner.plan_fewest_moves(settled, needs) == ()
 
 
 @given(by_pool, by_pool)
 def test_first_fit_never_needs_fewer_moves(counts, needs):
     held = held_of(counts)
-    planned = moves.first_fit(held, needs)
+    planned = move_planner.plan_first_fit(held, needs)
     filled = count_missing(counts, needs) - count_missing(
         counts_after(held, planned), needs
     )
@@ -70,12 +72,12 @@
 
 
 def test_a_worker_with_an_operation_in_progress_is_not_moved():
-    held = {SPARE: [moves.Worker("w", "r", movable=False)]}
-    assert moves.fewest(held, {"a": 1}) == ()
+    held = {SPARE: [move_planner.PoolWorker("w", "r", is_movable=False)]}
+    assert move_planner.plan_fewest_moves(held, {"a": 1}) == ()
 
 
 def test_a_pool_is_filled_from_its_least_used_racks():
-    spare = [moves.Worker(f"w{n}", f"r{n // 2}") for n in range(4)]
-    held = {"a": [moves.Worker("own", "r0")], SPARE: spare}
-    planned = moves.fewest(held, {"a": 3})
+    spare = [move_planner.PoolWorker(f"w{n}", f"r{n // 2}") for n in range(4)]
+    held = {"a": [move_planner.PoolWorker("own", "r0")], SPARE: spare}
+    planned = move_planner.plan_fewest_moves(held, {"a": 3})
     assert [move.worker for move in planned] == ["w2", "w0"]
--- a/tests/cover/test_peer_membership.py
+++ b/tests/cover/test_peer_membership.py
@@ -22,7 +22,7 @@
 
 def with_heartbeats(state, *heartbeats, now=START):
     for one in heartbeats:
-        state = peer_membership.on_heartbeat(state, one, now)
+        state = peer_membership.with_heartbeat(state, one, now)
     return state
 
 
@@ -33,7 +33,7 @@
         make_state(), *(heartbeat(sequence=n) for n in sequences)
     )
     (member,) = state.members.values()
-    assert member.last.sequence == max(sequences)
+    assert member.last_heartbeat.sequence == max(sequences)
     again = with_heartbeats(
         state, *(heartbeat(sequence=n) for n in sequences), now=9e9
     )
@@ -57,15 +57,21 @@
     for process, boot, sequence, leaving, step in history:
         now += step
         beat = heartbeat(process, sequence, boot, leaving=leaving)
-        state = peer_membership.tick(with_heartbeats(state, beat, now=now), now)
+        state = peer_membership.with_liveness_checked(
+            with_heartbeats(state, beat, now=now), now
+        )
         for member in state.members.values():
             assert member.received_at <= member.silent_since <= now
-            assert len(member.retired) <= peer_membership.MAX_PREVIOUS_BOOTS
-            assert member.last.boot not in [r.boot for r in member.retired]
+            assert (
+                len(member.previous_boots) <= peer_membership.MAX_PREVIOUS_BOOTS
+            )
+            assert member.last_heartbeat.boot not in [
+                r.boot for r in member.previous_boots
+            ]
     assert "self" not in state.members
     for _ in range(200):
         now += 1.0
-        state = peer_membership.tick(state, now)
+        state = peer_membership.with_liveness_checked(state, now)
     assert not state.members
 
 
@@ -73,8 +79,8 @@
     state = with_heartbeats(make_state(), heartbeat(interval_s=1.0))
     seen = []
     for second in range(0, 70):
-        state = peer_membership.tick(state, START + second)
-        seen.append([m.standing.value for m in state.members.values()])
+        state = peer_membership.with_liveness_checked(state, START + second)
+        seen.append([m.liveness.value for m in state.members.values()])
     assert seen[3] == ["alive"]
     assert seen[4] == seen[6] == ["suspect"]
     assert seen[7] == seen[60] == ["gone"]
@@ -94,9 +100,12 @@
     state = with_heartbeats(
         state, heartbeat("b", loads={"m1": 3}), now=START + 1.0
     )
-    assert peer_membership.loads(state, START + 1.0) == {"m1": 5, "m2": 1}
-    assert peer_membership.loads(state, START + 2.0) == {"m1": 3}
-    assert peer_membership.loads(state, START + 9.0) == {}
+    assert peer_membership.peer_in_flight(state, START + 1.0) == {
+        "m1": 5,
+        "m2": 1,
+    }
+    assert peer_membership.peer_in_flight(state, START + 2.0) == {"m1": 3}
+    assert peer_membership.peer_in_flight(state, START + 9.0) == {}
 
 
 def test_valid_addresses_are_learned_from_heartbeats_up_to_a_limit():
--- a/tests/cover/test_peer_task.py
+++ b/tests/cover/test_peer_task.py
@@ -7,15 +7,15 @@
 
 from tests.common import peer_doubles
 from vanillaswitch import errors
-from vanillaswitch.coordination.peering import announcer
 from vanillaswitch.coordination.peering import heartbeat_schedule
-from vanillaswitch.coordination.peering import peer_task
+from vanillaswitch.coordination.peering import heartbeat_sender
+from vanillaswitch.coordination.peering import peer_network
 from vanillaswitch.protocol import peers
 from vanillaswitch.state import settings as settings_lib
 
-ROUND_TICKS = heartbeat_schedule.FAR_SHORTEST_TICKS
+ROUND_TICKS = heartbeat_schedule.OTHER_ROLES_MIN_PERIOD_TICKS
 QUERY = peers.ClaimQuery("q", "claim", "digest")
-IDLE = announcer.Own(1, 1, leaving=False, loads={})
+IDLE = heartbeat_sender.LocalStatus(1, 1, is_leaving=False, loads={})
 REPLY = peers.ClaimReply("q", peers.ClaimState.RELEASED)
 
 
@@ -35,7 +35,7 @@
             name, "tacoma", "", address, "", tuple(one.address for one in seeds)
         )
         return self._stack.enter_context(
-            peer_task.run(
+            peer_network.run(
                 settings,
                 role,
                 f"boot-{name}",
@@ -61,12 +61,12 @@
 
 
 def names(network, role=None):
-    return [one.process for one in network.alive(role)]
+    return [one.process for one in network.live_heartbeats(role)]
 
 
 def test_processes_find_each_other_through_one_seed(networks):
-    networks.statuses["b"] = announcer.Own(1, 1, False, {"m": 2})
-    networks.statuses["c"] = announcer.Own(1, 1, False, {"m": 3})
+    networks.statuses["b"] = heartbeat_sender.LocalStatus(1, 1, False, {"m": 2})
+    networks.statuses["c"] = heartbeat_sender.LocalStatus(1, 1, False, {"m": 3})
     a = networks.start("a")
     b = networks.start("b", a)
     c = networks.start("c", a, role=peers.Role.CONTROLLER)
@@ -80,7 +80,7 @@
     a = networks.start("a")
     others = [networks.start(name, a) for name in "bcdefgh"]
     networks.pass_ticks(ROUND_TICKS)
-    networks.statuses["a"] = announcer.Own(1, 1, True, {})
+    networks.statuses["a"] = heartbeat_sender.LocalStatus(1, 1, True, {})
     assert all("a" in names(one) for one in others)
     networks.pass_ticks()
     assert not any("a" in names(one) for one in others)
@@ -114,7 +114,7 @@
 def test_a_broadcast_reaches_all_peers_except_those_that_left(networks):
     a = networks.start("a")
     b, c = networks.start("b", a), networks.start("c", a)
-    networks.statuses["c"] = announcer.Own(1, 1, True, {})
+    networks.statuses["c"] = heartbeat_sender.LocalStatus(1, 1, True, {})
     networks.pass_ticks(ROUND_TICKS)
     offer = peers.ConfigOffer(2, "d")
     a.broadcast(offer)
@@ -143,7 +143,8 @@
     networks.pass_ticks(ROUND_TICKS)
     sent = [one for one in networks.bus.sent if one[0] == a.address]
     max_per_tick = (
-        heartbeat_schedule.NEAR_A_TICK + heartbeat_schedule.FAR_A_TICK
+        heartbeat_schedule.SAME_ROLE_PER_TICK
+        + heartbeat_schedule.OTHER_ROLES_PER_TICK
     )
     assert len(sent) <= ROUND_TICKS * max_per_tick
     assert len({target for _, target, _ in sent}) == 12
--- a/tests/cover/test_platform_http.py
+++ b/tests/cover/test_platform_http.py
@@ -66,7 +66,7 @@
     with platforms.served(clocks.ManualClock()) as (_, client, _):
         assert client.objects.get(digest) == platform.Missing()
         assert client.objects.put(digest, content) == platform.Done()
-        assert client.objects.get(digest) == platform.Body(content)
+        assert client.objects.get(digest) == platform.ObjectContent(content)
 
 
 def test_instances_drain_reboot_and_resume_over_http():
@@ -77,11 +77,14 @@
         assert client.instances.drain(one[0], "d") == platform.Done()
         assert client.instances.reboot(one[0], "r") == platform.Done()
         (status,) = client.instances.status(one)
-        assert status.phase is platform.Phase.REBOOTING
+        assert status.phase is platform.MaintenancePhase.REBOOTING
         clock.advance(platforms.FLEET.reboot_s)
         assert client.instances.reboot(one[0], "r") == platform.Done()
         (status,) = client.instances.status(one)
-        assert (status.phase, status.boots) == (platform.Phase.DRAINED, 2)
+        assert (status.phase, status.boots) == (
+            platform.MaintenancePhase.DRAINED,
+            2,
+        )
         assert client.instances.resume(one[0], "s") == platform.Done()
         assert client.instances.resume("none", "s") == platform.Missing()
 
@@ -97,11 +100,11 @@
         assert workers.renew("worker-1", ["op-1"], 10.0) == platform.Done()
         clock.advance(8.0)
         (report,) = workers.reports()
-        assert report.state is platform.TaskState.RUNNING
+        assert report.state is platform.ReportedTaskState.RUNNING
         assert (report.cores_used, report.checkpoint) == (1.0, "quotes/1/op-1")
         clock.advance(5.0)
         (report,) = workers.reports()
-        assert report.state is platform.TaskState.LEASE_LAPSED
+        assert report.state is platform.ReportedTaskState.LEASE_EXPIRED
         assert workers.stop("worker-1", "none") == platform.Missing()
 
 
--- a/tests/cover/test_routing.py
+++ b/tests/cover/test_routing.py
@@ -6,7 +6,7 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from tests.common import paths
+from tests.common import request_path_harness
 from vanillaswitch.coordination.entry import routing
 
 _NAMES = ("m0", "m1", "m2", "m3")
@@ -15,7 +15,7 @@
 
 def _pick(policy, loads, minions, seed=1, excluded=()):
     rng = random.Random(seed)
-    chosen = routing.policies.get(policy)
+    chosen = routing.POLICY_REGISTRY.get(policy)
     return routing.pick_minion(chosen, minions, loads, excluded, "recife", rng)
 
 
@@ -25,7 +25,7 @@
 
 
 @hypothesis.given(
-    policy=st.sampled_from(routing.policies.names),
+    policy=st.sampled_from(routing.POLICY_REGISTRY.names),
     slots=st.integers(0, 9),
     own=_LOADS,
     peers=_LOADS,
@@ -38,8 +38,8 @@
     policy, slots, own, peers, entries, loans, excluded, seed
 ):
     """Own counts are exact; those of peers are old (see decision 0006)."""
-    minions = [paths.make_minion(name, slots) for name in _NAMES]
-    loads = routing.Loads(own, peers, entries, loans)
+    minions = [request_path_harness.make_minion(name, slots) for name in _NAMES]
+    loads = routing.MinionLoads(own, peers, entries, loans)
 
     def free_slots(minion):
         used = own.get(minion.instance, 0)
@@ -71,21 +71,25 @@
 
 
 def test_two_choices_counts_peer_loads_and_breaks_ties_by_data_centre():
-    near = paths.make_minion("m0")
-    far = dataclasses.replace(paths.make_minion("m1"), data_centre="suape")
+    near = request_path_harness.make_minion("m0")
+    far = dataclasses.replace(
+        request_path_harness.make_minion("m1"), data_centre="suape"
+    )
     for seed in range(20):
-        balanced = routing.Loads({"m0": 2}, {"m1": 2})
+        balanced = routing.MinionLoads({"m0": 2}, {"m1": 2})
         assert _pick("two-choices", balanced, [far, near], seed) is near
-        unbalanced = routing.Loads({"m0": 2}, {"m0": 1, "m1": 2})
+        unbalanced = routing.MinionLoads({"m0": 2}, {"m0": 1, "m1": 2})
         assert _pick("two-choices", unbalanced, [far, near], seed) is far
 
 
 def test_a_fixed_share_is_not_exceeded_while_other_slots_are_free():
-    minion = paths.make_minion(slots=8)
+    minion = request_path_harness.make_minion(slots=8)
     four = ("a", "b", "c", "d")
-    assert _pick("fixed-share", routing.Loads({"m0": 1}, {}, four), [minion])
-    full = routing.Loads({"m0": 2}, {}, four)
+    assert _pick(
+        "fixed-share", routing.MinionLoads({"m0": 1}, {}, four), [minion]
+    )
+    full = routing.MinionLoads({"m0": 2}, {}, four)
     assert _pick("fixed-share", full, [minion]) is None
     assert _pick("lent-share", full, [minion]) is None
-    borrowed = routing.Loads({"m0": 2}, {}, four, {"m0": 1})
+    borrowed = routing.MinionLoads({"m0": 2}, {}, four, {"m0": 1})
     assert _pick("lent-share", borrowed, [minion]) is minion
--- a/tests/cover/test_slot_loans.py
+++ b/tests/cover/test_slot_loans.py
@@ -8,12 +8,12 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from tests.common import paths
+from tests.common import request_path_harness
 from vanillaswitch.coordination.entry import admission
-from vanillaswitch.coordination.entry import lanes
-from vanillaswitch.coordination.entry import lending
-from vanillaswitch.coordination.entry import reserve
+from vanillaswitch.coordination.entry import class_queues
+from vanillaswitch.coordination.entry import slot_lending
 from vanillaswitch.coordination.entry import slot_loans
+from vanillaswitch.coordination.entry import slot_reserve
 from vanillaswitch.protocol import minions
 from vanillaswitch.protocol import peers
 from vanillaswitch.state import config
@@ -36,7 +36,7 @@
         self.trackers = {
             name: slot_loans.LoanTracker(name, name) for name in _NAMES
         }
-        self.in_transit: list[tuple[str, lending.Message]] = []
+        self.in_transit: list[tuple[str, slot_lending.LoanMessage]] = []
 
     def run_event(self, event: str, number: int) -> None:
         """Runs one event; ``number`` selects its processes or message."""
@@ -61,7 +61,7 @@
             each.expire(self.now)
 
     def deliver(
-        self, tracker: slot_loans.LoanTracker, message: lending.Message
+        self, tracker: slot_loans.LoanTracker, message: slot_lending.LoanMessage
     ) -> None:
         """Delivers a message to a tracker."""
         match message:
@@ -125,57 +125,61 @@
 def test_the_reserve_follows_urgent_requests_and_shrinks_when_idle(
     usable, counts
 ):
-    slot_reserve = reserve.Reserve()
+    slot_reserve = slot_reserve.SlotReserve()
     for second, urgent in enumerate(counts):
-        slot_reserve.observe(urgent, float(second))
-    minimum = round(usable / reserve.URGENT_SHARE)
-    assert minimum <= slot_reserve.slots(usable) <= max(minimum, 48 + 1)
-    slot_reserve.observe(0, len(counts) + 60.0)
-    slot_reserve.observe(0, len(counts) + 120.0)
-    assert slot_reserve.slots(usable) == minimum < usable
+        slot_reserve.record_urgent(urgent, float(second))
+    minimum = round(usable / slot_reserve.SLOTS_PER_RESERVED_SLOT)
+    assert (
+        minimum <= slot_reserve.reserved_slots(usable) <= max(minimum, 48 + 1)
+    )
+    slot_reserve.record_urgent(0, len(counts) + 60.0)
+    slot_reserve.record_urgent(0, len(counts) + 120.0)
+    assert slot_reserve.reserved_slots(usable) == minimum < usable
 
 
 def test_a_rare_urgent_request_leaves_a_single_slot_to_long_requests():
     queue = admission.ServiceQueue()
-    one = admission.Slots(8, 1, usable=1)
-    classes = paths.make_config().classes
+    one = admission.SlotCounts(8, 1, usable=1)
+    classes = request_path_harness.make_config().classes
     for ticket, (name, now) in enumerate((("quote", 0.0), ("report", 9.0))):
-        arrival = lanes.Arrival(ticket, name, classes[name], now, 1e6)
-        (started,) = queue.arrive(arrival, one, now)
+        arrival = class_queues.QueuedRequest(
+            ticket, name, classes[name], now, 1e6
+        )
+        (started,) = queue.enqueue(arrival, one, now)
         assert isinstance(started, admission.Start)
-        queue.finish(ticket, now + 0.02, measured=True)
+        queue.remove(ticket, now + 0.02, record_duration=True)
 
 
 def test_a_queued_request_gets_an_idle_slot_of_a_peer():
     """Two entries share a minion with two slots; one has two requests."""
     release_requests = gevent.event.Event()
-    rigs: dict[str, paths.Rig] = {}
+    rigs: dict[str, request_path_harness.RequestPathHarness] = {}
     configuration = dataclasses.replace(
-        paths.make_config(slots_per_minion=2),
+        request_path_harness.make_config(slots_per_minion=2),
         policies=config.Policies(routing="lent-share"),
     )
 
     def answer_when_released(_minion, request, _timeout) -> minions.Answered:
         release_requests.wait()
-        return paths.answer_to(request)
+        return request_path_harness.echo_answer(request)
 
-    def send(envelope: lending.Envelope) -> None:
-        rigs[envelope.process].path.told(envelope.message)
+    def send(envelope: slot_lending.AddressedMessage) -> None:
+        rigs[envelope.recipient].path.handle_peer_message(envelope.message)
 
     for names in (("a", "b"), ("b", "a")):
-        rigs[names[0]] = paths.Rig(
+        rigs[names[0]] = request_path_harness.RequestPathHarness(
             answer_when_released, 1, configuration, names, send
         )
     a, b = rigs["a"], rigs["b"]
     with a.path.running(), b.path.running():
         tasks = [gevent.spawn(a.handle, request_id=f"r{n}") for n in range(2)]
         gevent.idle()
-        while len(a.sends.minions) < 2:
+        while len(a.minion_client.minions) < 2:
             gevent.sleep(0)
-        assert a.path.loads == {"m0": 2}
+        assert a.path.in_flight_by_minion == {"m0": 2}
         third = gevent.spawn(b.handle, request_id="r3")
         gevent.idle()
-        assert not b.sends.minions
+        assert not b.minion_client.minions
         release_requests.set()
         gevent.joinall([*tasks, third], raise_error=True)
-        assert b.sends.minions == ["m0"]
+        assert b.minion_client.minions == ["m0"]
--- a/tests/cover/test_wave_command.py
+++ b/tests/cover/test_wave_command.py
@@ -6,7 +6,7 @@
 from click import testing
 import pytest
 
-from tests.common import benches
+from tests.common import fleet_harness
 from vanillaswitch.cli import fleet as fleet_cli
 from vanillaswitch.cli import wave as wave_cli
 from vanillaswitch.coordination.configuration import rollout
@@ -21,10 +21,12 @@
     """Runs commands against a bench."""
 
     def __init__(self, minions_down: int = 2):
-        config = benches.config_of(
+        config = fleet_harness.build_config(
             minions_down=minions_down, waves={"kernel": WAVE}
         )
-        self.bench = benches.Bench(benches.minion_listings(), config)
+        self.bench = fleet_harness.FleetHarness(
+            fleet_harness.minion_listings(), config
+        )
         platform = self.bench.platform.interface
         rollout.apply(
             platform, self.bench.clock, self.bench.rng, config, "op", 0
@@ -50,7 +52,7 @@
     assert operator.run("wave", "pause", "kernel")[0] == 0
     for _ in range(4):
         operator.bench.step("wave/kernel")
-    assert not operator.bench.not_serving()
+    assert not operator.bench.instances_not_serving()
     assert operator.run("wave", "start", "kernel")[0] == 0
     while operator.bench.fleet().waves["kernel"].row.state == "running":
         operator.bench.step("wave/kernel")
@@ -94,10 +96,10 @@
 def worker_operator():
     """An operator of three workers, of which one may be down."""
     pools = {"batch": config_lib.Pool("quotes", 3)}
-    config = benches.config_of(minions=0, pools=pools, workers_down=1)
+    config = fleet_harness.build_config(minions=0, pools=pools, workers_down=1)
     operator = Operator()
-    operator.bench = benches.Bench(
-        benches.worker_listings(3), config, lambda _: ("batch", "quotes")
+    operator.bench = fleet_harness.FleetHarness(
+        fleet_harness.worker_listings(3), config, lambda _: ("batch", "quotes")
     )
     rollout.apply(
         operator.bench.platform.interface,
--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 import pytest
 
-from tests.common import claim_world
+from tests.common import claim_harness
 from vanillaswitch.coordination.once import claim_expiry
 from vanillaswitch.coordination.once import claim_rules
 from vanillaswitch.protocol import claims
@@ -34,8 +34,8 @@
 
     def __init__(self):
         super().__init__()
-        self.harness = claim_world.World(self.names)
-        self.open_attempts: list[claim_world.Attempt] = []
+        self.harness = claim_harness.ClaimHarness(self.names)
+        self.open_attempts: list[claim_harness.ClaimedRequest] = []
         self.answers: dict[str, requests.Answer] = {}
         self.sent: set[str] = set()
         self.finished: dict[str, str] = {}
@@ -65,11 +65,11 @@
         request = self.harness.request(caller=caller)
         reply = self.harness.begin(name, request)
         ran = caller in self.sent
-        if isinstance(reply, claims.Proceed):
+        if isinstance(reply, claims.ClaimGranted):
             assert not ran
             entry = self.harness.entries[name]
             self.open_attempts.append(
-                claim_world.Attempt(entry, request, reply.ticket)
+                claim_harness.ClaimedRequest(entry, request, reply.claim_id)
             )
         elif isinstance(reply, claims.Replay):
             assert reply.answer == self.answers[caller]
@@ -99,15 +99,15 @@
                 self.harness.run(attempt)
                 return
             self.open_attempts.remove(attempt)
-            attempt.entry.claims.release(attempt.ticket)
+            attempt.entry.claims.release(attempt.claim_id)
             return
         self.open_attempts.remove(attempt)
         if data.draw(st.booleans()):
             self.answers[caller] = attempt.answer
             self.finished[caller] = attempt.entry.boot
-            attempt.entry.claims.finish(attempt.ticket, attempt.answer)
+            attempt.entry.claims.complete(attempt.claim_id, attempt.answer)
         else:
-            attempt.entry.claims.lost(attempt.ticket)
+            attempt.entry.claims.mark_unknown(attempt.claim_id)
 
     @stateful.rule(name=NAMES)
     def kill(self, name):
@@ -145,7 +145,7 @@
     @stateful.rule()
     def advance_in_contact(self):
         """Entries keep contact for long enough to report "not run" again."""
-        self.harness.advance_in_contact(claim_world.CONTACT_S)
+        self.harness.advance_in_contact(claim_harness.CONTACT_S)
 
     def _heal_all(self):
         for entry in self.harness.entries.values():
@@ -154,7 +154,7 @@
             faults.lose_answers = faults.delay_effect = 0
             faults.release_delayed()
         for entry in self.harness.entries.values():
-            assert entry.parts.ledger.flush(10.0) == 0
+            assert entry.components.records.flush(10.0) == 0
 
     def _check_no_orphaned_claims(self):
         """Each open claim of a live boot belongs to a request in progress."""
@@ -189,7 +189,7 @@
 
 @pytest.fixture
 def harness():
-    made = claim_world.World()
+    made = claim_harness.ClaimHarness()
     yield made
     made.close()
 
@@ -203,11 +203,11 @@
     The other entries can't distinguish the first three cases, so they report an
     unknown outcome. Once the answer is written, a retry gets it.
     """
-    attempt = harness.attempt("a")
+    attempt = harness.claim_request("a")
     if killed_after != "claimed":
         harness.run(attempt)
     if killed_after in ("finished", "written"):
-        attempt.entry.claims.finish(attempt.ticket, attempt.answer)
+        attempt.entry.claims.complete(attempt.claim_id, attempt.answer)
     if killed_after == "written":
         attempt.entry.write_all()
     harness.restart("a")
@@ -226,7 +226,7 @@
     new boot releases a claim of its own under the same key while it is cut off
     from the table. Its RELEASED does not refer to the old boot's claim.
     """
-    attempt = harness.attempt("a")
+    attempt = harness.claim_request("a")
     harness.run(attempt)
     new_boot = harness.restart("a")
     new_boot.link.faults.drop_calls = 10**6
@@ -242,14 +242,14 @@
     write the release. It reports "not run". It replies the same to a query of
     b, which takes the claim over. The late write of a must not undo b's claim.
     """
-    first = harness.attempt("a")
+    first = harness.claim_request("a")
     first.entry.link.faults.down = True
-    first.entry.claims.release(first.ticket)
-    second = harness.attempt("b")
+    first.entry.claims.release(first.claim_id)
+    second = harness.claim_request("b")
     first.entry.link.faults.down = False
     first.entry.write_all()
     assert harness.begin("a") == claim_rules.IN_PROGRESS
-    harness.finish(second)
+    harness.run_and_complete(second)
     assert harness.begin("a") == claims.Replay(second.answer)
 
 
@@ -270,9 +270,9 @@
         setattr, entry.link.faults, "delay_effect", 99
     )
     if reclaims:
-        first = harness.attempt("b")
+        first = harness.claim_request("b")
         first.entry.link.faults.down = True
-        first.entry.claims.release(first.ticket)
+        first.entry.claims.release(first.claim_id)
         harness.before_reply = delay_commits
     else:
         delay_commits()
@@ -288,21 +288,21 @@
     harness.entries["b"].link.faults.down = False
     harness.entries["b"].write_all()
     harness.clock.advance(claim_rules.RETRY_AFTER_S)
-    harness.attempt("b")
+    harness.claim_request("b")
 
 
 def test_the_same_key_of_another_caller_is_independent(harness):
     """Keys of different callers don't conflict."""
     for caller in ("tacoma", "olympia"):
-        attempt = harness.attempt("a", harness.request(caller=caller))
-        harness.finish(attempt)
+        attempt = harness.claim_request("a", harness.request(caller=caller))
+        harness.run_and_complete(attempt)
         reply = harness.begin("b", harness.request(caller=caller))
         assert reply == claims.Replay(attempt.answer)
 
 
 def test_a_key_used_for_another_request_is_refused(harness):
     """A key that is reused for a different request gets "key-reused"."""
-    harness.attempt("a")
+    harness.claim_request("a")
     other = harness.request(body=b"two veils")
     assert harness.begin("a", other) == claim_rules.KEY_REUSED
     assert harness.begin("b", other) == claim_rules.KEY_REUSED
@@ -314,10 +314,10 @@
     No row shows that the request ran. It is refused because of its time of
     issue, instead of being run again.
     """
-    attempt = harness.attempt("a")
-    harness.finish(attempt)
+    attempt = harness.claim_request("a")
+    harness.run_and_complete(attempt)
     attempt.entry.write_all()
-    for seconds, left in ((claim_world.RETENTION_S + 1, 1), (3600, 0)):
+    for seconds, left in ((claim_harness.RETENTION_S + 1, 1), (3600, 0)):
         harness.clock.advance(seconds)
         now_ms = int(harness.clock.wall() * 1000)
         claim_expiry.delete_expired_page(harness.table, harness.rng, now_ms)
--- a/tests/failures/test_broken_invariant.py
+++ b/tests/failures/test_broken_invariant.py
@@ -11,9 +11,9 @@
 
 from vanillaswitch import errors
 from vanillaswitch.cli import exits
-from vanillaswitch.coordination.entry import fleet_task
+from vanillaswitch.coordination.entry import fleet_refresher
 from vanillaswitch.coordination.entry import fleet_view
-from vanillaswitch.coordination.entry import request_path
+from vanillaswitch.coordination.entry import request_handler
 from vanillaswitch.daemons import entry as daemon
 from vanillaswitch.internal import clock as clocks
 from vanillaswitch.internal import lifecycle
@@ -41,7 +41,7 @@
         raise errors.InvariantError("a claim is settled twice")
 
     monkeypatch.setattr(wiring, "run", recorded)
-    monkeypatch.setattr(request_path.RequestPath, "handle", broken)
+    monkeypatch.setattr(request_handler.RequestHandler, "handle", broken)
     stop = gevent.event.Event()
     monkeypatch.setattr(lifecycle, "wait_for_stop", stop.wait)
     monkeypatch.setattr(logs, "_write", logs._write)
@@ -93,10 +93,12 @@
     """
     clock = clocks.SystemClock()
     view = fleet_view.FleetView()
-    task = fleet_task.FleetTask(view, _Broken(), None, clock, lambda: 1.0)
+    task = fleet_refresher.FleetRefresher(
+        view, _Broken(), None, clock, lambda: 1.0
+    )
     with (
         gevent.Timeout(HANG_S, AssertionError("the process goes on")),
         pytest.raises(errors.InvariantError),
-        task.running(),
+        task.run_refresher(),
     ):
         gevent.event.Event().wait()
--- a/tests/failures/test_ledger_memory.py
+++ b/tests/failures/test_claim_record_memory.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from tests.common import claim_world
-from vanillaswitch.coordination.once import claim_ledger
+from tests.common import claim_harness
+from vanillaswitch.coordination.once import claim_records
 from vanillaswitch.protocol import requests
 
 
@@ -14,15 +14,15 @@
     Claims with an empty answer or an unknown outcome counted as zero bytes of
     the records kept for replays, so they were never evicted.
     """
-    harness = claim_world.World(("a",))
-    ledger = harness.entries["a"].parts.ledger
-    ledger._limits = claim_ledger.Limits(max_recent_bytes=4096)
+    harness = claim_harness.ClaimHarness(("a",))
+    ledger = harness.entries["a"].components.records
+    ledger._limits = claim_records.Limits(max_recent_bytes=4096)
     for number in range(64):
-        attempt = harness.attempt("a", harness.request(f"k{number}"))
+        attempt = harness.claim_request("a", harness.request(f"k{number}"))
         if number % 2:
-            attempt.entry.claims.lost(attempt.ticket)
+            attempt.entry.claims.mark_unknown(attempt.claim_id)
         else:
-            attempt.entry.claims.finish(attempt.ticket, make_answer(body))
+            attempt.entry.claims.complete(attempt.claim_id, make_answer(body))
         attempt.entry.write_all()
     harness.close()
     assert ledger.unwritten_count == 0
--- a/tests/failures/test_config_handed_over.py
+++ b/tests/failures/test_config_direct_delivery.py
@@ -8,7 +8,7 @@
 import gevent.queue
 import pytest
 
-from tests.common import config_stores as stores
+from tests.common import config_platform
 from tests.common import configs
 from vanillaswitch.cli import config as cli
 from vanillaswitch.coordination.configuration import rollout
@@ -59,7 +59,7 @@
     operator's command still has the body and sends it to the controllers
     whose sessions it read, one of which is dead.
     """
-    store = stores.Store()
+    store = config_platform.ConfigPlatform()
     puts = tuple(
         platform.Put(
             keys.session(name),
@@ -87,13 +87,13 @@
         "vanillaswitch.transport.hand_over.send",
         lambda *arguments: sent.append(arguments),
     )
-    store = stores.Store()
+    store = config_platform.ConfigPlatform()
     session = rows.Session("boot", inbox.address, "hall-recife", 1)
     put = platform.Put(keys.session("c"), platform.ABSENT, rows.dump(session))
     store.platform().table.commit(platform.Transaction("t", (put,)))
     assert _apply(store).exit_code == 0
     assert len(sent) == 1
-    unavailable_store = stores.Store()
+    unavailable_store = config_platform.ConfigPlatform()
     unavailable_store.platform().table.commit(platform.Transaction("t", (put,)))
     unavailable_store.platform().table.faults.down = True
     assert _apply(unavailable_store).exit_code == 3
--- a/tests/failures/test_config_races.py
+++ b/tests/failures/test_config_races.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 import pytest
 
-from tests.common import config_stores as stores
+from tests.common import config_platform
 from tests.common import properties
 from vanillaswitch.coordination.configuration import rollout
 from vanillaswitch.protocol import peers
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def store():
-    return stores.Store()
+    return config_platform.ConfigPlatform()
 
 
 def test_the_loser_of_a_race_gets_a_conflict_with_the_other_changes(store):
@@ -29,9 +29,11 @@
     Both operators start from number 1, and Bia applies first. Ana's folder
     lacks Bia's change, so Ana's apply must be refused.
     """
-    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
-    assert store.apply(stores.config_with_cores(2), 1, "bia").number == 2
-    outcome = store.apply(stores.config_with_cores(3), 1, "ana")
+    store.apply(config_platform.config_with_cores(1), rollout.NO_CONFIG_NUMBER)
+    assert (
+        store.apply(config_platform.config_with_cores(2), 1, "bia").number == 2
+    )
+    outcome = store.apply(config_platform.config_with_cores(3), 1, "ana")
     assert outcome == rollout.Conflict(1, 2, ("teams.ledger.cores",))
 
 
@@ -41,10 +43,10 @@
     The object store goes down after the race, so the two bodies can't be
     compared. An empty list of changes would be wrong.
     """
-    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
-    store.apply(stores.config_with_cores(2), 1, "bia")
+    store.apply(config_platform.config_with_cores(1), rollout.NO_CONFIG_NUMBER)
+    store.apply(config_platform.config_with_cores(2), 1, "bia")
     store.objects.faults.down = True
-    outcome = store.apply(stores.config_with_cores(3), 1)
+    outcome = store.apply(config_platform.config_with_cores(3), 1)
     assert outcome.changes == (rollout.UNREADABLE_CHANGES,)
 
 
@@ -59,7 +61,7 @@
     too many of them the head no longer records Ana's write, and the outcome
     must be reported as unknown.
     """
-    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
+    store.apply(config_platform.config_with_cores(1), rollout.NO_CONFIG_NUMBER)
 
     class OvertakenTable:
         read = store.table.read
@@ -67,14 +69,16 @@
         def commit(self, transaction):
             store.table.commit(transaction)
             for number in range(2, 2 + followers):
-                store.apply(stores.config_with_cores(number + 1), number, "bia")
+                store.apply(
+                    config_platform.config_with_cores(number + 1), number, "bia"
+                )
             return platform_module.OutcomeUnknown("the answer was lost")
 
     outcome = store.apply(
-        stores.config_with_cores(2), 1, "ana", table=OvertakenTable()
+        config_platform.config_with_cores(2), 1, "ana", table=OvertakenTable()
     )
     if followers == 1:
-        assert (outcome.number, outcome.in_force) == (2, 3)
+        assert (outcome.number, outcome.newest_number) == (2, 3)
     else:
         assert isinstance(outcome, rollout.Undecided)
 
@@ -86,14 +90,19 @@
     command gives up. Then the delayed copy takes effect.
     """
     store.faults.delay_effect = 100
-    outcome = store.apply(stores.config_with_cores(1), rollout.NONE_YET)
+    outcome = store.apply(
+        config_platform.config_with_cores(1), rollout.NO_CONFIG_NUMBER
+    )
     assert isinstance(outcome, rollout.Undecided)
     store.faults.release_delayed()
     view, task = store.new_process()
     task.poll()
-    assert view.config == stores.config_with_cores(1)
+    assert view.config == config_platform.config_with_cores(1)
     assert (
-        store.apply(stores.config_with_cores(1), rollout.NONE_YET).number == 1
+        store.apply(
+            config_platform.config_with_cores(1), rollout.NO_CONFIG_NUMBER
+        ).number
+        == 1
     )
 
 
@@ -104,7 +113,7 @@
     before the others have polled. The first process passes it on.
     """
     sent = []
-    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
+    store.apply(config_platform.config_with_cores(1), rollout.NO_CONFIG_NUMBER)
     view, task = store.new_process(sent.append)
     other_view, other = store.new_process()
     task.poll()
@@ -119,7 +128,9 @@
         other.on_message(None, message, to_task)
 
     to_other(sent[-1])
-    assert other_view.config == view.config == stores.config_with_cores(1)
+    assert (
+        other_view.config == view.config == config_platform.config_with_cores(1)
+    )
     assert other_view.wait_beyond(0, timeout_s=0)
 
 
@@ -129,7 +140,7 @@
     The table is down and the offer to one peer is lost. The next heartbeat
     from either side shows that the versions differ.
     """
-    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
+    store.apply(config_platform.config_with_cores(1), rollout.NO_CONFIG_NUMBER)
     _, task = store.new_process()
     task.poll()
     beat = peers.Heartbeat(
@@ -139,7 +150,9 @@
     task.on_message(None, beat, replies.append)
     ahead = dataclasses.replace(beat, config_version=2)
     task.on_message(None, ahead, replies.append)
-    digest = stores.body_message(1, stores.config_with_cores(1)).digest
+    digest = config_platform.body_message(
+        1, config_platform.config_with_cores(1)
+    ).digest
     assert replies == [peers.ConfigOffer(1, digest), peers.ConfigRequest(2)]
 
 
@@ -150,13 +163,15 @@
     the body from its peers instead.
     """
     sent = []
-    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
+    store.apply(config_platform.config_with_cores(1), rollout.NO_CONFIG_NUMBER)
     store.objects.faults.down = True
     view, task = store.new_process(sent.append)
     task.poll()
     assert peers.ConfigRequest(1) in sent
     task.on_message(
-        None, stores.body_message(1, stores.config_with_cores(1)), sent.append
+        None,
+        config_platform.body_message(1, config_platform.config_with_cores(1)),
+        sent.append,
     )
     assert view.number == 1
 
@@ -167,16 +182,19 @@
     A peer that was partitioned sends the body of an older number after the
     process has applied a newer one.
     """
-    store.apply(stores.config_with_cores(1), rollout.NONE_YET)
-    store.apply(stores.config_with_cores(2), 1)
+    store.apply(config_platform.config_with_cores(1), rollout.NO_CONFIG_NUMBER)
+    store.apply(config_platform.config_with_cores(2), 1)
     view, task = store.new_process()
     task.poll()
     task.on_message(
         None,
-        stores.body_message(1, stores.config_with_cores(1)),
-        stores.ignore_message,
+        config_platform.body_message(1, config_platform.config_with_cores(1)),
+        config_platform.ignore_message,
+    )
+    assert (view.number, view.config) == (
+        2,
+        config_platform.config_with_cores(2),
     )
-    assert (view.number, view.config) == (2, stores.config_with_cores(2))
     assert task.counters.late == 1
 
 
@@ -187,11 +205,11 @@
     this one can't read.
     """
     view, task = store.new_process()
-    body = stores.body_message(1, stores.config_with_cores(1))
+    body = config_platform.body_message(1, config_platform.config_with_cores(1))
     truncated = dataclasses.replace(body, body=body.body[:-1])
     unreadable_body = peers.ConfigBody(1, canonical.digest(b"[]"), b"[]")
     for message in (truncated, unreadable_body):
-        task.on_message(None, message, stores.ignore_message)
+        task.on_message(None, message, config_platform.ignore_message)
     counters = task.counters
     assert (counters.damaged, counters.unreadable) == (1, 1)
     assert view.config is None
@@ -220,13 +238,15 @@
     Several operators each apply twice. They are interrupted before every call,
     and answers are lost and calls dropped, delayed and refused in any order.
     """
-    store = stores.Store()
-    table = stores.InterleavedTable(store, fault_switches)
+    store = config_platform.ConfigPlatform()
+    table = config_platform.InterleavedTable(store, fault_switches)
     outcomes = []
 
     def operate(author):
         for round_number in range(2):
-            config = stores.config_with_cores(10 * author + round_number + 1)
+            config = config_platform.config_with_cores(
+                10 * author + round_number + 1
+            )
             greenlet.getcurrent().parent.switch()
             seen = rollout.read_head(store.table).row.number
             outcome = store.apply(config, seen, str(author), table)
--- a/tests/failures/test_dead_minion.py
+++ b/tests/failures/test_dead_minion.py
@@ -2,34 +2,36 @@
 
 import random
 
-from tests.common import paths
+from tests.common import request_path_harness
 from vanillaswitch.coordination.entry import retry
-from vanillaswitch.coordination.entry import slot_book
+from vanillaswitch.coordination.entry import slot_allocator
 from vanillaswitch.state import config_view
 
 _NO_EXCLUSIONS: frozenset[str] = frozenset()
-_ANSWERED = slot_book.Verdict.ANSWERED
-_FAILED = slot_book.Verdict.FAILED
+_ANSWERED = slot_allocator.AttemptResult.ANSWERED
+_FAILED = slot_allocator.AttemptResult.FAILED
 
 
-def _make_slot_book(minions_up: int, slots: int = 2) -> slot_book.SlotBook:
-    rig = paths.Rig(minions_up=minions_up)
+def _make_slot_book(
+    minions_up: int, slots: int = 2
+) -> slot_allocator.SlotAllocator:
+    rig = request_path_harness.RequestPathHarness(minions_up=minions_up)
     view = config_view.ConfigView()
-    view.offer(1, "d", paths.make_config(slots_per_minion=slots))
-    return slot_book.SlotBook(
+    view.offer(1, "d", request_path_harness.make_config(slots_per_minion=slots))
+    return slot_allocator.SlotAllocator(
         random.Random(1), "recife", view, rig.fleet, dict, lambda: ("a",)
     )
 
 
 def _fail_until_suspected(
-    book: slot_book.SlotBook, name: str, now: float
+    book: slot_allocator.SlotAllocator, name: str, now: float
 ) -> None:
     """Fails requests at one minion until it is suspected."""
-    for _ in range(retry.SUSPECT_FAILURES):
-        taken = book.take("berthing", _NO_EXCLUSIONS, now)
+    for _ in range(retry.FAILURES_TO_SUSPECT):
+        taken = book.allocate("berthing", _NO_EXCLUSIONS, now)
         while taken.instance != name:
             book.release(taken, _ANSWERED, now, now)
-            taken = book.take("berthing", _NO_EXCLUSIONS, now)
+            taken = book.allocate("berthing", _NO_EXCLUSIONS, now)
         book.release(taken, _FAILED, now, now)
 
 
@@ -43,11 +45,11 @@
     """
     book = _make_slot_book(2)
     _fail_until_suspected(book, "m1", 0.0)
-    assert book.count("berthing", 0.0).free == 2
+    assert book.count_slots("berthing", 0.0).free == 2
     for _ in range(2):
-        assert book.take("berthing", _NO_EXCLUSIONS, 0.0).instance == "m0"
-    assert book.count("berthing", 0.0).free == 0
-    assert book.take("berthing", _NO_EXCLUSIONS, 0.0) is None
+        assert book.allocate("berthing", _NO_EXCLUSIONS, 0.0).instance == "m0"
+    assert book.count_slots("berthing", 0.0).free == 0
+    assert book.allocate("berthing", _NO_EXCLUSIONS, 0.0) is None
 
 
 def test_a_dead_minion_gets_one_probe_at_a_time_until_it_answers():
@@ -58,18 +60,20 @@
     """
     book = _make_slot_book(2)
     _fail_until_suspected(book, "m1", 0.0)
-    probe_at = retry.SUSPECT_S
-    assert book.count("berthing", probe_at).free == 3
-    taken = [book.take("berthing", _NO_EXCLUSIONS, probe_at) for _ in range(3)]
+    probe_at = retry.SUSPECT_BACKOFF_S
+    assert book.count_slots("berthing", probe_at).free == 3
+    taken = [
+        book.allocate("berthing", _NO_EXCLUSIONS, probe_at) for _ in range(3)
+    ]
     probes = [minion for minion in taken if minion.instance == "m1"]
     assert len(probes) == 1
-    assert book.take("berthing", _NO_EXCLUSIONS, probe_at) is None
+    assert book.allocate("berthing", _NO_EXCLUSIONS, probe_at) is None
     book.release(probes[0], _FAILED, probe_at, probe_at)
-    assert book.count("berthing", probe_at).free == 0
-    second_probe_at = 2 * retry.SUSPECT_S
-    probe = book.take("berthing", _NO_EXCLUSIONS, second_probe_at)
+    assert book.count_slots("berthing", probe_at).free == 0
+    second_probe_at = 2 * retry.SUSPECT_BACKOFF_S
+    probe = book.allocate("berthing", _NO_EXCLUSIONS, second_probe_at)
     book.release(probe, _ANSWERED, second_probe_at, second_probe_at)
-    assert book.count("berthing", second_probe_at).free == 2
+    assert book.count_slots("berthing", second_probe_at).free == 2
 
 
 def test_requests_still_get_slots_when_all_minions_fail():
@@ -80,8 +84,8 @@
     """
     book = _make_slot_book(1)
     _fail_until_suspected(book, "m0", 0.0)
-    assert book.count("berthing", 0.0).free == 2
-    assert book.take("berthing", _NO_EXCLUSIONS, 0.0).instance == "m0"
+    assert book.count_slots("berthing", 0.0).free == 2
+    assert book.allocate("berthing", _NO_EXCLUSIONS, 0.0).instance == "m0"
 
 
 def test_the_slot_of_an_abandoned_request_is_not_free_immediately():
@@ -92,15 +96,18 @@
     """
     book = _make_slot_book(1)
     for _ in range(2):
-        taken = book.take("berthing", _NO_EXCLUSIONS, 0.0)
-    book.release(taken, slot_book.Verdict.UNCLEAR, 0.0, 0.4)
-    assert book.count("berthing", 0.7).free == 0
-    assert book.count("berthing", 0.8).free == 1
-    taken = book.take("berthing", _NO_EXCLUSIONS, 0.8)
-    released_at = 0.8 + 2 * slot_book.MAX_LINGER_S
-    book.release(taken, slot_book.Verdict.UNCLEAR, 0.8, released_at)
+        taken = book.allocate("berthing", _NO_EXCLUSIONS, 0.0)
+    book.release(taken, slot_allocator.AttemptResult.UNKNOWN, 0.0, 0.4)
+    assert book.count_slots("berthing", 0.7).free == 0
+    assert book.count_slots("berthing", 0.8).free == 1
+    taken = book.allocate("berthing", _NO_EXCLUSIONS, 0.8)
+    released_at = 0.8 + 2 * slot_allocator.MAX_ABANDONED_S
+    book.release(taken, slot_allocator.AttemptResult.UNKNOWN, 0.8, released_at)
     assert (
-        book.count("berthing", released_at + slot_book.MAX_LINGER_S).free == 1
+        book.count_slots(
+            "berthing", released_at + slot_allocator.MAX_ABANDONED_S
+        ).free
+        == 1
     )
 
 
@@ -111,10 +118,10 @@
     minion. It may use this slot for a new connection to the same minion.
     """
     book = _make_slot_book(1, slots=1)
-    taken = book.take("berthing", _NO_EXCLUSIONS, 0.0, 7)
-    book.release(taken, slot_book.Verdict.UNCLEAR, 0.0, 0.5, 7)
-    assert book.take("berthing", _NO_EXCLUSIONS, 0.5, 8) is None
-    assert book.take("berthing", frozenset({"m0"}), 0.5, 7) is None
-    assert book.take("berthing", _NO_EXCLUSIONS, 0.5, 7) == taken
+    taken = book.allocate("berthing", _NO_EXCLUSIONS, 0.0, 7)
+    book.release(taken, slot_allocator.AttemptResult.UNKNOWN, 0.0, 0.5, 7)
+    assert book.allocate("berthing", _NO_EXCLUSIONS, 0.5, 8) is None
+    assert book.allocate("berthing", frozenset({"m0"}), 0.5, 7) is None
+    assert book.allocate("berthing", _NO_EXCLUSIONS, 0.5, 7) == taken
     book.release(taken, _ANSWERED, 0.5, 0.6, 7)
-    assert book.count("berthing", 0.6).free == 1
+    assert book.count_slots("berthing", 0.6).free == 1
--- a/tests/failures/test_leaving_minion.py
+++ b/tests/failures/test_draining_minion.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.common import paths
+from tests.common import request_path_harness
 from vanillaswitch.coordination.entry import fleet_view
 from vanillaswitch.protocol import peers
 from vanillaswitch.protocol import requests
@@ -17,19 +17,19 @@
     Meanwhile a maintenance wave drains two minions. Without a refresh, the
     entry would continue with the outdated view.
     """
-    with paths.running() as rig:
-        rig.fleet.tick(rig.clock.monotonic())
-        rig.clock.advance(fleet_view.PAUSE_S + 1)
+    with request_path_harness.run_request_path() as rig:
+        rig.fleet.check_for_pause(rig.clock.monotonic())
+        rig.clock.advance(fleet_view.PAUSE_THRESHOLD_S + 1)
 
         def catch_up(_):
-            rig.fleet.take_drain(_DRAIN_NOTICE)
+            rig.fleet.update_drain(_DRAIN_NOTICE)
             return rig.refresh()
 
         rig.catch_up = catch_up
         for number in range(20):
             reply = rig.handle(request_id=f"r{number}")
             assert isinstance(reply, requests.Answer)
-    assert set(rig.sends.minions) == {"m2"}
+    assert set(rig.minion_client.minions) == {"m2"}
 
 
 def test_a_process_that_cannot_refresh_after_a_pause_sends_nothing():
@@ -38,15 +38,15 @@
     The refresh takes longer than the charge can wait, so the entry cannot know
     whether its minion is being drained.
     """
-    with paths.running() as rig:
-        rig.fleet.tick(rig.clock.monotonic())
-        rig.clock.advance(fleet_view.PAUSE_S + 1)
+    with request_path_harness.run_request_path() as rig:
+        rig.fleet.check_for_pause(rig.clock.monotonic())
+        rig.clock.advance(fleet_view.PAUSE_THRESHOLD_S + 1)
         rig.catch_up = lambda _: False
         reply = rig.charge("k")
         assert isinstance(reply, requests.Refusal)
         assert reply.code == "view-stale"
         assert rig.claims.settled == [("r1", "released")]
-    assert not rig.sends.minions
+    assert not rig.minion_client.minions
 
 
 @pytest.mark.parametrize("kind", ["quote", "charge"])
@@ -61,12 +61,12 @@
 
     def decline_at_m0(minion, request, __):
         status = 503 if minion.instance == "m0" else 200
-        return paths.answer_to(request, status)
+        return request_path_harness.echo_answer(request, status)
 
-    with paths.running(decline_at_m0) as rig:
+    with request_path_harness.run_request_path(decline_at_m0) as rig:
         for number in range(30):
             handle = rig.charge if kind == "charge" else rig.handle
             reply = handle(request_id=f"r{number}")
             assert isinstance(reply, requests.Answer)
             assert reply.status == 200
-    assert rig.sends.minions.count("m0") == 1
+    assert rig.minion_client.minions.count("m0") == 1
--- a/tests/failures/test_jobs_failures.py
+++ b/tests/failures/test_jobs_failures.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from tests.common import placing
-from vanillaswitch.coordination.maintenance import explain
-from vanillaswitch.coordination.workloads import jobs
+from tests.common import placement_harness
+from vanillaswitch.coordination.maintenance import decision_records
+from vanillaswitch.coordination.workloads import job_progress
 from vanillaswitch.coordination.workloads import placement_view
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config
@@ -19,7 +19,9 @@
     The next holder finds the row of the task.
     """
     for is_sent in (False, True):
-        harness = placing.PlacementHarness(2, {"a": placing.job()})
+        harness = placement_harness.PlacementHarness(
+            2, {"a": placement_harness.job()}
+        )
         harness.is_leased = is_sent
         harness.step()
         assert len(harness.running()) == int(is_sent)
@@ -41,7 +43,9 @@
     The worker's answer is lost, the call is lost, or the call takes effect
     only later.
     """
-    harness = placing.PlacementHarness(2, {"a": placing.job()})
+    harness = placement_harness.PlacementHarness(
+        2, {"a": placement_harness.job()}
+    )
     setattr(harness.platform.workers.faults, fault, 1)
     harness.step(3)
     harness.platform.workers.faults.release_delayed()
@@ -56,7 +60,9 @@
     The first controller was paused until its lease expired, and continues with
     its old fence.
     """
-    harness = placing.PlacementHarness(2, {"a": placing.job()})
+    harness = placement_harness.PlacementHarness(
+        2, {"a": placement_harness.job()}
+    )
     old_fence = harness.fence
     harness.take_duty()
     harness.fence, new_fence = old_fence, harness.fence
@@ -73,10 +79,12 @@
     The table is unavailable for an hour and the session lease expires. Task
     leases are renewed by calls to the workers; new starts wait.
     """
-    harness = placing.PlacementHarness(2, {"a": placing.job(tasks=4)})
+    harness = placement_harness.PlacementHarness(
+        2, {"a": placement_harness.job(tasks=4)}
+    )
     harness.step(10)
     harness.platform.table.faults.down = True
-    harness.set_jobs(b=placing.job())
+    harness.set_jobs(b=placement_harness.job())
     harness.step(6)
     harness.is_leased = False
     harness.renew_leases(7200)
@@ -93,8 +101,8 @@
 
     The job fails at once wherever it is started.
     """
-    harness = placing.PlacementHarness(
-        5, {"bad": placing.job(), "good": placing.job()}
+    harness = placement_harness.PlacementHarness(
+        5, {"bad": placement_harness.job(), "good": placement_harness.job()}
     )
     harness.platform.workers.failing_jobs.add("bad")
     harness.step(60)
@@ -110,8 +118,8 @@
     The worker accepts each start and fails it at once, so that it always has
     the most free capacity.
     """
-    wanted = {f"job{n}": placing.job(cores=1) for n in range(60)}
-    harness = placing.PlacementHarness(8, wanted)
+    wanted = {f"job{n}": placement_harness.job(cores=1) for n in range(60)}
+    harness = placement_harness.PlacementHarness(8, wanted)
     harness.platform.workers.failing_workers.add("w0")
     harness.step(60)
     assert harness.cordoned_workers() == {"w0"}
@@ -127,8 +135,8 @@
     Later they fail on other workers too. None of them ran well anywhere, so
     that no worker is at fault.
     """
-    wanted = {f"bad{n}": placing.job() for n in range(3)}
-    harness = placing.PlacementHarness(4, wanted)
+    wanted = {f"bad{n}": placement_harness.job() for n in range(3)}
+    harness = placement_harness.PlacementHarness(4, wanted)
     harness.platform.workers.failing_jobs |= wanted.keys()
     for worker in ("w1", "w2", "w3"):
         harness.platform.instances.freeze(worker)
@@ -148,14 +156,17 @@
     Another job occupies the only worker of the pool. After a while the reason
     is recorded, once for as long as it stays the same.
     """
-    two_jobs = {"a": placing.job(cores=16), "b": placing.job(cores=16)}
-    harness = placing.PlacementHarness(1, two_jobs)
+    two_jobs = {
+        "a": placement_harness.job(cores=16),
+        "b": placement_harness.job(cores=16),
+    }
+    harness = placement_harness.PlacementHarness(1, two_jobs)
     harness.step(200)
-    found = harness.platform.table.read([explain.key_of("job/b")])
+    found = harness.platform.table.read([decision_records.history_key("job/b")])
     assert isinstance(found, platform.Rows)
-    [entry] = explain.history(found.rows[0]).entries
+    [entry] = decision_records.decode_history(found.rows[0]).entries
     assert entry.cause == "pool batch has no room"
-    found = harness.platform.table.read([explain.key_of("job/a")])
+    found = harness.platform.table.read([decision_records.history_key("job/a")])
     assert found == platform.Rows(())
 
 
@@ -165,12 +176,12 @@
     The budget allows one worker to be down. Either two workers are faulty, or
     one is faulty while another is down already.
     """
-    wanted = {f"job{n}": placing.job() for n in range(24)}
-    harness = placing.PlacementHarness(6, wanted)
+    wanted = {f"job{n}": placement_harness.job() for n in range(24)}
+    harness = placement_harness.PlacementHarness(6, wanted)
     harness.platform.workers.failing_workers |= {"w0", "w1"}
     harness.step(60)
     assert len(harness.cordoned_workers()) == 1
-    harness = placing.PlacementHarness(6, wanted)
+    harness = placement_harness.PlacementHarness(6, wanted)
     harness.platform.instances.kill("w5")
     harness.platform.workers.failing_workers.add("w0")
     harness.step(60)
@@ -183,13 +194,13 @@
     An operator cancels 200 tasks in one change, and an urgent job arrives in
     the same step. The test counts commits rather than time.
     """
-    small = placing.job(tasks=200, cores=0.5, memory_mb=256)
-    harness = placing.PlacementHarness(12, {"many": small})
+    small = placement_harness.job(tasks=200, cores=0.5, memory_mb=256)
+    harness = placement_harness.PlacementHarness(12, {"many": small})
     harness.step(20)
     assert len(harness.running()) == 200
     harness.set_jobs(
         many=dataclasses.replace(small, cancelled=True),
-        quote=placing.job(urgent=True),
+        quote=placement_harness.job(urgent=True),
     )
     commits_before = harness.platform.table.commits
     harness.step()
@@ -206,7 +217,9 @@
     The worker receives no calls and runs the task until its lease expires. The
     task may start elsewhere only after that.
     """
-    harness = placing.PlacementHarness(2, {"a": placing.job()})
+    harness = placement_harness.PlacementHarness(
+        2, {"a": placement_harness.job()}
+    )
     harness.step(6)
     worker = harness.running()["a/0"]
     harness.platform.instances.freeze(worker)
@@ -225,7 +238,9 @@
     The worker lost the task in a restart of its agent. It still accepts
     renewals, and no report names the task any more.
     """
-    harness = placing.PlacementHarness(2, {"a": placing.job()})
+    harness = placement_harness.PlacementHarness(
+        2, {"a": placement_harness.job()}
+    )
     harness.step(6)
     harness.platform.workers._tasks.clear()
     harness.step(60)
@@ -238,9 +253,11 @@
     Two duties read the same state and both start tasks for the same team. The
     row of the team's quota lets only one of them commit.
     """
-    harness = placing.PlacementHarness(2, {"a": placing.job()})
+    harness = placement_harness.PlacementHarness(
+        2, {"a": placement_harness.job()}
+    )
     snapshot = placement_view.read_snapshot(harness.context(), {"backoffice"})
-    assert isinstance(snapshot, placement_view.Reading)
+    assert isinstance(snapshot, placement_view.PlacementSnapshot)
     harness.step()
     put = platform.Put(
         "quota/billing", snapshot.quota_versions.get("billing", 0), {}
@@ -257,7 +274,9 @@
     The duty moves to a controller that does not have the new configuration
     yet; the job is missing from its old one.
     """
-    harness = placing.PlacementHarness(2, {"a": placing.job()})
+    harness = placement_harness.PlacementHarness(
+        2, {"a": placement_harness.job()}
+    )
     harness.step(6)
     newest = harness.config
     harness.config = dataclasses.replace(newest, jobs={})
@@ -271,11 +290,15 @@
 
 def test_a_finished_task_never_runs_again_after_its_job_is_resized() -> None:
     """A finished task books its charges twice after its job was resized."""
-    harness = placing.PlacementHarness(2, {"a": placing.job()})
+    harness = placement_harness.PlacementHarness(
+        2, {"a": placement_harness.job()}
+    )
     harness.platform.workers.run_time_s["a"] = 1.0
     harness.step(10)
-    job: config.Job = placing.job(cores=8)
+    job: config.Job = placement_harness.job(cores=8)
     harness.set_jobs(a=job)
     harness.step(10)
     assert sum(harness.count_starts(worker) for worker in ("w0", "w1")) == 1
-    assert jobs.reset_if_resized(harness.job_state("a"), job).finished == (0,)
+    assert job_progress.reset_if_resized(
+        harness.job_state("a"), job
+    ).finished == (0,)
--- a/tests/failures/test_lost_answers.py
+++ b/tests/failures/test_lost_answers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.common import claim_world
+from tests.common import claim_harness
 from vanillaswitch import errors
 from vanillaswitch.coordination.once import claim_rules
 from vanillaswitch.protocol import claims
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def harness():
-    made = claim_world.World()
+    made = claim_harness.ClaimHarness()
     yield made
     made.close()
 
@@ -23,8 +23,8 @@
     first copy. The row's token shows that the claim is ours.
     """
     harness.entries["a"].link.faults.lose_answers = 1
-    attempt = harness.attempt("a")
-    harness.finish(attempt)
+    attempt = harness.claim_request("a")
+    harness.run_and_complete(attempt)
     assert harness.begin("a") == claims.Replay(attempt.answer)
 
 
@@ -37,8 +37,8 @@
     the table. It must get the complete answer or a report that the request ran.
     A large answer is available to other entries only through the object store.
     """
-    attempt = harness.attempt("a")
-    answer = harness.finish(attempt, b"x" * size)
+    attempt = harness.claim_request("a")
+    answer = harness.run_and_complete(attempt, b"x" * size)
     if written:
         attempt.entry.write_all()
     assert harness.begin("a") == claims.Replay(answer)
@@ -55,8 +55,8 @@
     entry until the store is back. After that, any entry replays the answer.
     """
     harness.objects.faults.down = True
-    attempt = harness.attempt("a")
-    answer = harness.finish(attempt, b"x" * 200_000)
+    attempt = harness.claim_request("a")
+    answer = harness.run_and_complete(attempt, b"x" * 200_000)
     assert attempt.entry.claims.flush(1.0) == 1
     assert harness.begin("b") == claim_rules.ANSWER_UNAVAILABLE
     harness.objects.faults.down = False
@@ -72,9 +72,9 @@
     reports the outcome as unknown for good. The other entries report the same,
     from a query or from the table.
     """
-    attempt = harness.attempt("a")
+    attempt = harness.claim_request("a")
     harness.run(attempt)
-    attempt.entry.claims.lost(attempt.ticket)
+    attempt.entry.claims.mark_unknown(attempt.claim_id)
     for _ in range(2):
         for name in ("a", "b"):
             reply = harness.begin(name)
@@ -89,13 +89,13 @@
     Claims don't expire, so each entry reports an unknown outcome. Once the
     holder resumes and finishes, its answer is replayed.
     """
-    attempt = harness.attempt("a")
+    attempt = harness.claim_request("a")
     for name in ("a", "b"):
         assert harness.begin(name) == claim_rules.IN_PROGRESS
     attempt.entry.cut_from_peers = True
     harness.clock.advance(3600)
     assert harness.begin("b") == claim_rules.HOLDER_UNREACHABLE
-    harness.finish(attempt)
+    harness.run_and_complete(attempt)
     attempt.entry.write_all()
     assert harness.begin("b") == claims.Replay(attempt.answer)
 
@@ -106,8 +106,8 @@
     The other entry reads an open claim and queries the holder, which is
     shutting down and does not reply, but has written the answer meanwhile.
     """
-    attempt = harness.attempt("a")
-    harness.finish(attempt)
+    attempt = harness.claim_request("a")
+    harness.run_and_complete(attempt)
     attempt.entry.cut_from_peers = True
     harness.before_reply = attempt.entry.write_all
     assert harness.begin("b") == claims.Replay(attempt.answer)
@@ -120,12 +120,12 @@
     refuses a new request as not run at once. After the outage, the answer is
     written.
     """
-    attempt = harness.attempt("a")
+    attempt = harness.claim_request("a")
     attempt.entry.link.faults.down = True
-    harness.finish(attempt)
+    harness.run_and_complete(attempt)
     assert attempt.entry.claims.flush(60.0) == 1
     assert harness.begin("a") == claims.Replay(attempt.answer)
-    harness.advance_in_contact(2 * claim_world.CONTACT_S)
+    harness.advance_in_contact(2 * claim_harness.CONTACT_S)
     harness.issued_ms = int(harness.clock.wall() * 1000)
     assert (
         harness.begin("a", harness.request("new"))
@@ -140,7 +140,7 @@
 
 def test_a_claim_is_settled_only_once(harness):
     """Releasing a claim after its request was sent would allow a second run."""
-    attempt = harness.attempt("a")
-    attempt.entry.claims.lost(attempt.ticket)
+    attempt = harness.claim_request("a")
+    attempt.entry.claims.mark_unknown(attempt.claim_id)
     with pytest.raises(errors.InvariantError):
-        attempt.entry.claims.release(attempt.ticket)
+        attempt.entry.claims.release(attempt.claim_id)
--- a/tests/failures/test_lost_store_answers.py
+++ b/tests/failures/test_lost_store_answers.py
@@ -5,8 +5,8 @@
 import gevent
 
 from tests.common import fleet_builders
-from vanillaswitch.coordination import answer_times
-from vanillaswitch.coordination import prompt_table
+from vanillaswitch.coordination import hedged_table
+from vanillaswitch.coordination import hedging_delay
 from vanillaswitch.coordination.fleet.job_requests import job_store
 from vanillaswitch.coordination.fleet.ownership import fenced_writer
 from vanillaswitch.coordination.fleet.ownership import owner_monitor
@@ -88,7 +88,7 @@
     """
     clock = clocks.SystemClock()
     store = _Store(random.Random(5), loss_rate=0.35)
-    table = prompt_table.PromptTable(store, clock)
+    table = hedged_table.HedgedTable(store, clock)
     writer = _writer(table, clock)
     longest_s = _longest_write_s(writer, clock, 60)
     assert longest_s < owner_monitor.SUSPECT_AFTER_S
@@ -103,7 +103,7 @@
     """
     clock = clocks.SystemClock()
     store = _Store(random.Random(1), slowdown=60.0)
-    writer = _writer(prompt_table.PromptTable(store, clock), clock)
+    writer = _writer(hedged_table.HedgedTable(store, clock), clock)
     _longest_write_s(writer, clock, 2)
     before = store.writes
     _longest_write_s(writer, clock, 4)
@@ -120,12 +120,12 @@
     clock = clocks.SystemClock()
     store = _Store(random.Random(1), loss_rate=1.0)
     job_store_ = job_store.JobStore(
-        prompt_table.PromptTable(store, clock), clock, "boot", lambda: 0.0
+        hedged_table.HedgedTable(store, clock), clock, "boot", lambda: 0.0
     )
     started_at = clock.monotonic()
     verdict = job_store_.submit(fleet_builders.job(), started_at + 3.0)
     assert verdict is job_store.RequestResult.ACCEPTED
-    assert clock.monotonic() - started_at < 2 * answer_times.FIRST_S
+    assert clock.monotonic() - started_at < 2 * hedging_delay.INITIAL_DELAY_S
 
 
 class _RejectingCopies:
@@ -150,7 +150,7 @@
     second is rejected. Only the first could show that nothing was done.
     """
     clock = clocks.SystemClock()
-    table = prompt_table.PromptTable(_RejectingCopies(), clock)
+    table = hedged_table.HedgedTable(_RejectingCopies(), clock)
     put = platform.Put("job/a", platform.ABSENT, {})
     transaction = platform.Transaction("t-1", (put,))
     outcomes = [table.commit(transaction) for _ in range(3)]
--- a/tests/failures/test_not_run_of_a_key.py
+++ b/tests/failures/test_not_run_during_table_outage.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from tests.common import claim_world
+from tests.common import claim_harness
+from vanillaswitch.coordination.once import claim_history
 from vanillaswitch.coordination.once import claim_rules
-from vanillaswitch.coordination.once import claim_witness
 from vanillaswitch.protocol import claims
 from vanillaswitch.protocol import peers
 from vanillaswitch.state import keys
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def harness():
-    made = claim_world.World()
+    made = claim_harness.ClaimHarness()
     yield made
     made.close()
 
@@ -31,7 +31,7 @@
     the request was restarted, is cut off from its peers, or was replaced at
     another address.
     """
-    attempt = harness.attempt("a")
+    attempt = harness.claim_request("a")
     harness.run(attempt)
     disconnect_table(harness)
     match loss:
@@ -41,12 +41,12 @@
             attempt.entry.cut_from_peers = True
         case "replaced elsewhere":
             harness.entries.pop("a").kill()
-            harness.advance_in_contact(claim_world.CONTACT_S)
+            harness.advance_in_contact(claim_harness.CONTACT_S)
             harness.restart("d")
-            harness.advance_in_contact(claim_world.CONTACT_S)
+            harness.advance_in_contact(claim_harness.CONTACT_S)
     for _ in range(2):
         assert harness.begin("b") == claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
-        harness.advance_in_contact(claim_world.CONTACT_S)
+        harness.advance_in_contact(claim_harness.CONTACT_S)
 
 
 def test_the_holder_reports_the_outcome_during_an_outage(harness):
@@ -55,10 +55,10 @@
     The first entry is alive and knows the state of the request: in progress, or
     completed with an answer. Both entries report it without the table.
     """
-    attempt = harness.attempt("a")
+    attempt = harness.claim_request("a")
     disconnect_table(harness)
     assert harness.begin("b") == claim_rules.IN_PROGRESS
-    harness.finish(attempt)
+    harness.run_and_complete(attempt)
     assert harness.begin("b") == claims.Replay(attempt.answer)
     new = harness.request("new")
     assert harness.begin("b", new) == claim_rules.CLAIMS_UNAVAILABLE
@@ -66,17 +66,17 @@
 
 def test_a_run_with_a_large_answer_is_reported_as_run(harness):
     """A large answer can't be fetched in the outage, but the request ran."""
-    attempt = harness.attempt("a")
+    attempt = harness.claim_request("a")
     disconnect_table(harness)
-    harness.finish(attempt, b"x" * 200_000)
+    harness.run_and_complete(attempt, b"x" * 200_000)
     assert harness.begin("b") == claim_rules.ANSWER_UNAVAILABLE
 
 
 def test_a_released_request_is_reported_as_not_run(harness):
     """A request that no minion accepted is retried during an outage."""
-    attempt = harness.attempt("a")
+    attempt = harness.claim_request("a")
     disconnect_table(harness)
-    attempt.entry.claims.release(attempt.ticket)
+    attempt.entry.claims.release(attempt.claim_id)
     for name in ("a", "b"):
         assert harness.begin(name) == claim_rules.CLAIMS_UNAVAILABLE
 
@@ -90,10 +90,12 @@
     Either it has made more claims than it remembers, or it remembers only their
     keys. This holds whether the entry itself or a peer gets the retry.
     """
-    monkeypatch.setattr(claim_witness, "MAX_REMEMBERED_CLAIMS", remembered)
-    ledger = harness.entries["a"].parts.ledger
+    monkeypatch.setattr(claim_history, "MAX_REMEMBERED_CLAIMS", remembered)
+    ledger = harness.entries["a"].parts.records
     for number in range(4):
-        harness.finish(harness.attempt("a", harness.request(f"k{number}")))
+        harness.run_and_complete(
+            harness.claim_request("a", harness.request(f"k{number}"))
+        )
     ledger.write_all()
     ledger._recent.clear()
     disconnect_table(harness)
@@ -128,7 +130,7 @@
     assert harness.begin("b") == claim_rules.CLAIMS_UNAVAILABLE
     assert results == [claim_rules.IN_PROGRESS]
     harness.clock.advance(claim_rules.RETRY_AFTER_S)
-    harness.attempt("a")
+    harness.claim_request("a")
 
 
 def test_the_age_of_a_request_allows_for_fast_caller_clocks(harness):
@@ -138,7 +140,7 @@
     of the entry. Entries allow for the largest difference that they accept.
     """
     harness.issued_ms += 300_000
-    attempt = harness.attempt("a")
+    attempt = harness.claim_request("a")
     harness.run(attempt)
     harness.restart("a")
     harness.advance_in_contact(300)
@@ -155,7 +157,7 @@
     disconnect_table(harness)
     queries = []
     harness.before_reply = lambda: queries.append(1)
-    monkeypatch.setattr(claim_witness, "MAX_CONCURRENT_CHECKS", 0)
+    monkeypatch.setattr(claim_history, "MAX_CONCURRENT_CHECKS", 0)
     assert harness.begin("b") == claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
     monkeypatch.undo()
     harness.restart("b")
--- a/tests/failures/test_not_run_is_true.py
+++ b/tests/failures/test_not_run_guarantee.py
@@ -10,8 +10,8 @@
 import pytest
 
 from tests.common import clocks
-from tests.common import paths
-from vanillaswitch.coordination.entry import slot_book
+from tests.common import request_path_harness
+from vanillaswitch.coordination.entry import slot_allocator
 from vanillaswitch.protocol import minions
 from vanillaswitch.protocol import requests
 
@@ -32,8 +32,8 @@
 
 
 _REFUSED = minions.NotSent("refused")
-_RESET = minions.Lost("reset", silent=False)
-_NO_ANSWER = minions.Lost("no answer", silent=True)
+_RESET = minions.ResponseLost("reset", timed_out=False)
+_NO_ANSWER = minions.ResponseLost("no answer", timed_out=True)
 _DECLINED = minions.Answered(requests.Answer(503, (), b""))
 _FAULTS = (
     Fault(_REFUSED),
@@ -60,7 +60,7 @@
     ) -> minions.SendOutcome:
         """Returns the outcome of the next fault."""
         assert timeout_s > 0
-        success = Fault(paths.answer_to(request), runs=True)
+        success = Fault(request_path_harness.echo_answer(request), runs=True)
         fault = (self._faults.popleft() if self._faults else None) or success
         if fault.outcome not in (_REFUSED, _DECLINED):
             self.possible_runs[request.request_id] += 1
@@ -75,7 +75,9 @@
 _SCENARIOS = st.lists(st.tuples(_KINDS, _FAULT_LISTS), min_size=1, max_size=6)
 
 
-def _handle(rig: paths.Rig, kind: str, request_id: str) -> requests.Reply:
+def _handle(
+    rig: request_path_harness.RequestPathHarness, kind: str, request_id: str
+) -> requests.Reply:
     if kind == "quote":
         return rig.handle(request_id=request_id)
     key = request_id if kind == "charge with key" else ""
@@ -83,7 +85,10 @@
 
 
 def _check_request(
-    rig: paths.Rig, faulty: FaultyMinions, kind: str, name: str
+    rig: request_path_harness.RequestPathHarness,
+    faulty: FaultyMinions,
+    kind: str,
+    name: str,
 ) -> None:
     reply = _handle(rig, kind, name)
     if isinstance(reply, requests.Answer):
@@ -112,9 +117,9 @@
     earlier attempt may still run.
     """
     faults = [fault for _, faults in scenario for fault in faults]
-    with paths.running() as rig:
+    with request_path_harness.run_request_path() as rig:
         faulty = FaultyMinions(rig.clock, faults)
-        rig.sends.responder = faulty.answer
+        rig.minion_client.responder = faulty.answer
         if not can_catch_up:
             rig.catch_up = lambda _: False
         for number, (kind, _) in enumerate(scenario):
@@ -124,11 +129,11 @@
         # A lost attempt may still run, so its slot stays counted for a while.
         outcomes = (fault.outcome for fault in faults if fault)
         lost_count = sum(
-            isinstance(outcome, minions.Lost) for outcome in outcomes
+            isinstance(outcome, minions.ResponseLost) for outcome in outcomes
         )
-        assert sum(rig.path.loads.values()) <= lost_count
-        rig.clock.advance(slot_book.MAX_LINGER_S)
-        assert rig.path.loads == {}
+        assert sum(rig.path.in_flight_by_minion.values()) <= lost_count
+        rig.clock.advance(slot_allocator.MAX_ABANDONED_S)
+        assert rig.path.in_flight_by_minion == {}
 
 
 def test_a_charge_killed_while_it_is_sent_has_an_unknown_outcome():
@@ -144,13 +149,13 @@
         never_set.wait()
         raise AssertionError
 
-    with paths.running(block) as rig:
+    with request_path_harness.run_request_path(block) as rig:
         task = gevent.spawn(rig.charge, "k")
         sent.wait()
         task.kill()
         assert rig.claims.settled == [("r1", "lost")]
         gevent.idle()
-        assert rig.path.loads == {}
+        assert rig.path.in_flight_by_minion == {}
 
 
 def test_the_claim_of_a_charge_killed_in_the_queue_is_released():
@@ -159,14 +164,14 @@
     The charge was claimed and waits for a slot when its task is killed. A claim
     left open would be answered "unknown" permanently.
     """
-    with paths.running() as rig:
+    with request_path_harness.run_request_path() as rig:
         rig.occupy_slots_by_peers(m0=8, m1=8, m2=8)
         task = gevent.spawn(rig.charge, "k")
         while not rig.claims.begun:
             gevent.sleep(0)
         task.kill()
         assert rig.claims.settled == [("r1", "released")]
-        assert not rig.sends.minions
+        assert not rig.minion_client.minions
 
 
 @pytest.mark.parametrize("timeout_ms", [1000, 4000])
@@ -177,7 +182,7 @@
     its view afterwards. It continues after the deadline, when the caller no
     longer waits.
     """
-    with paths.running() as rig:
+    with request_path_harness.run_request_path() as rig:
         begin = rig.claims.begin
 
         def slow_begin(request):
@@ -188,11 +193,11 @@
             rig.clock.advance(timeout_ms / 1000 - 3)
             return rig.refresh()
 
-        rig.fleet.tick(rig.clock.monotonic())
+        rig.fleet.check_for_pause(rig.clock.monotonic())
         rig.claims.begin = slow_begin
         rig.catch_up = slow_catch_up
         reply = rig.charge("k", timeout_ms=timeout_ms)
     assert isinstance(reply, requests.Refusal)
     assert reply.outcome is requests.Outcome.NOT_RUN
     assert rig.claims.settled == [("r1", "released")]
-    assert not rig.sends.minions
+    assert not rig.minion_client.minions
--- a/tests/failures/test_peer_membership_failures.py
+++ b/tests/failures/test_peer_membership_failures.py
@@ -8,18 +8,18 @@
 make_state = test_peer_membership.make_state
 with_heartbeats = test_peer_membership.with_heartbeats
 heartbeat = peer_doubles.heartbeat
-Standing = peer_membership.Standing
+Standing = peer_membership.Liveness
 
 
 def after_ticks(state, start, seconds):
     """Returns the state after ticks twice a second, as without a pause."""
     for half in range(1, int(seconds * 2) + 1):
-        state = peer_membership.tick(state, start + half / 2)
+        state = peer_membership.with_liveness_checked(state, start + half / 2)
     return state
 
 
 def standing(state, process="a"):
-    return state.members[process].standing
+    return state.members[process].liveness
 
 
 def test_a_restarted_peer_replaces_its_old_boot_at_once_and_for_good():
@@ -30,11 +30,11 @@
     """
     state = with_heartbeats(make_state(), heartbeat(sequence=7, boot="old"))
     state = with_heartbeats(state, heartbeat(sequence=1, boot="new"))
-    assert state.members["a"].last.boot == "new"
+    assert state.members["a"].last_heartbeat.boot == "new"
     state = with_heartbeats(
         state, heartbeat(sequence=8, boot="old", leaving=True)
     )
-    assert state.members["a"].last.boot == "new"
+    assert state.members["a"].last_heartbeat.boot == "new"
     assert standing(state) is Standing.ALIVE
 
 
@@ -53,7 +53,7 @@
         now += 0.5
         beat = heartbeat(sequence=sequence, boot="living")
         state = with_heartbeats(state, beat, now=now)
-    assert state.members["a"].last == beat
+    assert state.members["a"].last_heartbeat == beat
     assert standing(state) is Standing.ALIVE
 
 
@@ -65,11 +65,11 @@
     """
     state = with_heartbeats(make_state(), heartbeat(loads={"m1": 4}))
     state = after_ticks(state, START, 0.5)
-    assert peer_membership.loads(state, START + 0.5) == {"m1": 4}
+    assert peer_membership.peer_in_flight(state, START + 0.5) == {"m1": 4}
     resumed_at = START + 60.0
-    state = peer_membership.tick(state, resumed_at)
+    state = peer_membership.with_liveness_checked(state, resumed_at)
     assert standing(state) is Standing.ALIVE
-    assert peer_membership.loads(state, resumed_at) == {}
+    assert peer_membership.peer_in_flight(state, resumed_at) == {}
     state = with_heartbeats(state, heartbeat(sequence=2), now=resumed_at + 0.2)
     assert standing(after_ticks(state, resumed_at, 1.0)) is Standing.ALIVE
 
@@ -83,7 +83,9 @@
     state = after_ticks(with_heartbeats(make_state(), heartbeat()), START, 0.5)
     resumed_at = START + 60.0
     state = after_ticks(
-        peer_membership.tick(state, resumed_at), resumed_at, 4.0
+        peer_membership.with_liveness_checked(state, resumed_at),
+        resumed_at,
+        4.0,
     )
     assert standing(state) is Standing.GONE
 
@@ -99,8 +101,8 @@
     )
     last = heartbeat(sequence=2, loads={"m1": 3}, leaving=True)
     state = with_heartbeats(state, last, heartbeat(sequence=3))
-    assert peer_membership.alive(state) == ()
-    assert peer_membership.loads(state, START) == {"m1": 3}
+    assert peer_membership.live_heartbeats(state) == ()
+    assert peer_membership.peer_in_flight(state, START) == {"m1": 3}
 
 
 def test_a_dead_address_is_not_gossiped_for_ever():
--- a/tests/failures/test_one_pool.py
+++ b/tests/failures/test_pool_membership.py
@@ -6,10 +6,10 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 
-from tests.common import benches
-from vanillaswitch.coordination.maintenance import buffer
+from tests.common import fleet_harness
 from vanillaswitch.coordination.maintenance import instance_steps
-from vanillaswitch.coordination.maintenance import move_duty  # noqa: F401
+from vanillaswitch.coordination.maintenance import pool_duty  # noqa: F401
+from vanillaswitch.coordination.maintenance import spare_capacity
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 from vanillaswitch.state import keys
@@ -25,10 +25,10 @@
         name: config_lib.Pool(POOLS[name], workers)
         for name, workers in (("a1", a1), ("a2", a2), ("b1", b1))
     }
-    return benches.config_of(("a", "b"), minions=0, pools=pools)
+    return fleet_harness.build_config(("a", "b"), minions=0, pools=pools)
 
 
-class PoolCheckingBench(benches.Bench):
+class PoolCheckingBench(fleet_harness.FleetHarness):
     """Checks each change of pool at the moment it is committed."""
 
     def check_transactions(self) -> None:
@@ -52,7 +52,7 @@
         if put.value["pool"] != found.value["pool"]:
             name = keys.name_of(keys.INSTANCES, put.key)
             machine = self.platform.instances._machines[name]
-            assert machine.phase is platform.Phase.DRAINED
+            assert machine.phase is platform.MaintenancePhase.DRAINED
             assert machine.in_flight == 0
 
 
@@ -67,9 +67,9 @@
 
     def __init__(self):
         super().__init__()
-        listings = benches.worker_listings(WORKERS, per_rack=3)
+        listings = fleet_harness.worker_listings(WORKERS, per_rack=3)
         pools = ["a1", "a1", "a2", "a2", "b1", "b1", "b1"]
-        pools += [buffer.SPARE_POOL] * 2
+        pools += [spare_capacity.SPARE_POOL] * 2
         names = [one.instance for one in listings]
         of = dict(zip(names, pools, strict=True))
         self.bench = PoolCheckingBench(
@@ -78,7 +78,7 @@
             lambda one: (of[one.instance], POOLS.get(of[one.instance], "")),
         )
         for duty in DUTIES:
-            self.bench.take_over(duty)
+            self.bench.replace_holder(duty)
         self.bench.check_transactions()
 
     @stateful.rule(duty=st.sampled_from(DUTIES), count=st.integers(1, 4))
@@ -99,8 +99,8 @@
     )
     def kill_controller(self, duty, call, when):
         """The holder of a duty is killed at one of its calls."""
-        self.bench.kill_at = self.bench._calls + call
-        self.bench.kill_when = when
+        self.bench.kill_at_call = self.bench.call_count + call
+        self.bench.kill_before_or_after = when
         self.bench.step(duty)
 
     @stateful.rule(duty=st.sampled_from(DUTIES), process=st.integers(0, 1))
@@ -138,7 +138,7 @@
         """The number of tasks on a worker changes."""
         name = f"worker-{index:03}"
         instances = self.bench.platform.instances
-        if instances.phase(name) is not platform.Phase.DRAINED:
+        if instances.phase(name) is not platform.MaintenancePhase.DRAINED:
             instances.set_in_flight(name, jobs)
 
     @stateful.invariant()
@@ -148,10 +148,10 @@
         assert len(fleet.members) == WORKERS
         for name, member in fleet.members.items():
             row = member.row
-            assert row.pool in {*POOLS, buffer.SPARE_POOL}
+            assert row.pool in {*POOLS, spare_capacity.SPARE_POOL}
             assert row.service == POOLS.get(row.pool, "")
             down = [s for s in "ab" if name in fleet.budget(s).row.down]
-            under_way = instance_steps.is_under_way(row)
+            under_way = instance_steps.is_in_progress(row)
             assert down == [row.service] * bool(row.service and under_way)
 
     def teardown(self):
@@ -163,9 +163,9 @@
             for duty in DUTIES:
                 self.bench.step(duty)
             members = self.bench.fleet().members.values()
-            if not any(instance_steps.is_under_way(m.row) for m in members):
+            if not any(instance_steps.is_in_progress(m.row) for m in members):
                 break
-        assert not self.bench.not_serving()
+        assert not self.bench.instances_not_serving()
         self.each_worker_has_one_pool_and_budgets_agree()
 
 
@@ -181,22 +181,25 @@
     A worker fails and disappears from the list. A spare worker replaces it
     after ``REPLACE_AFTER_S``. Its row is deleted after ``FORGET_AFTER_S``.
     """
-    listings = benches.worker_listings(3)
+    listings = fleet_harness.worker_listings(3)
     pools = {"a": config_lib.Pool("a", 2)}
-    bench = benches.Bench(
+    bench = fleet_harness.FleetHarness(
         listings,
-        benches.config_of(("a",), minions=0, pools=pools),
+        fleet_harness.build_config(("a",), minions=0, pools=pools),
         lambda one: ("a", "a") if one is not listings[2] else ("spare", ""),
     )
     bench.platform.instances.kill("worker-000", vanish=True)
     bench.step("pool-group/a")
-    assert bench.fleet().members["worker-002"].row.pool == buffer.SPARE_POOL
-    bench.clock.advance(move_duty.REPLACE_AFTER_S)
+    assert (
+        bench.fleet().members["worker-002"].row.pool
+        == spare_capacity.SPARE_POOL
+    )
+    bench.clock.advance(pool_duty.REPLACE_AFTER_S)
     for _ in range(5):
         bench.step("pool-group/a")
     row = bench.fleet().members["worker-002"].row
-    assert (row.pool, row.phase) == ("a", platform.Phase.SERVING)
-    bench.clock.advance(move_duty.FORGET_AFTER_S)
+    assert (row.pool, row.phase) == ("a", platform.MaintenancePhase.SERVING)
+    bench.clock.advance(pool_duty.FORGET_AFTER_S)
     bench.step("pool-group/a")
     assert "worker-000" not in bench.fleet().members
 
@@ -207,15 +210,17 @@
     A wave that is removed from the configuration has no duty any more. The
     duty of the service's pools finishes the wave's operations.
     """
-    listings = benches.minion_listings("a", count=2)
-    bench = benches.Bench(listings, benches.config_of(("a",), minions=2))
+    listings = fleet_harness.minion_listings("a", count=2)
+    bench = fleet_harness.FleetHarness(
+        listings, fleet_harness.build_config(("a",), minions=2)
+    )
     member = bench.fleet().members["a-0"]
-    row = instance_steps.take_down(member.row, member.status, "drain-1")
+    row = instance_steps.begin_drain(member.row, member.status, "drain-1")
     row = dataclasses.replace(row, wave="removed")
     bench.put(keys.instance("a-0"), row)
     bench.put(keys.budget("a"), rows.Budget({"a-0": "drain-1"}))
     for _ in range(5):
         bench.step("pool-group/a")
-    assert not bench.not_serving()
+    assert not bench.instances_not_serving()
     assert not bench.fleet().budget("a").row.down
     assert bench.platform.instances.reboots_in_use == 0
--- a/tests/failures/test_process_controllers.py
+++ b/tests/failures/test_process_controllers.py
@@ -8,7 +8,7 @@
 from vanillaswitch.coordination.maintenance import wave_state
 from vanillaswitch.protocol import platform
 
-PHASE = platform.Phase
+PHASE = platform.MaintenancePhase
 STATE = wave_state.WaveState
 WAVE = "small"
 SERVICES = ("berthing", "pilotage")
--- a/tests/failures/test_process_wave.py
+++ b/tests/failures/test_process_wave.py
@@ -9,7 +9,7 @@
 from vanillaswitch.coordination.maintenance import wave_state
 from vanillaswitch.protocol import platform
 
-PHASE = platform.Phase
+PHASE = platform.MaintenancePhase
 UNDER_WAY = (PHASE.DRAINING, PHASE.DRAINED, PHASE.REBOOTING)
 WAVE = "small"
 SERVICES = ("berthing", "pilotage")
--- a/tests/failures/test_retention_raised.py
+++ b/tests/failures/test_retention_raised.py
@@ -35,4 +35,4 @@
     deleted = claim_expiry.expiry_deletes((row,), now_ms)
     if deleted:
         asked_ms = now_ms + later_s * 1000
-        assert claim_expiry.too_old(issued_ms, asked_ms, retention_s)
+        assert claim_expiry.is_too_old(issued_ms, asked_ms, retention_s)
--- a/tests/failures/test_retry_storm.py
+++ b/tests/failures/test_retry_storm.py
@@ -4,7 +4,7 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from tests.common import paths
+from tests.common import request_path_harness
 from vanillaswitch.coordination.entry import retry
 from vanillaswitch.protocol import minions
 from vanillaswitch.protocol import requests
@@ -14,8 +14,8 @@
     (
         None,
         minions.NotSent("refused"),
-        minions.Lost("reset", silent=False),
-        minions.Lost("no answer", silent=True),
+        minions.ResponseLost("reset", timed_out=False),
+        minions.ResponseLost("no answer", timed_out=True),
         minions.Answered(requests.Answer(503, (), b"")),
     )
 )
@@ -43,9 +43,9 @@
         nonlocal sent_count
         outcome = outcomes[min(sent_count, len(outcomes) - 1)]
         sent_count += 1
-        return outcome or paths.answer_to(request)
+        return outcome or request_path_harness.echo_answer(request)
 
-    with paths.running(answer) as rig:
+    with request_path_harness.run_request_path(answer) as rig:
         for number in range(count):
             task = gevent.spawn(rig.handle, request_id=f"r{number}")
             # The request may wait until a suspected minion is probed again.
@@ -77,8 +77,8 @@
     first_attempts = retries = 0
     for number, is_first in enumerate(events):
         if is_first:
-            budget.first_attempt(ratio)
-        taken = not is_first and budget.take()
+            budget.credit_first_attempt(ratio)
+        taken = not is_first and budget.try_take()
         if number >= storm_start:
             first_attempts += is_first
             retries += taken
--- a/tests/failures/test_sent_once.py
+++ b/tests/failures/test_sent_once.py
@@ -42,8 +42,8 @@
     with raw_http.scripted(reply) as (script, address):
         warm(client, address, 4)
         outcome = wire.send(client, address, "charge")
-        assert isinstance(outcome, minions.Lost)
-        assert not outcome.silent
+        assert isinstance(outcome, minions.ResponseLost)
+        assert not outcome.timed_out
         assert sum(b": charge\r\n" in one for one in script.requests) == 1
 
 
@@ -74,8 +74,8 @@
         warm(client, running.address, 3)
         running.switch(reset_next=1, unlucky_run=ran)
         outcome = wire.send(client, running.address)
-        assert isinstance(outcome, minions.Lost)
-        assert not outcome.silent
+        assert isinstance(outcome, minions.ResponseLost)
+        assert not outcome.timed_out
         assert running.received == 4
         assert running.by_request["r-1"] == int(ran)
 
@@ -93,7 +93,9 @@
         warm(client, running.address, 3)
         running.switch(silent_next=1)
         outcome = wire.send(client, running.address, "q", SOON_S)
-        assert outcome == minions.Lost("no whole answer in time", silent=True)
+        assert outcome == minions.ResponseLost(
+            "no whole answer in time", timed_out=True
+        )
         running.wait_for_received(4)
         assert running.by_request["q"] == 1
         with gevent.Timeout(wire.LONG_S):
@@ -140,7 +142,9 @@
     monkeypatch.setattr(sockets, "connect", lambda *_: mine)
     request = wire.request_of(method="POST", body=b"x" * 10_000_000)
     outcome = wire.send(client, "127.0.0.1:1", request, SOON_S)
-    assert outcome == minions.Lost("no whole answer in time", silent=True)
+    assert outcome == minions.ResponseLost(
+        "no whole answer in time", timed_out=True
+    )
     theirs.close()
 
 
@@ -154,7 +158,9 @@
     theirs.sendall(b"HTTP/1.1 200 OK\r\n")
     monkeypatch.setattr(sockets, "connect", lambda *_: mine)
     outcome = wire.send(client, "127.0.0.1:1", "r", SOON_S)
-    assert outcome == minions.Lost("no whole answer in time", silent=False)
+    assert outcome == minions.ResponseLost(
+        "no whole answer in time", timed_out=False
+    )
     theirs.close()
 
 
--- a/tests/failures/test_silent_store.py
+++ b/tests/failures/test_silent_store.py
@@ -6,7 +6,7 @@
 from standins import edge_http
 from tests.common import clocks as manual
 from tests.common import fleet_builders
-from vanillaswitch.coordination import prompt_table
+from vanillaswitch.coordination import hedged_table
 from vanillaswitch.coordination.fleet import table_follower
 from vanillaswitch.coordination.fleet.job_requests import job_store
 from vanillaswitch.coordination.fleet.ownership import fenced_writer
@@ -136,7 +136,7 @@
     clock = clocks.SystemClock()
     store = _SilentUntil(silent_s)
     writer = fenced_writer.FencedWriter(
-        prompt_table.PromptTable(store, clock),
+        hedged_table.HedgedTable(store, clock),
         clock,
         fenced_writer.OwnerRow("edge-1", "a:1", "boot-1"),
     )
@@ -149,7 +149,7 @@
     """Guards against a take-over two seconds late after an outage."""
     clock = clocks.SystemClock()
     store = _SilentUntil(silent_s)
-    table = prompt_table.PromptTable(store, clock)
+    table = hedged_table.HedgedTable(store, clock)
     while isinstance(table.read(["owner/fleet"]), platform.Unavailable):
         clock.sleep(owner_monitor.SUSPECT_READ_INTERVAL_S)
     assert clock.monotonic() - store.back_at < owner_monitor.READ_INTERVAL_S
@@ -165,7 +165,7 @@
         del address, method, target, data, headers, fresh
         if self.silent:
             gevent.sleep(timeout_s)
-            return minions.Lost("silent", True)
+            return minions.ResponseLost("silent", True)
         body = b'{"rows": [], "row_version": 7, "now_ms": 1}'
         return minions.Answered(requests.Answer(200, (), body))
 
--- a/tests/failures/test_slot_loans.py
+++ b/tests/failures/test_slot_loans.py
@@ -2,11 +2,11 @@
 
 import random
 
-from tests.common import paths
+from tests.common import request_path_harness
 from vanillaswitch.coordination.entry import admission
-from vanillaswitch.coordination.entry import lanes
-from vanillaswitch.coordination.entry import lending
-from vanillaswitch.coordination.entry import slot_book
+from vanillaswitch.coordination.entry import class_queues
+from vanillaswitch.coordination.entry import slot_allocator
+from vanillaswitch.coordination.entry import slot_lending
 from vanillaswitch.coordination.entry import slot_loans
 from vanillaswitch.protocol import peers
 from vanillaswitch.state import config
@@ -90,14 +90,14 @@
     Two entries are overloaded by reports. Each slot that becomes free at one
     would be lent to the other, whose requests are not more urgent.
     """
-    rig = paths.Rig()
+    rig = request_path_harness.RequestPathHarness()
     view = config_view.ConfigView()
     policies = config.Policies(routing="lent-share")
-    loaded = paths.make_config()
+    loaded = request_path_harness.make_config()
     view.offer(
         1, "d", config.Config({}, {}, loaded.services, policies=policies)
     )
-    book = slot_book.SlotBook(
+    book = slot_allocator.SlotAllocator(
         random.Random(1),
         "recife",
         view,
@@ -106,14 +106,14 @@
         lambda: ("a", "b"),
     )
     queue = admission.ServiceQueue()
-    lender = lending.Lending(random.Random(1), book, lambda _: queue)
+    lender = slot_lending.SlotLending(random.Random(1), book, lambda _: queue)
     report = loaded.classes["report"]
-    arrival = lanes.Arrival(1, "report", report, 0.0, 1e6)
-    queue.arrive(arrival, admission.Slots(8, 0), 0.0)
+    arrival = class_queues.QueuedRequest(1, "report", report, 0.0, 1e6)
+    queue.enqueue(arrival, admission.SlotCounts(8, 0), 0.0)
 
     def granted_instances(number: int, priority: int) -> tuple[str, ...]:
         ask = peers.SlotAsk("b", f"b-{number}", "berthing", 1, priority)
-        _, (envelope,) = lender.take(ask, 0.0)
+        _, (envelope,) = lender.handle_message(ask, 0.0)
         assert isinstance(envelope.message, peers.SlotGrant)
         return envelope.message.instances
 
--- a/tests/failures/test_frozen_holder.py
+++ b/tests/failures/test_unresponsive_claim_holder.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.common import claim_world
+from tests.common import claim_harness
 from vanillaswitch.coordination.once import claim_lookup
 from vanillaswitch.coordination.once import claim_rules
 from vanillaswitch.protocol import peers
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def harness():
-    made = claim_world.World(("a", "b"))
+    made = claim_harness.ClaimHarness(("a", "b"))
     yield made
     made.close()
 
@@ -21,7 +21,7 @@
     Entry a freezes while it holds the claim: connections to it open, but no
     replies arrive. Entry b queries it only a few times.
     """
-    harness.attempt("a")
+    harness.claim_request("a")
     waits = []
 
     def no_reply(_peer, _query, timeout_s):
--- a/tests/failures/test_silent_connection.py
+++ b/tests/failures/test_unresponsive_connection.py
@@ -1,6 +1,6 @@
 """Pooled connections stop delivering while new ones work."""
 
-from tests.common import paths
+from tests.common import request_path_harness
 from vanillaswitch.protocol import minions
 from vanillaswitch.protocol import requests
 
@@ -14,16 +14,18 @@
     """
 
     def answer_on_new_connections(_, request, timeout_s):
-        if rig.sends.fresh[-1]:
-            return paths.answer_to(request)
+        if rig.minion_client.fresh[-1]:
+            return request_path_harness.echo_answer(request)
         rig.clock.advance(timeout_s)
-        return minions.Lost("no answer", silent=True)
+        return minions.ResponseLost("no answer", timed_out=True)
 
-    with paths.running(answer_on_new_connections) as rig:
+    with request_path_harness.run_request_path(
+        answer_on_new_connections
+    ) as rig:
         start = rig.clock.monotonic()
         assert isinstance(rig.handle(), requests.Answer)
         assert rig.clock.monotonic() - start <= 0.5
-    assert rig.sends.fresh == [False, True]
+    assert rig.minion_client.fresh == [False, True]
 
 
 def test_dead_connections_do_not_make_their_minion_suspect():
@@ -35,14 +37,14 @@
     """
 
     def lose_answers_of_m0(minion, request, __):
-        if minion.instance == "m0" and not rig.sends.fresh[-1]:
-            return minions.Lost("no answer", silent=True)
-        return paths.answer_to(request)
+        if minion.instance == "m0" and not rig.minion_client.fresh[-1]:
+            return minions.ResponseLost("no answer", timed_out=True)
+        return request_path_harness.echo_answer(request)
 
-    with paths.running(lose_answers_of_m0) as rig:
+    with request_path_harness.run_request_path(lose_answers_of_m0) as rig:
         for number in range(40):
             rig.handle(request_id=f"r{number}")
-    assert rig.sends.minions.count("m0") > 5
+    assert rig.minion_client.minions.count("m0") > 5
 
 
 def test_a_minion_that_refuses_connections_gets_no_more_requests():
@@ -56,11 +58,11 @@
     def refuse_at_m0(minion, request, __):
         if minion.instance == "m0":
             return minions.NotSent("refused")
-        return paths.answer_to(request)
+        return request_path_harness.echo_answer(request)
 
-    with paths.running(refuse_at_m0) as rig:
+    with request_path_harness.run_request_path(refuse_at_m0) as rig:
         for number in range(40):
             assert isinstance(
                 rig.handle(request_id=f"{number}"), requests.Answer
             )
-    assert rig.sends.minions.count("m0") == 3
+    assert rig.minion_client.minions.count("m0") == 3
--- a/tests/failures/test_silent_table.py
+++ b/tests/failures/test_unresponsive_table.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from tests.common import claim_world
+from tests.common import claim_harness
 from vanillaswitch.coordination.once import claim_rules
 from vanillaswitch.protocol import platform
 
 
 @pytest.fixture
 def harness():
-    made = claim_world.World(("a",))
+    made = claim_harness.ClaimHarness(("a",))
     yield made
     made.close()
 
@@ -19,7 +19,7 @@
 
     def time_out(outcome):
         harness.clock.advance(2.0)
-        harness.entries["a"].parts.witness.watch()
+        harness.entries["a"].parts.history.watch()
         return outcome
 
     link = harness.entries["a"].link
@@ -48,7 +48,7 @@
     assert harness.clock.monotonic() == started_at
     restore_table(harness)
     harness.entries["a"].write_all()
-    harness.attempt("a", harness.request("k2"))
+    harness.claim_request("a", harness.request("k2"))
 
 
 def test_a_release_does_not_wait_for_an_unresponsive_table(harness):
@@ -57,9 +57,9 @@
     A claim has to be released before "not run" is reported. The table is known
     to be unresponsive, so the entry itself replies to queries for the claim.
     """
-    attempt = harness.attempt("a")
+    attempt = harness.claim_request("a")
     make_table_unresponsive(harness)
     harness.begin("a", harness.request("k2"))
     started_at = harness.clock.monotonic()
-    attempt.entry.claims.release(attempt.ticket)
+    attempt.entry.claims.release(attempt.claim_id)
     assert harness.clock.monotonic() == started_at
--- a/tests/failures/test_wave_failures.py
+++ b/tests/failures/test_wave_failures.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 import pytest
 
-from tests.common import benches
-from vanillaswitch.coordination.maintenance import explain
+from tests.common import fleet_harness
+from vanillaswitch.coordination.maintenance import decision_records
 from vanillaswitch.coordination.maintenance import wave_duty  # noqa: F401
 from vanillaswitch.coordination.maintenance import wave_plan
 from vanillaswitch.coordination.maintenance import wave_state
@@ -24,7 +24,7 @@
 RUNNING = wave_state.WaveState.RUNNING
 
 
-class WaveBench(benches.Bench):
+class WaveBench(fleet_harness.FleetHarness):
     """A bench that runs waves and records their reboots."""
 
     def start_waves(self, *names: str, **fields) -> "WaveBench":
@@ -35,7 +35,7 @@
         self.reboots: list[str] = []
         self.most_down = 0
         for name in names:
-            plan = wave_plan.plan(self.fleet(), self.config, wave)
+            plan = wave_plan.plan_wave(self.fleet(), self.config, wave)
             assert not plan.cannot
             # Every second wave runs its rounds in reverse, so that two waves
             # compete for the budget rather than for one instance.
@@ -57,23 +57,29 @@
                 self.step(f"wave/{name}")
         return next(iter(self.fleet().waves.values())).row
 
-    def _on_phase(self, name: str, phase: platform.Phase) -> None:
-        if phase is platform.Phase.REBOOTING:
+    def _on_phase(self, name: str, phase: platform.MaintenancePhase) -> None:
+        if phase is platform.MaintenancePhase.REBOOTING:
             self.reboots.append(name)
         machines = self.platform.instances._machines.values()
-        down = [m for m in machines if m.phase is not platform.Phase.SERVING]
+        down = [
+            m
+            for m in machines
+            if m.phase is not platform.MaintenancePhase.SERVING
+        ]
         self.most_down = max(self.most_down, len(down))
 
 
 def make_bench(minions: int = 6, **fields) -> WaveBench:
-    listings = benches.minion_listings(count=minions)
-    return WaveBench(listings, benches.config_of(minions=minions), **fields)
+    listings = fleet_harness.minion_listings(count=minions)
+    return WaveBench(
+        listings, fleet_harness.build_config(minions=minions), **fields
+    )
 
 
 def assert_each_rebooted_once(bench: WaveBench) -> None:
     names = [one.instance for one in bench.listings]
     assert sorted(bench.reboots) == names
-    assert not bench.not_serving()
+    assert not bench.instances_not_serving()
     assert not bench.fleet().budget("quotes").row.down
 
 
@@ -87,7 +93,7 @@
     """
     for call in range(1, 150, 2):
         bench = make_bench(minions=3).start_waves("kernel")
-        bench.kill_at, bench.kill_when = call, when
+        bench.kill_at_call, bench.kill_before_or_after = call, when
         assert bench.run_until_stopped().state is wave_state.WaveState.FINISHED
         assert_each_rebooted_once(bench)
         assert bench.most_down <= 2
@@ -151,7 +157,7 @@
     the call has no effect.
     """
     bench = make_bench().start_waves("kernel")
-    bench.take_over("wave/kernel")
+    bench.replace_holder("wave/kernel")
     for fault in faults:
         for part in ("table", "instances"):
             setattr(bench.platform.faults[part], fault, 1)
@@ -175,7 +181,7 @@
     """
     bench = make_bench().start_waves("kernel", "firmware")
     for name in bench.config.waves:
-        bench.take_over(f"wave/{name}")
+        bench.replace_holder(f"wave/{name}")
     for _ in range(60):
         bench.before_next_commit(lambda: bench.step("wave/firmware"))
         bench.step("wave/kernel")
@@ -196,14 +202,14 @@
     instances = bench.platform.instances
     drained = bench.fleet().waves["kernel"].row.rounds[0][0]
     instances.set_in_flight(drained, 1)
-    while instances.phase(drained) is not platform.Phase.DRAINING:
+    while instances.phase(drained) is not platform.MaintenancePhase.DRAINING:
         bench.step("wave/kernel")
     others = [o.instance for o in bench.listings if o.instance != drained]
     for name in others[:3]:
         instances.kill(name, vanish=True)
     for _ in range(10):
         bench.step("wave/kernel")
-    assert bench.not_serving() == set(others[:3])
+    assert bench.instances_not_serving() == set(others[:3])
     assert not bench.reboots
 
 
@@ -215,13 +221,13 @@
     """
     bench = make_bench(lag_s=60.0)
     fleet = bench.fleet()
-    assert not wave_plan.plan(fleet, bench.config, WAVE).cannot
+    assert not wave_plan.plan_wave(fleet, bench.config, WAVE).cannot
     bench.start_waves("kernel")
     for name in ("quotes-4", "quotes-5"):
         bench.platform.instances.kill(name, vanish=True)
     bench.step("wave/kernel")
     bench.step("wave/kernel")
-    assert bench.not_serving() == {"quotes-4", "quotes-5"}
+    assert bench.instances_not_serving() == {"quotes-4", "quotes-5"}
 
 
 def test_a_canary_that_does_not_come_back_stops_the_wave():
@@ -237,7 +243,7 @@
     wave = bench.run_until_stopped()
     assert wave.state is wave_state.WaveState.STOPPED
     assert canary in wave.reason
-    assert bench.not_serving() == {canary}
+    assert bench.instances_not_serving() == {canary}
     assert bench.reboots == [canary]
 
 
@@ -255,7 +261,7 @@
     bench.platform.instances.set_in_flight(busy, 0)
     for _ in range(10):
         bench.step("wave/kernel")
-    assert bench.not_serving() == {broken}
+    assert bench.instances_not_serving() == {broken}
     assert busy not in bench.reboots
 
 
@@ -268,11 +274,11 @@
     bench = make_bench().start_waves("kernel")
     row = bench.fleet().waves["kernel"].row
     paused = dataclasses.replace(row, state=wave_state.WaveState.PAUSED)
-    bench.take_over("wave/kernel")
+    bench.replace_holder("wave/kernel")
     bench.before_next_commit(lambda: bench.put(keys.wave("kernel"), paused))
     for _ in range(5):
         bench.step("wave/kernel")
-        assert not bench.not_serving()
+        assert not bench.instances_not_serving()
 
 
 def test_a_former_holder_takes_nothing_down():
@@ -282,13 +288,13 @@
     Its writes carry the fence of the old epoch and conflict.
     """
     bench = make_bench().start_waves("kernel")
-    bench.take_over("wave/kernel")
+    bench.replace_holder("wave/kernel")
     old = bench.fences["wave/kernel"]
-    bench.take_over("wave/kernel")
+    bench.replace_holder("wave/kernel")
     bench.fences["wave/kernel"] = old
     for _ in range(5):
         bench.step("wave/kernel")
-    assert not bench.not_serving()
+    assert not bench.instances_not_serving()
 
 
 def test_a_cordoned_worker_counts_against_the_budget_of_a_wave():
@@ -299,8 +305,8 @@
     """
     pools = {"batch": config_lib.Pool("quotes", 6)}
     bench = WaveBench(
-        benches.worker_listings(6, per_rack=6),
-        benches.config_of(minions=0, pools=pools, workers_down=2),
+        fleet_harness.worker_listings(6, per_rack=6),
+        fleet_harness.build_config(minions=0, pools=pools, workers_down=2),
         lambda _: ("batch", "quotes"),
     )
     key = keys.instance("worker-000")
@@ -310,7 +316,7 @@
     unusable = set()
     while bench.fleet().waves["kernel"].row.state is RUNNING:
         bench.step("wave/kernel")
-        unusable.add(len(bench.not_serving() | {"worker-000"}))
+        unusable.add(len(bench.instances_not_serving() | {"worker-000"}))
     assert max(unusable) == 2
     assert_each_rebooted_once(bench)
     assert bench.fleet().members["worker-000"].row.cordoned
@@ -358,9 +364,11 @@
     for _ in range(40):
         bench.step("wave/kernel")
     assert busy in bench.fleet().waves["kernel"].row.slow
-    key = explain.key_of(explain.wave_subject("kernel"))
+    key = decision_records.history_key(decision_records.wave_subject("kernel"))
     [row] = bench.platform.table.read([key]).rows
-    rules = [entry.rule for entry in explain.history(row).entries]
+    rules = [
+        entry.rule for entry in decision_records.decode_history(row).entries
+    ]
     assert rules.count("slow drain") == 1
     assert not bench.reboots
     bench.platform.instances.set_in_flight(busy, 0)
--- a/tests/golden/operators.py
+++ b/tests/golden/operators.py
@@ -11,11 +11,11 @@
 
 from standins import fleet as fleet_lib
 from tests.common import clocks
-from tests.common import config_stores
+from tests.common import config_platform
 from tests.common import configs
-from tests.common import maintenance
 from tests.common import records
 from tests.common import sessions
+from tests.common import wave_harness
 from vanillaswitch.cli import main
 from vanillaswitch.coordination.configuration import rollout
 from vanillaswitch.protocol import platform
@@ -68,7 +68,7 @@
     with tempfile.TemporaryDirectory() as place:
         source = configs.EXAMPLES / "mare-dues" / "config"
         folder = shutil.copytree(source, pathlib.Path(place) / "config")
-        desk = _Desk(config_stores.Store().platform(), str(folder))
+        desk = _Desk(config_platform.ConfigPlatform().platform(), str(folder))
         _mistakes(desk)
         _race(desk)
         return desk.record.text()
@@ -80,12 +80,12 @@
     fleet = sessions.fleet_of(example, (service,), "123456")
     outside = fleet_lib.MemoryPlatform(fleet, clock)
     config = sessions.config_of(example, (service,), data_centres={})
-    wave = maintenance.Maintenance(outside, clock, config, service)
+    wave = wave_harness.WaveHarness(outside, clock, config, service)
     rollout.apply(
         outside.interface, clock, random.Random(2), wave.config, "ana", 0
     )
-    wave.adopt()
-    wave.hold()
+    wave.write_instance_rows()
+    wave.wait_for_duty()
     desk = _Desk(outside.interface)
     _wave(desk, wave)
     return desk.record.text()
@@ -128,8 +128,8 @@
     desk.run("config", "apply", folder, *_PLATFORM)
 
 
-def _wave(desk: _Desk, wave: maintenance.Maintenance) -> None:
-    name = maintenance.WAVE
+def _wave(desk: _Desk, wave: wave_harness.WaveHarness) -> None:
+    name = wave_harness.WAVE
     title = desk.record.title
     title("Before the wave")
     desk.run("wave", "plan", "lighthouse", *_PLATFORM)
@@ -157,6 +157,6 @@
     desk.run("fleet", "explain", "wave/lighthouse", *_PLATFORM)
 
 
-def _steps(wave: maintenance.Maintenance) -> None:
+def _steps(wave: wave_harness.WaveHarness) -> None:
     for _ in range(_STEPS):
         wave.step()
--- a/tests/golden/waves.py
+++ b/tests/golden/waves.py
@@ -4,9 +4,9 @@
 
 from standins import fleet as fleet_lib
 from tests.common import clocks
-from tests.common import maintenance
 from tests.common import records
 from tests.common import sessions
+from tests.common import wave_harness
 from vanillaswitch.coordination.maintenance import wave_state
 from vanillaswitch.state import keys
 
@@ -25,11 +25,11 @@
         lambda name, phase: record.add(f"{name} is {phase}")
     )
     config = sessions.config_of(example, (service,), data_centres={})
-    wave = maintenance.Maintenance(outside, clock, config, service)
+    wave = wave_harness.WaveHarness(outside, clock, config, service)
     record.title("The instances are adopted")
-    wave.adopt()
+    wave.write_instance_rows()
     record.title("The only controller takes the duties")
-    wave.hold()
+    wave.wait_for_duty()
     record.title("An operator starts the wave")
     wave.start()
     for number in range(1, _STEPS):
--- a/tests/stories/test_larkspur.py
+++ b/tests/stories/test_larkspur.py
@@ -7,8 +7,8 @@
 import pytest_bdd as bdd
 
 from tests.common import clocks
-from tests.common import maintenance
 from tests.common import sessions
+from tests.common import wave_harness
 from vanillaswitch.protocol import platform
 from vanillaswitch.state import config as config_lib
 
@@ -43,7 +43,7 @@
     config = dataclasses.replace(config, services=services)
     session.apply(config, 1)
     clock = clocks.ManualClock()
-    return maintenance.Maintenance(session.standin, clock, config, DESK)
+    return wave_harness.WaveHarness(session.standin, clock, config, DESK)
 
 
 @pytest.fixture
@@ -72,7 +72,7 @@
 @bdd.when("a wave maintains the minions of the fitting desk")
 def _(wave, phases):
     assert not phases
-    wave.adopt()
+    wave.write_instance_rows()
     wave.hold()
     wave.start()
 
@@ -97,10 +97,12 @@
 
 @bdd.then("each minion was rebooted once, one at a time")
 def _(session, phases):
-    rebooted = [n for n, p in phases if p is platform.Phase.REBOOTING]
+    rebooted = [
+        n for n, p in phases if p is platform.MaintenancePhase.REBOOTING
+    ]
     assert sorted(rebooted) == [n for n in session.minions if DESK in n]
-    begun = [n for n, p in phases if p is platform.Phase.DRAINING]
-    served = [n for n, p in phases if p is platform.Phase.SERVING]
+    begun = [n for n, p in phases if p is platform.MaintenancePhase.DRAINING]
+    served = [n for n, p in phases if p is platform.MaintenancePhase.SERVING]
     kinds = [p for _, p in phases if p in ("draining", "serving")]
     assert begun == served
     assert kinds == ["draining", "serving"] * len(begun)
