--- a/src/vanillaswitch/coordination/fleet/events.py
+++ b/src/vanillaswitch/coordination/fleet/events.py
@@ -1,9 +1,16 @@
-"""Typed log events of the processes on the users' platform.
+"""Structured log events of the processes that run the fleet.
 
 Each event is one log line. It reports a decision about a job or a request, or
-a change in the state that the process assumes, together with the information
-behind it and that information's age or version. docs/OPERATIONS.md shows how
-to trace a job from its id to the cause of its outcome.
+a change in what the process knows about the system. It also reports the
+information behind the decision and that information's age or version.
+docs/OPERATIONS.md shows how to trace a job from its id to the cause of its
+outcome.
+
+Class names are the kinds of the log lines and the names of the counters, and
+fields are their keys. Operators' tools read them, so they must not change. In
+these names "begun" means that an instance is known to have started the run,
+"apart" means in isolation from other new runs, and "given up" means failed for
+good.
 """
 
 import dataclasses
@@ -11,12 +18,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class HandedIn:
-    """A client submitted a job.
+    """A client submitted ("handed in") a job.
 
     Attributes:
         verdict: see ``job_store.RequestResult``.
         config_version: version of the configuration that selected the queue.
-        waited_ms: time until the verdict was known.
+        waited_ms: time from the request until the verdict.
     """
 
     job: str
@@ -44,7 +51,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class CancelAsked:
-    """A client cancelled a job."""
+    """A client cancelled a job.
+
+    Attributes:
+        verdict: see ``job_store.RequestResult``.
+    """
 
     job: str
     verdict: str
@@ -52,11 +63,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class JobTakenIn:
-    """The owner added a job to its state.
+    """The owner added an accepted job to its in-memory state.
 
     Attributes:
         age_ms: time since the job was submitted, by the store's clock.
-        pending: jobs of the queue that wait for their first start.
+        pending: jobs of the queue of which no task has started yet.
     """
 
     job: str
@@ -71,7 +82,7 @@
 
     Attributes:
         free_cpu: millicores left on the instance afterwards.
-        tried: previous failed runs of the task.
+        tried: number of failed runs of the task before.
     """
 
     job: str
@@ -88,8 +99,8 @@
 
     Attributes:
         how: see ``fleet.RunOutcome``; "lost" if its instance is gone or its
-            lease has expired, "withheld" if its start no longer fit on the
-            instance.
+            lease has expired, "withheld" if its start was not sent because it
+            no longer fit on the instance.
         failed: failed runs of the task so far.
     """
 
@@ -106,16 +117,18 @@
     """An instance was lost soon after a run of a task began on it.
 
     Attributes:
-        kind: see ``crash_evidence.CrashKind``; "alone" appears only in
-            ``JobGivenUp``, because it is not known at once.
-        apart: the task was already suspected and ran in isolation.
-        crashes: instances lost while they ran the task, so far.
+        kind: see ``crash_evidence.CrashKind``. "alone" appears only in
+            ``JobGivenUp``, because it depends on losses that are detected
+            later.
+        apart: whether the run was in isolation, because its task was already
+            suspected of crashing instances.
+        crashes: how many instances were lost so far while they ran the task.
         why: how the loss was detected.
-        decided_ms: time since the start was decided.
-        begun_ms: time since the run was first known to have begun; -1 if
-            unknown.
-        beside: other runs on the instance.
-        beginning: other runs on the instance that had also begun recently.
+        decided_ms: time since the owner decided to start the run.
+        begun_ms: time since the owner first knew that the run had started; -1
+            if it never did.
+        beside: number of other runs on the instance.
+        beginning: how many of these had also started recently.
     """
 
     job: str
@@ -138,8 +151,7 @@
     """A job failed because one of its tasks crashes the instances that run it.
 
     Attributes:
-        task: the task.
-        evidence: descriptions of the crashes during its runs.
+        evidence: descriptions of the crashes during the task's runs.
     """
 
     job: str
@@ -153,8 +165,8 @@
     """A start was not sent because it no longer fit on its instance.
 
     Attributes:
-        free_cpu: millicores left on the instance after all decided starts;
-            negative if the capacity has shrunk.
+        free_cpu: millicores left on the instance if all decided starts were
+            sent; negative if its capacity has shrunk.
     """
 
     job: str
@@ -169,7 +181,8 @@
     """An instance refused a start.
 
     Attributes:
-        certain: no earlier copy of the start can still take effect.
+        certain: whether the run will not start. An earlier copy of the start
+            order that is still in transit could otherwise take effect.
     """
 
     job: str
@@ -186,10 +199,11 @@
 
     Attributes:
         why: cause of the stop.
-        away: other tasks of the step that count as unavailable.
-        spared: disruption budget of the step; 0 if it has no limit.
-        unheard_ms: age of the oldest status report behind a task that counts
-            as serving.
+        away: number of other tasks of the step that are assumed unavailable.
+        spared: disruption budget of the step, the number of its tasks that may
+            be unavailable; 0 if it has no limit.
+        unheard_ms: age of the oldest status report on which the other tasks of
+            the step are assumed to be serving.
     """
 
     job: str
@@ -204,10 +218,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class RunTakenBack:
-    """A run that counted as ended was reported as running and continues.
+    """A run that was assumed to have ended is reported as running.
+
+    The owner lets it continue.
 
     Attributes:
-        percent: its progress.
+        percent: its reported progress.
     """
 
     job: str
@@ -239,10 +255,18 @@
     """The owner's view of an instance changed.
 
     Attributes:
-        change: "listed", "draining", "silent", "suspended", "lapsed", "gone",
-            "distrusted" if its registration can't be read, "restarted" if it
-            restarted under the same id, "former" if a message from before
-            its restart arrived late.
+        change: one of
+
+            * "listed": its registration can be read, for the first time or
+              again.
+            * "distrusted": its registration can't be read.
+            * "draining": its registration says that it is about to leave.
+            * "silent": it does not answer calls.
+            * "suspended": it gets no new work for a while.
+            * "lapsed": the lease on its runs has expired.
+            * "gone": it was removed, because it certainly no longer runs.
+            * "restarted": it restarted under the same id.
+            * "former": a message from before its restart arrived late.
         age_ms: time since its last status report.
         runs: number of runs on the instance at that time.
     """
@@ -275,9 +299,10 @@
     """A term of ownership began, ended, or was found to have ended.
 
     Attributes:
-        change: "began", "ended", "yielded", or "found-over" if the term of
+        change: "began"; "ended"; "yielded" if this process stepped down because
+            the store had not answered its writes; "found-over" if the term of
             another process turned out to be over.
-        holder: process whose term it is.
+        holder: the process that is or was the owner.
         token: fencing token of the term; 0 if unknown.
         age_ms: time since the owner's last write.
     """
@@ -298,12 +323,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class ErrandSent:
-    """This process asked another to access the store on its behalf.
+    """This process asked another one to access the store on its behalf.
 
     Attributes:
         kind: "submit", "cancel" or "state".
         helper: address of the other process.
-        verdict: outcome; "unknown" without an answer.
+        verdict: see ``job_store.RequestResult``; "unknown" if the other process
+            did not answer.
     """
 
     job: str
@@ -332,7 +358,7 @@
     Attributes:
         machine: the machine concerned; empty for the wave as a whole.
         done: machines whose maintenance is finished.
-        left_s: seconds until the wave's deadline.
+        left_s: seconds until the wave's deadline; negative afterwards.
     """
 
     wave: str
@@ -348,7 +374,7 @@
     """The platform was ordered to move a machine to another pool.
 
     Attributes:
-        wanted: number of machines that the pool needs.
+        wanted: number of machines that the pool should have.
         outcome: the platform's answer.
     """
 
@@ -362,12 +388,12 @@
 class Usage:
     """Resource usage of a busy process over the last seconds.
 
-    Late timers indicate that the processor is the bottleneck. Many kilobytes
-    with punctual timers indicate that the network link is.
+    Timers that fire late indicate that the processor is the bottleneck. Much
+    traffic while timers fire on time indicates that the network link is.
 
     Attributes:
         period_ms: length of the period.
-        late_ms: delay of the latest timer.
+        late_ms: longest delay with which a timer fired.
         calls: calls to instances and to the platform.
         unanswered: calls without a complete answer.
         sent_kb: kilobytes of request bodies.
--- a/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
+++ b/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
@@ -1,10 +1,15 @@
 """Evidence that a task crashes the instances that start it.
 
 A crash of an instance ends all its runs, and most of them are not its cause.
-Giving up a job that is not the cause loses all its work. Keeping a job that is
-the cause for longer costs one more instance. So two crashes are enough only if
-one of them has no other visible cause. Weaker kinds of evidence need more
+Failing a job that is not the cause loses all its work. Retrying a job that is
+the cause costs one more instance. So two crashes are enough to fail a job only
+if one of them has no other visible cause. Weaker kinds of evidence need more
 crashes.
+
+After a crash the task is a suspect and runs in isolation: nothing else starts
+on its instance. Once a run of it has lasted for ``required_proof_s``, the run
+is proven: it did not crash its instance by starting there. The longer it lasts
+after that, the fewer earlier crashes still count against the task.
 """
 
 from collections.abc import Sequence
@@ -16,10 +21,11 @@
     """How certain it is that a run crashed its instance.
 
     Attributes:
-        SOLE_NEW_RUN: no other run had just started there, and no other instance
-            was lost at that moment without a cause of its own.
+        SOLE_NEW_RUN: the run had just started there and no other one had, and
+            no other instance was lost at that moment without a cause of its
+            own.
         NEW_RUN: the run had just started there.
-        PROVEN_RUN: the run had worked there for a while.
+        PROVEN_RUN: the run had lasted for at least ``MIN_PROOF_S``.
         UNCERTAIN: it is unknown whether or when the run started, or whether the
             instance crashed at all.
     """
@@ -31,34 +37,38 @@
 
 
 MIN_PROOF_S = 0.1
-"""A run that its instance reports for this long did not crash it by
+"""A run that its instance has reported for this long did not crash it by
 starting."""
 
-PROOF_FACTOR = 2.0
-"""A run clears its task after this multiple of the longest time that a crashed
-run of the task worked."""
+REQUIRED_PROOF_FACTOR = 2.0
+"""A run is proven after this multiple of the longest time that a run of the
+task lasted before its instance crashed."""
 
 MAX_PROOF_S = 2.0
-"""Longest time for which nothing else starts beside a suspect task."""
+"""Upper limit of ``required_proof_s``, and so of the time for which nothing
+else starts beside a suspect task."""
 
-FULLY_CLEARED_S = 10.0
-"""Run time after which a task is cleared of all crashes. A task that crashes
-its instances as it starts is already found after ``MAX_PROOF_S``."""
+DROP_ALL_CRASHES_AFTER_S = 10.0
+"""Run time after which no earlier crash counts against a task any more.
+Crashes of other kinds than ``PROVEN_RUN`` stop counting after ``MAX_PROOF_S``,
+because a task that crashes its instances as it starts does so by then."""
 
 MAX_SOLE_CAUSE_CRASHES = 2
 MAX_NEW_RUN_CRASHES = 3
 MAX_CERTAIN_CRASHES = 4
 MAX_CRASHES = 5
-"""Crashes after which a task is given up. The first two limits count crashes
-of runs that had just started, since a run of the task last worked: the first
-one applies if one of them is ``ALONE``. The third limit counts all crashes at
-which the task certainly ran, the last one also those at which it may have run.
-The users allow two starts after the third crash."""
+"""Number of crashes at which the job of a task fails.
+
+The first two limits count crashes of runs that had just started, after the last
+crash of a proven run. The first one applies if one of them is ``SOLE_NEW_RUN``.
+The third limit counts all crashes at which the task certainly ran, and the last
+one also those at which it may have run. The requirements allow at most two
+starts after the third crash."""
 
 EXTRA_CRASHES_LONG_RUNNING = 1
-"""A long-running task is given up after this many more crashes. It runs for
-minutes, so instances crash under it by chance, and its job serves users of its
-own. Crashes of kind ``UNCERTAIN`` do not count against it."""
+"""The job of a long-running task fails after this many more crashes. The task
+runs for minutes, so instances crash by chance while they run it, and users of
+the job depend on it. Crashes of kind ``UNCERTAIN`` do not count against it."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -66,7 +76,7 @@
     """The loss of an instance during a run of a task.
 
     Attributes:
-        run_time_s: for how long the instance had reported the run.
+        run_time_s: how long the run had lasted, by its instance's reports.
     """
 
     run: int
@@ -81,19 +91,19 @@
 
 
 def required_proof_s(crashes: Sequence[Crash]) -> float:
-    """Returns how long a task's next run has to work to clear the task.
+    """Returns how long a task's next run has to last to be proven.
 
-    Half a second of work does not clear a task that crashes its instances
+    A run of half a second shows nothing about a task that crashes its instances
     after a second.
     """
     longest_s = max((crash.run_time_s for crash in crashes), default=0.0)
-    return min(max(MIN_PROOF_S, PROOF_FACTOR * longest_s), MAX_PROOF_S)
+    return min(max(MIN_PROOF_S, REQUIRED_PROOF_FACTOR * longest_s), MAX_PROOF_S)
 
 
 def exceeds_crash_limit(
     crashes: Sequence[Crash], *, long_running: bool
 ) -> bool:
-    """Whether a task is given up because of crashes during its runs.
+    """Whether a task's job fails because of crashes during its runs.
 
     Args:
         crashes: crashes of instances during its runs.
@@ -102,25 +112,27 @@
     extra = EXTRA_CRASHES_LONG_RUNNING if long_running else 0
     kinds = [crash.kind for crash in crashes]
     certain = len(kinds) - kinds.count(CrashKind.UNCERTAIN)
-    # A run that worked shows that no earlier run crashed its instance by
-    # starting there.
-    latest = kinds[_last_worked_index(kinds) + 1 :]
-    alone = latest.count(CrashKind.SOLE_NEW_RUN)
-    new = alone + latest.count(CrashKind.NEW_RUN)
+    # A proven run shows that no earlier run crashed its instance by starting
+    # there.
+    since_proven = kinds[_last_proven_index(kinds) + 1 :]
+    sole = since_proven.count(CrashKind.SOLE_NEW_RUN)
+    new = sole + since_proven.count(CrashKind.NEW_RUN)
     return (
-        (alone > 0 and new >= MAX_SOLE_CAUSE_CRASHES + extra)
+        (sole > 0 and new >= MAX_SOLE_CAUSE_CRASHES + extra)
         or new >= MAX_NEW_RUN_CRASHES + extra
         or certain >= MAX_CERTAIN_CRASHES + extra
         or (not long_running and len(kinds) >= MAX_CRASHES)
     )
 
 
-def _last_worked_index(kinds: Sequence[CrashKind]) -> int:
-    """Returns the index of the last run that had worked; -1 for none."""
-    worked = [
-        at for at, kind in enumerate(kinds) if kind is CrashKind.PROVEN_RUN
+def _last_proven_index(kinds: Sequence[CrashKind]) -> int:
+    """Returns the index of the last crash of a proven run; -1 for none."""
+    proven = [
+        index
+        for index, kind in enumerate(kinds)
+        if kind is CrashKind.PROVEN_RUN
     ]
-    return max(worked, default=-1)
+    return max(proven, default=-1)
 
 
 def remaining_crashes(
@@ -130,18 +142,18 @@
 
     Args:
         crashes: crashes of instances during its runs.
-        run_time_s: for how long its current run has worked.
+        run_time_s: how long its current run has lasted.
         long_running: whether the task runs until its job is cancelled.
     """
     if run_time_s < MAX_PROOF_S:
         return list(crashes)
-    if long_running or run_time_s >= FULLY_CLEARED_S:
+    if long_running or run_time_s >= DROP_ALL_CRASHES_AFTER_S:
         return []
     return [crash for crash in crashes if crash.kind is CrashKind.PROVEN_RUN]
 
 
 def is_suspect(crashes: Sequence[Crash]) -> bool:
-    """Whether a task has to run in isolation after its last crash."""
+    """Whether a task has to run in isolation after these crashes."""
     if not crashes:
         return False
     return crashes[-1].kind is not CrashKind.PROVEN_RUN or len(crashes) > 1
--- a/src/vanillaswitch/coordination/fleet/queue/instance_state.py
+++ b/src/vanillaswitch/coordination/fleet/queue/instance_state.py
@@ -1,8 +1,11 @@
-"""The owner's record of each instance and of the runs that it reserves.
+"""The owner's record of each instance and of the runs assigned to it.
 
 Instances start whatever they are ordered to, so only the owner keeps them
 within their capacity. A run reserves resources from the decision to start it
 until its end is reported, or until it is certain that it never started.
+
+Long-running tasks run until their job is cancelled. All others are called
+short or finite: they end by themselves.
 """
 
 import dataclasses
@@ -25,10 +28,11 @@
 """Longest delay after which an unanswered order may still be executed. The
 platform only specifies that it takes seconds."""
 
-_NEVER = float("-inf")
+_NEVER_REPORTED = float("-inf")
 
 FULL_PACE = 100
-"""Pace, in percent, of a task that is not slowed down."""
+"""Pace of a task that is not slowed down. A pace limits the speed at which a
+task works, in percent of its full speed."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -40,12 +44,12 @@
         sent: its start was recorded and may be sent.
         confirmed: the instance has accepted the start or reports the run.
         has_unanswered_start: a copy of its start was sent and got no answer.
-        inherited: an earlier owner recorded it, and no instance has reported
-            it to this owner yet.
+        inherited: an earlier owner decided to start it, and no instance has
+            reported it to this owner yet.
         may_be_stopping: an earlier owner may have ordered its stop. Its
-            instance would report it as at work until it has stopped.
-        has_unknown_demand: its job's row can't be read, as a part of the store
-            is unavailable. Its need is unknown, so it reserves a whole
+            instance would report it as running until it has stopped.
+        has_unknown_demand: its job's row can't be read, because a part of the
+            store is unavailable. Its demand is unknown, so it reserves a whole
             instance, even if the capacity of the instance grows meanwhile.
         stop_requested_at: monotonic seconds at which its stop was requested;
             None if it is not to be stopped.
@@ -54,24 +58,27 @@
             can't start any more; None before.
         decided_at: monotonic seconds at which its start was decided.
         percent: last reported progress.
-        progress_at: when ``percent`` last changed; at first when the owner
-            created this record.
+        progress_at: when ``percent`` last changed; ``decided_at`` before the
+            first change.
         reported_at: when its instance last reported it.
-        started_at: when the owner first knew that it had started; None before.
+        started_at: when the owner first knew that it had started; None if it
+            does not know.
         stalled_s: how long consecutive status reports have shown no progress.
             A gap between reports resets it.
         checkpoint: newest reported checkpoint.
         is_isolated: its task is suspected of crashing instances, so nothing
-            else starts on its instance until it has worked for a while.
-        is_cleared: no crashes count against its task any more.
-        required_proof_s: how long it has to work to show that it does not crash
-            its instance.
+            else starts on its instance until it is proven.
+        is_cleared: no earlier crashes count against its task any more.
+        required_proof_s: how long it has to last to be proven. A proven run did
+            not crash its instance by starting; see ``crash_evidence``.
         started_before_term: it started before this owner first learned of it.
-        is_start_unsent: the last attempt to send its start sent no copy of it.
+        is_start_unsent: the last attempt to send its start failed without
+            sending anything.
         born_ms: boot time of the instance incarnation that it was assigned
             to.
-        gauge: see ``fleet.RunStatus``.
-        pace: percent of its speed at which it may work.
+        gauge: last reported tail latency or processor usage; see
+            ``fleet.RunStatus``.
+        pace: highest speed at which it may work, in percent of full speed.
     """
 
     task: jobs.TaskName
@@ -90,7 +97,7 @@
     cannot_start_since: float | None = None
     percent: float = 0.0
     progress_at: float = dataclasses.field(init=False)
-    reported_at: float = _NEVER
+    reported_at: float = _NEVER_REPORTED
     started_at: float | None = None
     stalled_s: float = 0.0
     checkpoint: str = ""
@@ -104,7 +111,7 @@
     pace: int = FULL_PACE
 
     def __post_init__(self) -> None:
-        """Measures progress from the creation of the record."""
+        """Sets ``progress_at`` to the time of the decision."""
         self.progress_at = self.decided_at
 
     @property
@@ -114,12 +121,12 @@
 
     @property
     def was_reported(self) -> bool:
-        """Whether its instance has reported it in its current incarnation."""
-        return self.reported_at > _NEVER
+        """Whether the current incarnation of its instance has reported it."""
+        return self.reported_at > _NEVER_REPORTED
 
     @property
     def is_proven(self) -> bool:
-        """Whether it has worked for ``required_proof_s``."""
+        """Whether it has lasted for ``required_proof_s``."""
         if self.started_at is None:
             return False
         return self.run_time_s >= self.required_proof_s
@@ -153,7 +160,7 @@
         self.confirmed = False
         self.started_at = None
         self.percent = 0.0
-        self.reported_at = _NEVER
+        self.reported_at = _NEVER_REPORTED
         self.cannot_start_since = None
 
 
@@ -162,40 +169,45 @@
 
     Attributes:
         registration: its newest registration.
-        incarnations: its incarnations under this id.
+        incarnations: its known incarnations. An instance that restarts under
+            the same id is a new incarnation.
         incarnation: number of its current incarnation, unique over all
             instances.
         is_listed: it is in the platform's list.
         has_unreadable_registration: its registration can't be read.
-        is_cordoned: a maintenance wave or a move needs it empty.
-        is_maintenance_due: a maintenance wave will need it empty later.
-        is_terminating: an order that ends all its runs was given for its
-            machine.
+        is_cordoned: a maintenance wave needs it without runs, or its machine is
+            to move to another pool.
+        is_maintenance_due: a maintenance wave will need it without runs later.
+        is_terminating: its machine was ordered to do something that ends all
+            its runs.
         last_contact_at: monotonic seconds of its last status report.
         runs: the runs that reserve resources on it.
-        is_adopted: it has answered this owner, so that no order of an earlier
-            owner can take effect any more.
-        adopted_at: monotonic seconds of that answer.
+        is_adopted: its current incarnation has answered this owner. From then
+            on it rejects the orders of earlier owners.
+        adopted_at: monotonic seconds of its first answer to this owner.
         is_unresponsive: it does not answer.
         has_unanswered_call: a call to it got no answer, and it has not reported
             since.
-        suspended_until: monotonic seconds until which it gets no work, since
-            it failed tasks, stalled one or refused a start.
-        consecutive_failed_jobs: ids of the jobs that failed there in a row.
+        suspended_until: monotonic seconds until which it gets no new work,
+            because tasks failed or stalled on it or it refused a start.
+        consecutive_failed_jobs: ids of the jobs of which a task has failed on
+            it since a task last succeeded there or it was last suspended.
         suspension_count: how often it was suspended for them.
-        capacity: its current capacity, as far as it is certain.
-        last_end_number: number of the last end that it reported.
-        unprocessed_ends: reported ends whose jobs can't be read yet.
+        capacity: its current capacity; see ``known_capacity``.
+        last_end_number: sequence number of the last ended run that it reported;
+            see ``fleet.RunEnd``.
+        unprocessed_ends: reported ends of runs whose jobs can't be read yet.
         clock_ms: its clock at ``clock_at``.
         clock_at: monotonic seconds at which ``clock_ms`` arrived.
         relative_speed: work per second relative to the estimates of its tasks.
-        speed_samples: how many samples ``speed`` averages.
+        speed_samples: number of samples in ``relative_speed``.
         is_straggler: it is slow compared with its pool.
-        last_paced_at: when filler tasks on it were last paced.
-        below_target_since: since when no serving task was near its target.
+        last_paced_at: when the pace of filler tasks on it last changed.
+        below_target_since: since when the tail latency of all its serving tasks
+            has been low compared with their targets.
         lease_expires_at: monotonic seconds at which its lease expires, unless
-            it is renewed: all its runs have ended by then. Covers finished
-            calls only.
+            it is renewed. All its runs have ended by then. Calls in progress
+            that may renew the lease are not included.
     """
 
     def __init__(self, registration: fleet.Registration, now: float):
@@ -218,14 +230,14 @@
         self._reserved_cpu = 0
         self._reserved_mem = 0
         self._reserved_gpu = 0
-        self._short_load = fleet.Load()
+        self._finite_load = fleet.Load()
         self._runs_per_step: dict[tuple[str, int, int], int] = {}
         self._isolated: set[RunKey] = set()
-        self._unread: set[RunKey] = set()
+        self._unknown_demand: set[RunKey] = set()
         self.reset_incarnation(now, now)
 
     def reset_incarnation(self, now: float, lease_expires_at: float) -> None:
-        """Resets the state of one incarnation; keeps runs and machine state.
+        """Resets what depends on the incarnation; keeps runs and machine state.
 
         Args:
             now: monotonic seconds.
@@ -305,26 +317,26 @@
 
     @property
     def acknowledged_end(self) -> int:
-        """Number of the last end up to which all ends were processed."""
+        """Sequence number up to which all reported ends were processed."""
         if self.unprocessed_ends:
             return self.unprocessed_ends[0].number - 1
         return self.last_end_number
 
     @property
     def has_isolated_run(self) -> bool:
-        """Whether a run in isolation is here, beside which nothing starts."""
+        """Whether it has a run in isolation, beside which nothing starts."""
         return bool(self._isolated)
 
     @property
     def has_active_trial(self) -> bool:
-        """Whether a run in isolation is here that is not to be stopped."""
+        """Whether it has a run in isolation that is not to be stopped."""
         return any(
             self.runs[key].stop_requested_at is None for key in self._isolated
         )
 
     @property
     def unproven_runs(self) -> list[Run]:
-        """Runs that have not worked long enough to be proven."""
+        """Runs that have not lasted long enough to be proven."""
         return [run for run in self.runs.values() if not run.is_proven]
 
     def end_isolation(self, run: Run) -> None:
@@ -334,14 +346,14 @@
 
     @property
     def finite_load(self) -> fleet.Load:
-        """Load of its tasks that end by themselves."""
-        return self._short_load
+        """Load of its short tasks, which end by themselves."""
+        return self._finite_load
 
     def undelivered_starts(self, now: float) -> list[RunKey]:
-        """Returns runs that are over and whose starts may still arrive.
+        """Returns ended runs of which a start order may still arrive.
 
-        The current incarnation rejects such starts as old. The next one would
-        accept them, since it knows no earlier run.
+        The current incarnation rejects such orders as old. The next one would
+        accept them, because it knows of no earlier run.
 
         Args:
             now: monotonic seconds.
@@ -357,7 +369,7 @@
         """Records that a call which renews its lease has begun.
 
         Args:
-            until: monotonic seconds to which the call renews the lease.
+            until: monotonic seconds until which the call extends the lease.
         """
         self._pending_renewals.append(until)
 
@@ -388,13 +400,13 @@
             and not self.is_cordoned
             and not self.is_terminating
             and not self._isolated
-            and not self._unread
+            and not self._unknown_demand
             and not self.registration.is_draining
             and now >= self.suspended_until
         )
 
     def has_capacity_for(self, need: fleet.Resources) -> bool:
-        """Whether its unreserved capacity is enough for a need."""
+        """Whether its unreserved capacity covers a need."""
         capacity = self.capacity
         return (
             self._reserved_cpu + need.cpu <= capacity.cpu
@@ -407,7 +419,7 @@
 
         The capacity may have shrunk since the start was decided.
         """
-        if self._unread:
+        if self._unknown_demand:
             return False
         if self._is_within_capacity():
             return True
@@ -434,9 +446,9 @@
 
     def can_take_over(self, run: Run, now: float) -> bool:
         """Whether a run of another instance could start here now."""
-        return self.has_capacity_for(run.demand) and self._allows(
-            run.step, run.task, now
-        )
+        return self.has_capacity_for(
+            run.demand
+        ) and self._meets_placement_rules(run.step, run.task, now)
 
     def fits_without_short_tasks(
         self,
@@ -456,10 +468,14 @@
             and sum(item.mem_mb for item in wanted) <= capacity.mem_mb
             and sum(item.gpu for item in wanted) <= capacity.gpu
         )
-        return fits and self._allows(step, task, now)
+        return fits and self._meets_placement_rules(step, task, now)
 
     def free_share(self, need: fleet.Resources) -> float:
-        """Returns the unreserved share of a need, of the scarcest resource."""
+        """Returns the share of a need that its unreserved capacity covers.
+
+        The share is that of the scarcest resource; more than 1 if all of them
+        are more than enough.
+        """
         capacity = self.capacity
         shares = [
             free / wanted
@@ -472,7 +488,9 @@
         ]
         return min(shares, default=1.0)
 
-    def _allows(self, step: jobs.Step, task: jobs.TaskName, now: float) -> bool:
+    def _meets_placement_rules(
+        self, step: jobs.Step, task: jobs.TaskName, now: float
+    ) -> bool:
         if not self.is_schedulable(now):
             return False
         if (
@@ -483,7 +501,7 @@
         return not step.requires or step.requires in self.registration.labels
 
     def count_step_runs(self, task: jobs.TaskName) -> int:
-        """Returns how many runs of the task's step it has reserved."""
+        """Returns how many runs of the task's step are assigned to it."""
         return self._runs_per_step.get(step_key(task), 0)
 
     def add_run(self, run: Run) -> None:
@@ -492,11 +510,11 @@
         if run.is_isolated:
             self._isolated.add(run.key)
         if run.has_unknown_demand:
-            self._unread.add(run.key)
+            self._unknown_demand.add(run.key)
         self._reserved_cpu += run.demand.cpu
         self._reserved_mem += run.demand.mem_mb
         self._reserved_gpu += run.demand.gpu
-        self._short_load = self._short_load.with_tasks(run.step, 1)
+        self._finite_load = self._finite_load.with_tasks(run.step, 1)
         key = step_key(run.task)
         self._runs_per_step[key] = self._runs_per_step.get(key, 0) + 1
 
@@ -510,13 +528,13 @@
         if run is None:
             return None
         self._isolated.discard(key)
-        self._unread.discard(key)
+        self._unknown_demand.discard(key)
         if run.has_unanswered_start:
             self._undelivered[key] = run.decided_at
         self._reserved_cpu -= run.demand.cpu
         self._reserved_mem -= run.demand.mem_mb
         self._reserved_gpu -= run.demand.gpu
-        self._short_load = self._short_load.with_tasks(run.step, -1)
+        self._finite_load = self._finite_load.with_tasks(run.step, -1)
         step = step_key(run.task)
         self._runs_per_step[step] -= 1
         if not self._runs_per_step[step]:
@@ -526,7 +544,7 @@
     def estimated_clock_ms(self, now: float) -> float:
         """Returns an estimate of its clock that is never ahead of it.
 
-        The last answer was in transit for a while, so it shows an earlier time.
+        The estimate is late by the time that the last answer was in transit.
         """
         return self.clock_ms + (now - self.clock_at) * 1000
 
--- a/src/vanillaswitch/coordination/fleet/queue/job_tracker.py
+++ b/src/vanillaswitch/coordination/fleet/queue/job_tracker.py
@@ -1,7 +1,7 @@
 """The owner's records of all accepted jobs and their tasks.
 
 These records do not decide where tasks run. They track which tasks may run now
-and how runs ended, and pack the state that a later owner needs into one row
+and how runs ended. The state that a later owner needs is stored as one document
 per job.
 """
 
@@ -32,17 +32,18 @@
     """One task of an open step.
 
     Attributes:
-        run: highest run number assigned so far; 0 before the first start.
+        run: number of the current or the last run; 0 before the first start.
         instance: where the current run is; empty while the task waits.
         failed_runs: number of runs that ended as failed.
         last_counted_run: highest run whose failure was counted.
         checkpoint: newest known checkpoint.
         avoided_instances: instances on which the task failed.
         crashes: crashes of instances during its runs.
-        is_suspect: whether it may crash the instance that starts it next.
-        not_before: monotonic seconds before which the task must not start.
-            Which other instances were lost with its last one is not known
-            earlier.
+        is_suspect: whether it may crash the instance that starts it next; see
+            ``crash_evidence``.
+        not_before: monotonic seconds before which the task must not start. The
+            owner waits until it knows which other instances were lost together
+            with the task's last one.
         born_ms: boot time of the instance incarnation that its run was
             assigned to.
     """
@@ -84,12 +85,12 @@
     """A step of one occurrence whose tasks may run.
 
     Attributes:
-        reserved_instance: name of the instance that is reserved for it; empty
-            for none.
+        reserved_instance: name of the instance that is reserved for a task of
+            it; empty for none.
         has_crashed: whether an instance was lost while it ran one of the step's
             tasks, or a task of another job with the same image.
-        has_proven_task: whether one of its tasks is done or ran long enough to
-            show that it does not crash its instance.
+        has_proven_task: whether one of its tasks is done or has had a proven
+            run; see ``crash_evidence``.
     """
 
     __slots__ = (
@@ -136,9 +137,9 @@
     def startable_tasks(self) -> list[Task]:
         """Waiting tasks that may start without isolation.
 
-        Tasks of a step behave alike. Until one of them has run long enough,
-        suspect tasks are tried one at a time and the others wait. A gang is
-        tried as a whole.
+        Tasks of a step behave alike. Until one of them is proven, suspect tasks
+        run in isolation one at a time and the others wait. A gang runs in
+        isolation as a whole.
         """
         if not self.has_crashed:
             return self.waiting_tasks
@@ -169,19 +170,22 @@
 
     Attributes:
         received_at: monotonic seconds at which the owner received it.
-        submitted_at: monotonic seconds at which an entry process accepted it.
+        submitted_at: monotonic seconds at which it was accepted from the
+            client.
         ended: final state; None until the job has ended.
         recorded_state: state that was last written to the store.
         ended_store_ms: when its end was written, on the store's steady clock; 0
             if unknown.
         was_assigned: whether a task of it was assigned to an instance.
         has_started: whether an instance confirmed that a task of it has
-            started. While an owner can't send its decisions, jobs are assigned
-            but not started.
-        spec: text that its instances are given; None until it is read.
-        critical_path_ms: its critical path; None until it is computed.
-        remaining_path_ms: remaining critical path by occurrence, as far as
-            computed since a step was last done.
+            started. While an owner can't send its start orders, jobs are
+            assigned but not started.
+        spec: opaque text from the client that is sent to the instances with
+            each start; None until it is read.
+        critical_path_ms: estimated duration of its longest chain of steps; None
+            until it is computed.
+        remaining_path_ms: cache of the remaining critical path by occurrence,
+            emptied when a step is done.
         fatal_crashes: the crashes that made the job fail.
     """
 
@@ -191,8 +195,7 @@
         Args:
             job: the job.
             now: monotonic seconds at which the owner received it.
-            age_s: seconds between its acceptance by an entry process and
-                ``now``.
+            age_s: seconds between its acceptance from the client and ``now``.
         """
         self.job = job
         self.spec = None if job.spec_digest else job.spec
@@ -214,7 +217,7 @@
 
     @property
     def state(self) -> jobs.JobState:
-        """The current state; ``shown`` is the recorded one."""
+        """The current state; may be newer than ``recorded_state``."""
         if self.ended is not None:
             return self.ended
         return (
@@ -229,8 +232,9 @@
         """
         if self.ended is not None:
             return ()
-        # Only a due time or the end of a step opens another one. Looking for
-        # them in each plan took a quarter of a plan with 400 waiting jobs.
+        # Only a due time or the end of a step makes another step open. Checking
+        # all steps in each plan took a quarter of the time of a plan with 400
+        # waiting jobs.
         if self._may_open_steps or self.job.repeat_count:
             self._may_open_steps = False
             for occurrence in range(self.job.occurrence_count):
@@ -277,7 +281,7 @@
             key = (occurrence, number)
             if key in self._opened:
                 continue
-            if all((occurrence, first) in self._done for first in step.after):
+            if all((occurrence, other) in self._done for other in step.after):
                 self._opened.add(key)
                 self.open_by_key[key] = OpenStep(self, occurrence, number, step)
 
@@ -312,14 +316,15 @@
             "done": [list(key) for key in sorted(self._done)],
             "tasks": tasks,
         }
-        # Earlier versions read the rows of tasks too, so evidence is separate.
+        # Earlier versions of this program read ``tasks`` too and expect rows of
+        # this length, so crashes are stored separately.
         evidence = [
             [
                 step.occurrence,
                 step.number,
                 task.name.index,
                 task.born_ms,
-                _pack_crashes(task.crashes),
+                _encode_crashes(task.crashes),
             ]
             for step in self.open_by_key.values()
             for task in step.tasks
@@ -328,25 +333,25 @@
         if evidence:
             document["evidence"] = evidence
         if self.fatal_crashes:
-            document["given_up"] = _pack_crashes(self.fatal_crashes)
+            document["given_up"] = _encode_crashes(self.fatal_crashes)
         return document
 
     def load_document(
         self, document: Mapping[str, Any]
     ) -> unusable.Unusable | None:
-        """Restores the state from a document that ``pack`` returned.
+        """Restores the state from a document that ``to_document`` returned.
 
         Returns:
             None on success; otherwise why the document is invalid. The record
             must not be used then.
         """
         try:
-            self._unpack(document)
+            self._load(document)
         except unusable.FIELD_ERRORS as error:
             return unusable.Unusable(f"invalid progress document: {error!r}")
         return None
 
-    def _unpack(self, document: Mapping[str, Any]) -> None:
+    def _load(self, document: Mapping[str, Any]) -> None:
         self.was_assigned = bool(document.get("started"))
         self._done = {(row[0], row[1]) for row in document.get("done", ())}
         self.has_started = bool(self._done)
@@ -355,7 +360,7 @@
         self.ended = jobs.JobState(ended) if ended else None
         self.recorded_state = self.state
         self.ended_store_ms = float(document.get("ended_store_ms", 0.0))
-        self.fatal_crashes = _unpack_crashes(document.get("given_up", ()))
+        self.fatal_crashes = _decode_crashes(document.get("given_up", ()))
         if self.ended is not None:
             return
         for row in document.get("tasks", ()):
@@ -372,7 +377,7 @@
         run: int,
         instance: str,
         failed: int,
-        saved: str,
+        checkpoint: str,
     ) -> None:
         key = (occurrence, number)
         if key not in self.open_by_key:
@@ -387,7 +392,7 @@
         task.last_counted_run = (
             run if task.state is TaskState.WAITING else run - 1
         )
-        task.checkpoint = saved
+        task.checkpoint = checkpoint
 
     def _restore_evidence(
         self,
@@ -400,7 +405,7 @@
         step = self.open_by_key[occurrence, number]
         task = step.tasks[index]
         task.born_ms = born_ms
-        for crash in _unpack_crashes(crashes):
+        for crash in _decode_crashes(crashes):
             task.record_crash(crash)
         step.has_crashed = step.has_crashed or bool(task.crashes)
         step.has_proven_task = any(
@@ -408,7 +413,7 @@
         )
 
 
-def _pack_crashes(
+def _encode_crashes(
     crashes: Iterable[crash_evidence.Crash],
 ) -> list[list[Any]]:
     return [
@@ -417,14 +422,14 @@
     ]
 
 
-def _unpack_crashes(
+def _decode_crashes(
     rows: Iterable[Sequence[Any]],
 ) -> tuple[crash_evidence.Crash, ...]:
     return tuple(
         crash_evidence.Crash(
-            run, instance, crash_evidence.CrashKind(kind), float(worked_s)
+            run, instance, crash_evidence.CrashKind(kind), float(run_time_s)
         )
-        for run, instance, kind, worked_s in rows
+        for run, instance, kind, run_time_s in rows
     )
 
 
@@ -433,13 +438,13 @@
 
     def __init__(self) -> None:
         self._entries: dict[str, JobEntry] = {}
-        self._live: dict[str, JobEntry] = {}
+        self._unfinished: dict[str, JobEntry] = {}
         self._dirty: dict[str, JobEntry] = {}
 
     @property
     def unfinished(self) -> Mapping[str, JobEntry]:
         """The jobs that have not ended."""
-        return self._live
+        return self._unfinished
 
     def __iter__(self) -> Iterator[JobEntry]:
         return iter(self._entries.values())
@@ -455,24 +460,24 @@
         """Adds a job."""
         self._entries[entry.job.job_id] = entry
         if entry.ended is None:
-            self._live[entry.job.job_id] = entry
+            self._unfinished[entry.job.job_id] = entry
 
     def remove(self, job_id: str) -> None:
         """Removes an ended job whose rows were deleted."""
         self._entries.pop(job_id, None)
-        self._live.pop(job_id, None)
+        self._unfinished.pop(job_id, None)
 
     def mark_dirty(self, entry: JobEntry) -> None:
-        """Marks a job's row as to be written."""
+        """Marks a job whose row has to be written, because it changed."""
         self._dirty[entry.job.job_id] = entry
         if entry.ended is not None:
-            self._live.pop(entry.job.job_id, None)
+            self._unfinished.pop(entry.job.job_id, None)
 
     def take_dirty(self, limit: int) -> list[JobEntry]:
-        """Removes up to ``limit`` jobs to be written, longest marked first.
+        """Removes the marks of up to ``limit`` jobs, oldest marks first.
 
         Args:
-            limit: highest number of jobs.
+            limit: maximum number of jobs.
 
         Returns:
             The jobs whose rows the caller has to write.
@@ -492,12 +497,12 @@
 
         A job counts until an instance confirms the start of one of its tasks.
         If assigned tasks counted as started, a queue would look empty while
-        its owner can't send or write its starts. That would mislead clients
-        that check the queue before they submit.
+        its owner can't write or send the start orders. That would mislead
+        clients that check the queue before they submit.
         """
         return sum(
             1
-            for entry in self._live.values()
+            for entry in self._unfinished.values()
             if entry.job.queue == queue
             and not entry.has_started
             and not entry.job.repeat_count
@@ -505,10 +510,14 @@
 
 
 def has_ended(document: Mapping[str, Any]) -> bool:
-    """Whether a document of ``Entry.pack`` is of a job that has ended."""
+    """Whether a document of ``JobEntry.to_document`` shows an ended job."""
     return bool(document.get("ended"))
 
 
 def task_demand(step: jobs.Step) -> fleet.Resources:
-    """Returns the resources that a task of a step reserves."""
+    """Returns the resources that a task of a step reserves.
+
+    Filler tasks reserve no processor time, because they use only what others
+    leave unused.
+    """
     return fleet.Resources(0 if step.fills else step.cpu, step.mem_mb, step.gpu)
--- a/src/vanillaswitch/coordination/fleet/queue/known_capacity.py
+++ b/src/vanillaswitch/coordination/fleet/queue/known_capacity.py
@@ -1,15 +1,16 @@
-"""The capacity of an instance, as far as it is certain.
+"""A safe estimate of an instance's capacity from two sources.
 
 The capacity of an instance may shrink and grow while it runs. The instance's
 registration and the platform's machine list both report it, and their updates
 reach an owner at different times. While registrations can't be read, neither
-source is sure to show the current capacity.
+source reliably shows the current capacity. The estimate is therefore the
+smallest capacity that may be current.
 """
 
 from vanillaswitch.protocol import fleet
 
 UNKNOWN = fleet.Resources(0, 0)
-"""Stands for a capacity that a source does not name."""
+"""Capacity in a source that does not state any."""
 
 
 class KnownCapacity:
@@ -50,8 +51,8 @@
         Returns:
             Whether this changed ``current``.
         """
-        # The list is read four times a second, and a line that did not change
-        # keeps the same capacity object.
+        # The list is read four times a second. An instance whose line in it did
+        # not change keeps the same capacity object, which is quick to compare.
         if capacity is self._listed or capacity == UNKNOWN:
             return False
         self._listed = capacity
@@ -74,23 +75,19 @@
         self.current = capacity
 
 
-def elementwise_min(
-    one: fleet.Resources, other: fleet.Resources
-) -> fleet.Resources:
+def elementwise_min(a: fleet.Resources, b: fleet.Resources) -> fleet.Resources:
     """Returns the minimum of two capacities for each resource."""
     return fleet.Resources(
-        min(one.cpu, other.cpu),
-        min(one.mem_mb, other.mem_mb),
-        min(one.gpu, other.gpu),
+        min(a.cpu, b.cpu),
+        min(a.mem_mb, b.mem_mb),
+        min(a.gpu, b.gpu),
     )
 
 
-def elementwise_max(
-    one: fleet.Resources, other: fleet.Resources
-) -> fleet.Resources:
+def elementwise_max(a: fleet.Resources, b: fleet.Resources) -> fleet.Resources:
     """Returns the maximum of two capacities for each resource."""
     return fleet.Resources(
-        max(one.cpu, other.cpu),
-        max(one.mem_mb, other.mem_mb),
-        max(one.gpu, other.gpu),
+        max(a.cpu, b.cpu),
+        max(a.mem_mb, b.mem_mb),
+        max(a.gpu, b.gpu),
     )
--- a/src/vanillaswitch/coordination/fleet/queue/pacing.py
+++ b/src/vanillaswitch/coordination/fleet/queue/pacing.py
@@ -1,10 +1,11 @@
 """Paces filler tasks so that serving tasks beside them meet their targets.
 
-Load pattern: filler tasks use the processors that others leave unused, and
+Load pattern: filler tasks use the processor time that others leave unused, and
 slow down serving tasks on the same instance, by amounts that differ by image
 and change within seconds. The reported tail latency is a rough figure over the
-last half second. Fillers are slowed down at once and by half, since users wait.
-They are sped up again in small steps after a while of low latency.
+last half second. The pace of a task limits its speed, in percent. When a tail
+latency is high, the pace of the fillers is halved at once, because users wait.
+It is raised again in small steps after a while of low latency.
 """
 
 from collections.abc import Callable
@@ -13,11 +14,12 @@
 
 from vanillaswitch.coordination.fleet.queue import instance_state
 
-HIGH_SHARE = 0.85
-"""Fillers are slowed down when a tail latency exceeds this share of its target:
-the figure is rough, and shows a new pace only after most of a second."""
+HIGH_LATENCY_RATIO = 0.85
+"""Fillers are slowed down when a tail latency exceeds this share of its target.
+The limit is below 1 because the reported latency is rough and takes up to
+``MIN_CHANGE_INTERVAL_S`` to show the effect of a new pace."""
 
-LOW_SHARE = 0.6
+LOW_LATENCY_RATIO = 0.6
 """Fillers are sped up when all tail latencies are below this share."""
 
 MIN_CHANGE_INTERVAL_S = 0.8
@@ -27,16 +29,21 @@
 MIN_LOW_LATENCY_S = 1.6
 """How long all tail latencies must be low before fillers are sped up."""
 
-STEP_UP = 20
-"""Percentage points of one step up."""
+PACE_INCREMENT = 20
+"""Percentage points by which a pace is raised at a time."""
 
 MIN_PACE = 10
-"""Lowest pace in percent. A filler that would need a lower one is halted."""
+"""Lowest pace in percent. A filler that would need a lower one is paused, by
+the pace 0."""
 
 
 @dataclasses.dataclass(frozen=True)
 class PaceOrder:
-    """The decision to let a run work at a share of its speed, in percent."""
+    """The decision to set the pace of a run.
+
+    Attributes:
+        percent: the new pace, in percent of full speed.
+    """
 
     run: instance_state.Run
     percent: int
@@ -55,13 +62,13 @@
     fillers = [run for run in instance.runs.values() if _is_filler(run)]
     if not fillers or now - instance.last_paced_at < MIN_CHANGE_INTERVAL_S:
         return []
-    worst = max((_target_share(run) for run in serving), default=0.0)
-    if worst >= LOW_SHARE:
+    worst = max((_latency_ratio(run) for run in serving), default=0.0)
+    if worst >= LOW_LATENCY_RATIO:
         instance.below_target_since = now
-    if worst > HIGH_SHARE:
-        return _change_paces(instance, fillers, _slowed, now)
+    if worst > HIGH_LATENCY_RATIO:
+        return _change_paces(instance, fillers, _reduced_pace, now)
     if now - instance.below_target_since >= MIN_LOW_LATENCY_S:
-        return _change_paces(instance, fillers, _sped_up, now)
+        return _change_paces(instance, fillers, _raised_pace, now)
     return []
 
 
@@ -73,18 +80,18 @@
     return run.confirmed and run.step.fills and run.stop_requested_at is None
 
 
-def _target_share(run: instance_state.Run) -> float:
+def _latency_ratio(run: instance_state.Run) -> float:
     """Returns the tail latency of a task as a share of its target."""
     return run.gauge / run.step.target_ms
 
 
-def _slowed(percent: int) -> int:
+def _reduced_pace(percent: int) -> int:
     half = percent // 2
     return half if half >= MIN_PACE else 0
 
 
-def _sped_up(percent: int) -> int:
-    return min(instance_state.FULL_PACE, percent + STEP_UP)
+def _raised_pace(percent: int) -> int:
+    return min(instance_state.FULL_PACE, percent + PACE_INCREMENT)
 
 
 def _change_paces(
--- a/src/vanillaswitch/coordination/fleet/queue/placement.py
+++ b/src/vanillaswitch/coordination/fleet/queue/placement.py
@@ -2,9 +2,9 @@
 
 Load pattern: many short tasks of a step become ready together, and some larger
 ones wait behind them. Best-fit packing puts each task on the fullest instance
-that can hold it. That keeps whole instances free for large tasks, and empty
-ones free for maintenance or moves. It also keeps work off an instance that
-fails everything it starts, since that instance is always the emptiest.
+that it fits on. That keeps whole instances free for large tasks, for
+maintenance and for moves to other pools. It also keeps work off an instance
+that fails everything it starts, because that instance is always the emptiest.
 """
 
 from collections.abc import Iterable
@@ -15,10 +15,10 @@
 from vanillaswitch.coordination.fleet.queue import job_tracker
 from vanillaswitch.protocol import fleet
 
-Chosen = list[tuple[job_tracker.Task, instance_state.Instance]]
+Assignments = list[tuple[job_tracker.Task, instance_state.Instance]]
 
 
-def eligible(
+def eligible_instances(
     step: job_tracker.OpenStep,
     instances: Iterable[instance_state.Instance],
     now: float,
@@ -30,8 +30,8 @@
         step: the step whose tasks are to be placed.
         instances: the instances of the step's pool.
         now: monotonic seconds.
-        tickets: tickets by instance; only these instances may run the step.
-            None for no restriction.
+        tickets: permits of the queue's advisor by instance; only these
+            instances may run the step. None for no restriction.
     """
     requires = step.step.requires
     return [
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, instances: Iterable[instance_state.Instance]):
-        """Takes the maximum over the current state of some instances."""
+        """Computes the maximum over the current state of some instances."""
         self._cpu = self._mem = self._gpu = -1
         for instance in instances:
             free = instance.free
@@ -61,7 +61,11 @@
             self._gpu = max(self._gpu, free.gpu)
 
     def may_fit(self, need: fleet.Resources) -> bool:
-        """Whether a need may fit on one of the instances."""
+        """Whether some instance may be able to fit a need.
+
+        If this is false, none fits it. If it is true, there may still be no
+        single instance with enough of every resource.
+        """
         return (
             need.cpu <= self._cpu
             and need.mem_mb <= self._mem
@@ -69,19 +73,19 @@
         )
 
 
-def choose(
+def choose_instances(
     step: job_tracker.OpenStep, candidates: Sequence[instance_state.Instance]
-) -> Chosen:
+) -> Assignments:
     """Chooses an instance for each waiting task that fits on one.
 
     Either all tasks of a gang get an instance or none of them does.
     """
     if step.step.gang:
         return place_gang(step, candidates) if step.startable_tasks else []
-    chosen: Chosen = []
+    chosen: Assignments = []
     reservations = _TentativeReservations()
     for task in step.startable_tasks:
-        instance = _best(step, task, candidates)
+        instance = _best_instance(step, task, candidates)
         if instance is None:
             if not task.avoided_instances:
                 break
@@ -122,10 +126,11 @@
 
 def place_gang(
     step: job_tracker.OpenStep, candidates: Sequence[instance_state.Instance]
-) -> Chosen:
+) -> Assignments:
     """Places a whole gang, on one rack if the step prefers it and one fits.
 
-    A part of a gang would only block capacity while it waits for the others.
+    If only some tasks of a gang were placed, they would block capacity while
+    they wait for the others.
     """
     if any(
         task.state is not job_tracker.TaskState.WAITING for task in step.tasks
@@ -139,19 +144,19 @@
             for rack in racks
         ] + groups
     for group in groups:
-        chosen = _all_or_none(step, group)
+        chosen = _choose_all_or_none(step, group)
         if chosen:
             return chosen
     return []
 
 
-def _all_or_none(
+def _choose_all_or_none(
     step: job_tracker.OpenStep, candidates: Sequence[instance_state.Instance]
-) -> Chosen:
-    chosen: Chosen = []
+) -> Assignments:
+    chosen: Assignments = []
     reservations = _TentativeReservations()
     for task in step.tasks:
-        instance = _best(step, task, candidates)
+        instance = _best_instance(step, task, candidates)
         if instance is None:
             reservations.undo()
             return []
@@ -161,7 +166,7 @@
     return chosen
 
 
-def _best(
+def _best_instance(
     step: job_tracker.OpenStep,
     task: job_tracker.Task,
     candidates: Sequence[instance_state.Instance],
--- a/src/vanillaswitch/coordination/fleet/queue/planning.py
+++ b/src/vanillaswitch/coordination/fleet/queue/planning.py
@@ -1,4 +1,9 @@
-"""Assigns waiting tasks to instances with enough unreserved capacity."""
+"""Plans which waiting tasks start on which instances.
+
+Suspect tasks, which may crash the instance that starts them, run in isolation
+(see ``crash_evidence``). Queues with an advisor start a task on an instance
+only with a ticket, which the advisor issues for a step and an instance.
+"""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -24,22 +29,22 @@
     def min_instances(self) -> dict[str, int]:
         """Returns how many instances long-running tasks need, by pool.
 
-        Anti-affinity limits how many tasks of a step share an instance, so such
-        tasks need a minimum of instances whatever their load. Pools without
-        them are left out.
+        Anti-affinity limits how many tasks of a step share an instance, so a
+        long-running step with it needs a minimum number of instances whatever
+        its load. Pools without such steps are left out.
         """
         minimums: dict[str, int] = {}
         for entry in self.tracker.unfinished.values():
             for step in entry.open_by_key.values():
                 max_per_instance = step.step.anti_affinity
                 if step.step.long_running and max_per_instance:
-                    service = self.pool_name_of(entry)
+                    pool_name = self.pool_name_of(entry)
                     count = -(-step.step.count // max_per_instance)
-                    minimums[service] = max(minimums.get(service, 1), count)
+                    minimums[pool_name] = max(minimums.get(pool_name, 1), count)
         return minimums
 
     def ready_steps(
-        self, moment: queue_order.PlanTime
+        self, plan_time: queue_order.PlanTime
     ) -> dict[str, list[job_tracker.OpenStep]]:
         """Returns open steps with waiting tasks, by pool, in queue order."""
         steps: dict[
@@ -47,14 +52,14 @@
         ] = {}
         for entry in self.tracker.unfinished.values():
             queue = self.queues.get(entry.job.queue)
-            service = self.pool_name_of(entry)
-            for step in entry.open_due_steps(moment.wall_ms):
+            pool_name = self.pool_name_of(entry)
+            for step in entry.open_due_steps(plan_time.wall_ms):
                 if step.has_waiting_task:
-                    key = self._queue_order(step, queue, moment)
-                    steps.setdefault(service, []).append((key, step))
+                    key = self._queue_order(step, queue, plan_time)
+                    steps.setdefault(pool_name, []).append((key, step))
         return {
-            service: [step for _, step in sorted(found, key=_sort_key)]
-            for service, found in steps.items()
+            pool_name: [step for _, step in sorted(found, key=_sort_key)]
+            for pool_name, found in steps.items()
         }
 
     def plan(self, now: float, wall_ms: float) -> None:
@@ -69,7 +74,9 @@
         ready = self.ready_steps(queue_order.PlanTime(now, wall_ms))
         self.jobs_without_spec = _without_spec(ready)
         self._plan_steps(ready, now)
-        waiting = {service: _backlog(steps) for service, steps in ready.items()}
+        waiting = {
+            pool_name: _backlog(steps) for pool_name, steps in ready.items()
+        }
         self.backlog_cpu = {name: cpu for name, (cpu, _) in waiting.items()}
         self.backlog_load = {name: load for name, (_, load) in waiting.items()}
 
@@ -77,18 +84,18 @@
         self, ready: Mapping[str, list[job_tracker.OpenStep]], now: float
     ) -> None:
         pools = self.instances_by_pool()
-        for service, steps in ready.items():
+        for pool_name, steps in ready.items():
             instances = [
                 instance
-                for instance in pools.get(service, [])
+                for instance in pools.get(pool_name, [])
                 if instance.is_schedulable(now)
             ]
             max_free = placement.MaxFree(instances)
             for step in steps:
                 if step.entry.spec is None:
                     continue
-                if step.has_crashed or self._suspect_by_image(step, now):
-                    pool = pools.get(service, [])
+                if step.has_crashed or self._mark_if_image_suspect(step, now):
+                    pool = pools.get(pool_name, [])
                     instances = self._place_in_isolation(
                         step, instances, pool, now
                     )
@@ -97,17 +104,19 @@
                     job_tracker.task_demand(step.step)
                 ) and self._place(step, instances, now):
                     max_free = placement.MaxFree(instances)
-                reserved = self._reserve_for(step, instances, now)
+                reserved = self._reserve_instance(step, instances, now)
                 if reserved is not None:
                     instances = [
                         item for item in instances if item is not reserved
                     ]
                     max_free = placement.MaxFree(instances)
 
-    def _suspect_by_image(self, step: job_tracker.OpenStep, now: float) -> bool:
+    def _mark_if_image_suspect(
+        self, step: job_tracker.OpenStep, now: float
+    ) -> bool:
         """Marks a step as suspect if its image has recently crashed instances.
 
-        Its first task is then tried in isolation before the others start.
+        Its first task then has to run in isolation before the others start.
 
         Returns:
             Whether the step was marked.
@@ -129,7 +138,7 @@
         pool: Sequence[instance_state.Instance],
         now: float,
     ) -> list[instance_state.Instance]:
-        """Starts suspect tasks of a step where a crash does least harm.
+        """Starts suspect tasks of a step where a crash would end fewest runs.
 
         Args:
             step: a step with waiting tasks.
@@ -145,19 +154,23 @@
         ]
         if not step.has_proven_task:
             all_startable = len(suspects) == len(step.suspect_tasks)
-            may_try = all_startable and not self._has_trial(step)
-            suspects = suspects[:1] if may_try else []
+            may_start_one = all_startable and not self._has_active_suspect_run(
+                step
+            )
+            suspects = suspects[:1] if may_start_one else []
         if not suspects:
             return instances
         tickets = self.tickets_for(step, now)
         if step.step.gang:
             proven = [item for item in instances if not item.unproven_runs]
-            self._place(step, proven, now, apart=True)
+            self._place(step, proven, now, isolated=True)
             return [item for item in instances if not item.has_isolated_run]
         for task in suspects:
-            eligible = placement.eligible(step, instances, now, tickets)
+            candidates = placement.eligible_instances(
+                step, instances, now, tickets
+            )
             found = suspect_placement.choose_suspect_instance(
-                self, step, task, eligible, now
+                self, step, task, candidates, now
             )
             if found is None or not suspect_placement.may_run_suspect(
                 pool, found
@@ -171,28 +184,30 @@
                 break
             ticket = tickets.get(found.name, "") if tickets else ""
             self._assign(
-                step, task, found, task.run + 1, ticket, now, apart=True
+                step, task, found, task.run + 1, ticket, now, isolated=True
             )
             step.entry.was_assigned = True
             self.tracker.mark_dirty(step.entry)
         return instances
 
-    def _has_trial(self, step: job_tracker.OpenStep) -> bool:
-        """Whether a run of a suspect task is under way that will give evidence.
+    def _has_active_suspect_run(self, step: job_tracker.OpenStep) -> bool:
+        """Whether a suspect task of a step has a run that is not to be stopped.
 
-        A run that is to be stopped gives none. Its stop may have to wait until
-        other tasks of its step are at work, so they must not wait for it.
+        Such a run will show whether the task crashes its instance. A run that
+        is to be stopped may not show it. Its stop may also have to wait until
+        other tasks of the step are serving, so they must not wait for it.
         """
-        trials = [
+        suspect_runs = [
             self._find_run(task.instance, (task.name, task.run))
             for task in step.tasks
             if task.is_suspect and task.state is job_tracker.TaskState.ASSIGNED
         ]
         return any(
-            run is not None and run.stop_requested_at is None for run in trials
+            run is not None and run.stop_requested_at is None
+            for run in suspect_runs
         )
 
-    def _reserve_for(
+    def _reserve_instance(
         self,
         step: job_tracker.OpenStep,
         instances: Iterable[instance_state.Instance],
@@ -200,10 +215,10 @@
     ) -> instance_state.Instance | None:
         """Returns an instance to reserve until a long-running task fits on it.
 
-        In a full pool smaller tasks fill each gap at once, so a larger,
-        long-running task would starve while small ones arrive. The instance
-        with the most unreserved capacity has enough of it after the duration of
-        one short task.
+        In a full pool, smaller tasks use up any capacity that becomes free, so
+        a larger long-running task would starve while small ones arrive. The
+        instance with the most unreserved capacity has enough of it soon: once
+        the short tasks that run on it have ended.
         """
         if not step.step.long_running:
             return None
@@ -219,8 +234,9 @@
                     step.step, waiting[0].name, need, now
                 )
             ),
-            # Keep the same one unless another has more free capacity: if the
-            # reservation alternated, small tasks would fill both of them.
+            # Keep the same instance unless another one has more free capacity.
+            # If the reservation alternated between two, small tasks would fill
+            # both of them.
             key=lambda item: (
                 item.free_share(need),
                 item.name == step.reserved_instance,
@@ -236,7 +252,7 @@
         instances: Iterable[instance_state.Instance],
         now: float,
         *,
-        apart: bool = False,
+        isolated: bool = False,
     ) -> bool:
         """Assigns tasks of a step.
 
@@ -244,7 +260,7 @@
             step: a step with waiting tasks.
             instances: the instances to choose from.
             now: monotonic seconds.
-            apart: whether to start a gang in isolation.
+            isolated: whether to start a gang in isolation.
 
         Returns:
             Whether any task was assigned.
@@ -252,10 +268,12 @@
         tickets = self.tickets_for(step, now)
         if tickets is not None and not tickets:
             return False
-        candidates = placement.eligible(step, instances, now, tickets)
+        candidates = placement.eligible_instances(step, instances, now, tickets)
         if not candidates:
             return False
-        choose = placement.place_gang if apart else placement.choose
+        choose = (
+            placement.place_gang if isolated else placement.choose_instances
+        )
         chosen = choose(step, candidates)
         if not chosen:
             return False
@@ -263,7 +281,9 @@
         for task, instance in chosen:
             run = highest + 1 if step.step.gang else task.run + 1
             ticket = tickets.get(instance.name, "") if tickets else ""
-            self._assign(step, task, instance, run, ticket, now, apart=apart)
+            self._assign(
+                step, task, instance, run, ticket, now, isolated=isolated
+            )
         step.entry.was_assigned = True
         self.tracker.mark_dirty(step.entry)
         return True
@@ -277,7 +297,7 @@
         ticket: str,
         now: float,
         *,
-        apart: bool = False,
+        isolated: bool = False,
     ) -> None:
         spec = step.entry.spec
         if spec is None:
@@ -296,7 +316,7 @@
             now,
         )
         run.born_ms = task.born_ms
-        run.is_isolated = apart
+        run.is_isolated = isolated
         run.required_proof_s = crash_evidence.required_proof_s(task.crashes)
         instance.add_run(run)
         self._emit(
@@ -323,7 +343,10 @@
     def tickets_for(
         self, step: job_tracker.OpenStep, now: float
     ) -> Mapping[str, str] | None:
-        """Returns a step's valid tickets by instance, None if it needs none."""
+        """Returns a step's valid tickets by instance, None if it needs none.
+
+        No ticket is valid if the result is empty.
+        """
         queue = self.queues.get(step.entry.job.queue)
         if queue is None or queue.advice is None:
             return None
--- a/src/vanillaswitch/coordination/fleet/queue/queue_order.py
+++ b/src/vanillaswitch/coordination/fleet/queue/queue_order.py
@@ -1,17 +1,19 @@
 """The order in which open steps get capacity.
 
-Load pattern: for some seconds a queue demands several times its mean, more than
-its pool can hold, and little in between. A job has its full value until its
-objective, a fraction of it until three times the objective, and none
-afterwards. So jobs that can still meet their objective go first, and late jobs
-use what is left over. Long-running tasks go before all others: they are few,
-and serve their own users all the time.
-
+Load pattern: for some seconds the jobs of a queue need several times the mean
+capacity, more than its pool has, and little in between. Each job has an
+objective, the time within which it should end. It has its full value until
+then, a fraction of it until three times the objective, and none afterwards. So
+jobs that can still meet their objective go first, and late jobs use what is
+left over. Long-running tasks go before all others: they are few, and users
+depend on them all the time.
+
+The slack of a job is the time that it can lose and still meet its objective.
 Least slack first is the best order while there is capacity for all jobs. While
 there is not, it spends the capacity on jobs that have just enough time left and
-miss their objective by some unforeseen delay, and by then the jobs behind them
-have no more slack either. So a job that has not started goes before others only
-while its slack is a good part of its remaining work.
+then miss their objective by a small delay. By then the jobs behind them have no
+more slack either. So a job that has not started goes before others only while
+its slack is a large enough part of its remaining work.
 """
 
 from collections.abc import Callable
@@ -45,30 +47,30 @@
 DEFAULT_ORDER = "headroom"
 
 LATE_FACTOR = 3.0
-"""A job has no value after this multiple of its objective (a rule of the
-users)."""
+"""A job has no value after this multiple of its objective (a requirement)."""
 
-HEADROOM = 0.3
-"""Slack that a job without a start needs to go before others, as a share of its
-remaining work: estimates are off by half, and a start takes time. In replays of
-bursts beyond the capacity, 0.2 and 0.4 earn up to 0.03 less of the credit."""
+MIN_SLACK_RATIO = 0.3
+"""Slack that a job that has not started needs to go before others, as a share
+of its remaining work. Estimates are off by half, and a start takes time. In
+replays of bursts beyond the capacity, the jobs ended with up to 0.03 less of
+their total value with 0.2 or 0.4."""
 
-_LONG_RUNNING, _IN_TIME, _LATE, _WORTHLESS = 0, 1, 2, 3
+_LONG_RUNNING, _IN_TIME, _LATE, _NO_VALUE = 0, 1, 2, 3
 _STARTED, _AMPLE_SLACK, _LITTLE_SLACK = 0, 1, 2
 
 
-def critical_path_ms(job: jobs.Job, done: Callable[[int], bool]) -> float:
-    """Returns the estimated critical path of the remaining steps.
+def critical_path_ms(job: jobs.Job, is_done: Callable[[int], bool]) -> float:
+    """Returns the estimated duration of the longest chain of remaining steps.
 
     Args:
         job: the job.
-        done: tells for the number of a step whether the step is done.
+        is_done: returns whether the step with a number is done.
     """
     ends_ms: list[float] = []
     for number, step in enumerate(job.steps):
-        before = max((ends_ms[first] for first in step.after), default=0.0)
-        own = 0.0 if done(number) else step.estimate_ms
-        ends_ms.append(before + own)
+        start_ms = max((ends_ms[other] for other in step.after), default=0.0)
+        duration_ms = 0.0 if is_done(number) else step.estimate_ms
+        ends_ms.append(start_ms + duration_ms)
     return max(ends_ms)
 
 
@@ -84,7 +86,7 @@
     return queue.stretch * path_ms + queue.target_duration_ms
 
 
-def _critical_path_ms(entry: job_tracker.JobEntry) -> float:
+def _cached_critical_path_ms(entry: job_tracker.JobEntry) -> float:
     """Returns the critical path of a whole job."""
     if entry.critical_path_ms is None:
         entry.critical_path_ms = critical_path_ms(entry.job, lambda _: False)
@@ -95,7 +97,7 @@
     """Returns the remaining critical path of an occurrence.
 
     The value is cached until a step is done. Computing it for each open step in
-    each plan took a third of a plan with 400 waiting jobs.
+    each plan took a third of the time of a plan with 400 waiting jobs.
     """
     entry = step.entry
     if step.occurrence not in entry.remaining_path_ms:
@@ -106,11 +108,11 @@
     return entry.remaining_path_ms[step.occurrence]
 
 
-def _age_ms(step: job_tracker.OpenStep, moment: PlanTime) -> float:
+def _age_ms(step: job_tracker.OpenStep, plan_time: PlanTime) -> float:
     due_ms = step.entry.job.due_ms(step.occurrence)
     if due_ms:
-        return max(0.0, moment.wall_ms - due_ms)
-    return (moment.now - step.entry.submitted_at) * 1000
+        return max(0.0, plan_time.wall_ms - due_ms)
+    return (plan_time.now - step.entry.submitted_at) * 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -118,10 +120,12 @@
     """How urgent the job of an open step is.
 
     Attributes:
-        group: whether it can still be in time; the lowest group goes first.
-        priority: of its queue; 0 goes first.
+        group: one of ``_LONG_RUNNING``, ``_IN_TIME``, ``_LATE`` and
+            ``_NO_VALUE``; the lowest goes first.
+        priority: priority of its queue; 0 goes first.
         remaining_ms: remaining critical path.
-        slack_ms: time to spare until its objective.
+        slack_ms: time that it can lose and still meet its objective; negative
+            if it can't meet it any more.
         age_ms: time since it was submitted or due.
     """
 
@@ -133,12 +137,12 @@
 
 
 def _urgency(
-    step: job_tracker.OpenStep, queue: fleet.Queue | None, moment: PlanTime
+    step: job_tracker.OpenStep, queue: fleet.Queue | None, plan_time: PlanTime
 ) -> _Urgency:
     entry = step.entry
     remaining = _remaining_path_ms(step)
-    age = _age_ms(step, moment)
-    objective = objective_ms(_critical_path_ms(entry), queue)
+    age = _age_ms(step, plan_time)
+    objective = objective_ms(_cached_critical_path_ms(entry), queue)
     slack_ms = objective - age - remaining
     if step.step.long_running:
         group = _LONG_RUNNING
@@ -147,7 +151,7 @@
     elif age + remaining <= LATE_FACTOR * objective:
         group = _LATE
     else:
-        group = _WORTHLESS
+        group = _NO_VALUE
     return _Urgency(
         group, queue.priority if queue else 0, remaining, slack_ms, age
     )
@@ -155,30 +159,30 @@
 
 @ORDERS.register("headroom")
 def headroom(
-    step: job_tracker.OpenStep, queue: fleet.Queue | None, moment: PlanTime
+    step: job_tracker.OpenStep, queue: fleet.Queue | None, plan_time: PlanTime
 ) -> Key:
     """Started jobs first, then those with ample slack, then the others.
 
     In replays of bursts with a tenth, a quarter and two fifths less capacity
-    than demand, this order earns 0.81, 0.71 and 0.61 of the credit, where least
-    slack first earns 0.70, 0.50 and 0.34 (four seeds each). With capacity for
-    all jobs, both orders earn the same.
+    than demand, the jobs ended with 0.81, 0.71 and 0.61 of their total value in
+    this order, and with 0.70, 0.50 and 0.34 with least slack first (four seeds
+    each). With capacity for all jobs, both orders reached the same value.
 
     Args:
         step: an open step.
         queue: its job's queue as configured now.
-        moment: the time of the plan.
+        plan_time: the time of the plan.
     """
-    urgency = _urgency(step, queue, moment)
+    urgency = _urgency(step, queue, plan_time)
     if urgency.group != _IN_TIME:
         return _by_group(urgency)
     slack_ms = urgency.slack_ms
     if _has_started(step):
         rank = (_STARTED, slack_ms)
-    elif slack_ms >= HEADROOM * urgency.remaining_ms:
+    elif slack_ms >= MIN_SLACK_RATIO * urgency.remaining_ms:
         rank = (_AMPLE_SLACK, slack_ms)
     else:
-        # The most slack first: that job is the likeliest one to be in time.
+        # The most slack first: that job is the most likely to be in time.
         rank = (_LITTLE_SLACK, -slack_ms)
     return (_IN_TIME, urgency.priority, *rank)
 
@@ -191,23 +195,23 @@
 def _by_group(urgency: _Urgency) -> Key:
     if urgency.group == _LONG_RUNNING:
         return (_LONG_RUNNING, 0.0)
-    if urgency.group == _WORTHLESS:
-        return (_WORTHLESS, urgency.priority, urgency.age_ms)
+    if urgency.group == _NO_VALUE:
+        return (_NO_VALUE, urgency.priority, urgency.age_ms)
     return (urgency.group, urgency.priority, urgency.slack_ms)
 
 
 @ORDERS.register("slack")
 def slack(
-    step: job_tracker.OpenStep, queue: fleet.Queue | None, moment: PlanTime
+    step: job_tracker.OpenStep, queue: fleet.Queue | None, plan_time: PlanTime
 ) -> Key:
     """Jobs that can still meet their objective first, by least slack."""
-    return _by_group(_urgency(step, queue, moment))
+    return _by_group(_urgency(step, queue, plan_time))
 
 
 @ORDERS.register("arrival")
 def arrival(
-    step: job_tracker.OpenStep, queue: fleet.Queue | None, moment: PlanTime
+    step: job_tracker.OpenStep, queue: fleet.Queue | None, plan_time: PlanTime
 ) -> Key:
-    """First come, first served; the baseline for comparisons."""
+    """First come, first served; a baseline to compare other orders with."""
     del queue
-    return (0.0 if step.step.long_running else 1.0, -_age_ms(step, moment))
+    return (0.0 if step.step.long_running else 1.0, -_age_ms(step, plan_time))
--- a/src/vanillaswitch/coordination/fleet/queue/stragglers.py
+++ b/src/vanillaswitch/coordination/fleet/queue/stragglers.py
@@ -23,20 +23,22 @@
 gaps counted, an owner that resumes after a pause would stop all running tasks
 as stalled."""
 
-SMOOTHING = 0.3
-"""Weight of a new sample in the moving average of an instance's speed. About
-three samples show a change."""
+SMOOTHING_FACTOR = 0.3
+"""Weight of a new sample in the moving average of an instance's speed. A change
+shows after about three samples."""
 
 MIN_SAMPLES = 3
 """Samples below which the speed of an instance is unknown, and instances with a
 known speed below which a pool has no median."""
 
-SLOW_SHARE = 0.4
-"""An instance is slow below this share of its pool's median speed. A healthy
-one deviates by about half, a slow one takes four times as long and more."""
+STRAGGLER_SPEED_RATIO = 0.4
+"""An instance is slow below this share of its pool's median speed. The speed of
+a healthy one deviates by about half, and a slow one takes at least four times
+as long."""
 
-MIN_INTERVAL_S = 0.2
-"""Shorter intervals give no sample: progress is reported in whole percent."""
+MIN_SAMPLE_INTERVAL_S = 0.2
+"""Shortest time between two changes of progress that gives a sample. Progress
+is reported in whole percent, so a shorter one would be inexact."""
 
 
 def record_progress(
@@ -54,7 +56,7 @@
         now: monotonic seconds.
     """
     if percent != run.percent:
-        _sample(instance, run, percent, now)
+        _update_speed(instance, run, percent, now)
         run.percent, run.progress_at = percent, now
         run.stalled_s = 0.0
     elif now - run.reported_at <= MAX_REPORT_GAP_S:
@@ -64,7 +66,7 @@
     run.reported_at = now
 
 
-def _sample(
+def _update_speed(
     instance: instance_state.Instance,
     run: instance_state.Run,
     percent: float,
@@ -74,11 +76,13 @@
     interval_s = now - run.progress_at
     if step.long_running or not step.estimate_ms:
         return
-    if interval_s < MIN_INTERVAL_S or percent <= run.percent:
+    if interval_s < MIN_SAMPLE_INTERVAL_S or percent <= run.percent:
         return
-    worked_s = (percent - run.percent) / 100 * step.estimate_ms / 1000
-    speed = worked_s / interval_s
-    instance.relative_speed += SMOOTHING * (speed - instance.relative_speed)
+    expected_s = (percent - run.percent) / 100 * step.estimate_ms / 1000
+    speed = expected_s / interval_s
+    instance.relative_speed += SMOOTHING_FACTOR * (
+        speed - instance.relative_speed
+    )
     instance.speed_samples += 1
 
 
@@ -107,4 +111,6 @@
         return
     median = statistics.median(instance.relative_speed for instance in known)
     for instance in known:
-        instance.is_straggler = instance.relative_speed < SLOW_SHARE * median
+        instance.is_straggler = (
+            instance.relative_speed < STRAGGLER_SPEED_RATIO * median
+        )
--- a/src/vanillaswitch/coordination/fleet/reference_clock.py
+++ b/src/vanillaswitch/coordination/fleet/reference_clock.py
@@ -1,18 +1,18 @@
-"""A clock that all processes of the system agree on.
+"""A clock on which all processes of the system agree.
 
 Load pattern: the wall clocks of some machines jump by seconds, forward or
 backward, while processes read timestamps that others wrote. With wall clocks
 alone, an owner whose clock is ahead would remove jobs that had just ended,
-because they would seem to have ended long ago. It would serve jobs accepted by
-a process whose clock is behind last, because they would seem too late to be of
-use.
-
-Ages across processes are therefore measured on the store's steady clock, which
-comes with each of its answers. Only events due at a time of day need a wall
-clock; the one that most machines agree on is used. Each submitted job brings a
-sample, the offset between the wall clock of the machine that accepted it and
-the store's clock. The median of the samples is right as long as fewer than
-half of the machines are wrong.
+because they would seem to have ended long ago. And it would start jobs accepted
+by a process whose clock is behind after all others, because they would seem to
+be past the time at which they have any value.
+
+Ages across processes are therefore measured on the store's steady clock, whose
+time comes with each of the store's answers. Only events due at a time of day
+need a wall clock. It is derived from the store's clock and the median offset of
+the machines' wall clocks from it. Each submitted job gives one sample of this
+offset, that of the machine which accepted the job. The median is right as long
+as fewer than half of the samples are wrong.
 """
 
 import collections
@@ -21,18 +21,19 @@
 from vanillaswitch.internal import clock as clocks
 
 MAX_SAMPLES = 31
-"""Submissions whose clock offsets are kept, about one second's worth. That
-many keep a few machines with many submissions from deciding the median, which
-costs some microseconds to compute."""
+"""Number of clock offsets that are kept, from about one second of submissions.
+With that many, a few machines with many submissions do not decide the median.
+Computing it takes some microseconds."""
 
 MAX_EXTRAPOLATION_S = 60.0
-"""Time after which a store time that is behind the extrapolated one is
-accepted. A slow answer is behind by its delay, so it is ignored before; the
-clocks of two machines drift apart by some milliseconds meanwhile."""
+"""Time after which a store time behind the extrapolated one is accepted.
+
+Before that it is ignored, because a slow answer is behind by its delay. The
+clocks of two machines drift apart by some milliseconds in this time."""
 
 
 class ReferenceClock:
-    """Estimates of the store's clock and of the common time of day."""
+    """Estimates of the store's clock and of the wall clock of most machines."""
 
     def __init__(self, clock: clocks.Clock):
         """Starts without any store time or sample.
@@ -58,7 +59,7 @@
 
     @property
     def wall_now_ms(self) -> float:
-        """The time of day of most machines, in milliseconds since 1970."""
+        """The wall clock of most machines, in milliseconds since 1970."""
         own_ms = self._clock.wall() * 1000
         now_ms = self.store_now_ms
         if now_ms is None:
--- a/src/vanillaswitch/coordination/fleet/telemetry.py
+++ b/src/vanillaswitch/coordination/fleet/telemetry.py
@@ -7,7 +7,8 @@
 from vanillaswitch.internal import metrics
 
 MAX_SERIES = 64
-"""Histograms of one kind; further names share one. Each queue has two."""
+"""Maximum number of histograms of one kind; further queues share one. Each
+queue has a histogram of submissions and one of jobs."""
 
 _US_PER_MS = 1000
 
@@ -39,14 +40,14 @@
     def emit(self, event: object) -> None:
         """Logs, counts and measures an event."""
         self._write(event)
-        self._counters.add(type(event).__name__ + _outcome(event))
+        self._counters.add(type(event).__name__ + _counter_suffix(event))
         if isinstance(event, events.HandedIn):
             self._submissions.record(event.queue, event.waited_ms * _US_PER_MS)
         elif isinstance(event, events.JobEnded):
             self._jobs.record(event.queue, event.age_ms * _US_PER_MS)
 
 
-def _outcome(event: object) -> str:
+def _counter_suffix(event: object) -> str:
     """Returns the suffix of an event's counter name, with a leading dot."""
     match event:
         case events.HandedIn(verdict=outcome):
