--- a/src/vanillaswitch/coordination/fleet/events.py
+++ b/src/vanillaswitch/coordination/fleet/events.py
@@ -9,8 +9,8 @@
 Class names are the kinds of the log lines and the names of the counters, and
 fields are their keys. Operators' tools read them, so they must not change. In
 these names "begun" means that an instance is known to have started the run,
-"apart" means in isolation from other new runs, and "given up" means failed for
-good.
+"apart" means that nothing else starts on the run's instance, and "given up"
+means failed for good.
 """
 
 import dataclasses
--- a/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
+++ b/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
@@ -6,10 +6,11 @@
 if one of them has no other visible cause. Weaker kinds of evidence need more
 crashes.
 
-After a crash the task is a suspect and runs in isolation: nothing else starts
-on its instance. Once a run of it has lasted for ``required_proof_s``, the run
-is proven: it did not crash its instance by starting there. The longer it lasts
-after that, the fewer earlier crashes still count against the task.
+A task that may be the cause (see ``is_suspect``) is a suspect and runs in
+isolation: nothing else starts on its instance. Once a run of it has lasted for
+``required_proof_s``, the run is proven: it did not crash its instance by
+starting there. If it lasts still longer, fewer or none of the earlier crashes
+count against the task (see ``remaining_crashes``).
 """
 
 from collections.abc import Sequence
@@ -25,7 +26,8 @@
             no other instance was lost at that moment without a cause of its
             own.
         NEW_RUN: the run had just started there.
-        PROVEN_RUN: the run had lasted for at least ``MIN_PROOF_S``.
+        PROVEN_RUN: the run had lasted for at least ``MIN_PROOF_S``, even if
+            ``required_proof_s`` is longer.
         UNCERTAIN: it is unknown whether or when the run started, or whether the
             instance crashed at all.
     """
@@ -60,7 +62,8 @@
 """Number of crashes at which the job of a task fails.
 
 The first two limits count crashes of runs that had just started, after the last
-crash of a proven run. The first one applies if one of them is ``SOLE_NEW_RUN``.
+crash of kind ``PROVEN_RUN``. The first one applies if one of them is of kind
+``SOLE_NEW_RUN``.
 The third limit counts all crashes at which the task certainly ran, and the last
 one also those at which it may have run. The requirements allow at most two
 starts after the third crash."""
@@ -112,8 +115,8 @@
     extra = EXTRA_CRASHES_LONG_RUNNING if long_running else 0
     kinds = [crash.kind for crash in crashes]
     certain = len(kinds) - kinds.count(CrashKind.UNCERTAIN)
-    # A proven run shows that no earlier run crashed its instance by starting
-    # there.
+    # A run that lasted shows that no earlier run crashed its instance by
+    # starting there.
     since_proven = kinds[_last_proven_index(kinds) + 1 :]
     sole = since_proven.count(CrashKind.SOLE_NEW_RUN)
     new = sole + since_proven.count(CrashKind.NEW_RUN)
@@ -126,7 +129,7 @@
 
 
 def _last_proven_index(kinds: Sequence[CrashKind]) -> int:
-    """Returns the index of the last crash of a proven run; -1 for none."""
+    """Returns the index of the last ``PROVEN_RUN``; -1 for none."""
     proven = [
         index
         for index, kind in enumerate(kinds)
