--- a/src/vanillaswitch/coordination/commit_retries.py
+++ b/src/vanillaswitch/coordination/commit_retries.py
@@ -44,8 +44,8 @@
         clock: paces the retries.
         deadline: monotonic seconds at which to give up; at least one attempt
             is made, and an attempt under way is completed.
-        exclusive: the caller guarantees that nobody else overwrites or deletes
-            the rows of this transaction before its outcome is known.
+        exclusive_writer: the caller guarantees that nobody else overwrites or
+            deletes the rows of this transaction before its outcome is known.
 
     Returns:
         ``Committed`` or ``Conflict`` if that is certain. ``Unavailable`` if the
--- a/src/vanillaswitch/coordination/control/duty_assignment.py
+++ b/src/vanillaswitch/coordination/control/duty_assignment.py
@@ -111,8 +111,12 @@
     for name in sorted(table.keys() - assigned.keys()):
         candidates = [member for member in members if free_slots[member] > 0]
         member = max(
-            candidates, key=lambda m, n=name: (rendezvous_weight(n, m), m)
-        )  # type: ignore[misc]
+            candidates,
+            key=lambda m, n=name: (  # type: ignore[misc]
+                rendezvous_weight(n, m),
+                m,
+            ),
+        )
         assigned[name] = member
         free_slots[member] -= 1
     return assigned
@@ -128,8 +132,11 @@
             held[record.duty.holder].append(name)
     for member, names in held.items():
         names.sort(
-            key=lambda name, m=member: (-rendezvous_weight(name, m), name)
-        )  # type: ignore[misc]
+            key=lambda name, m=member: (  # type: ignore[misc]
+                -rendezvous_weight(name, m),
+                name,
+            )
+        )
     return held
 
 
--- a/src/vanillaswitch/coordination/entry/admission.py
+++ b/src/vanillaswitch/coordination/entry/admission.py
@@ -146,7 +146,8 @@
         Args:
             ticket: number of the request.
             now: monotonic seconds.
-            measured: whether to record the time since its start as slot time.
+            record_duration: whether to record the time since its start as slot
+                time.
         """
         running_request = self._running.pop(ticket, None)
         if running_request is None:
--- a/src/vanillaswitch/coordination/entry/fleet_view.py
+++ b/src/vanillaswitch/coordination/entry/fleet_view.py
@@ -94,10 +94,10 @@
         """Records the end of a refresh, which may have failed.
 
         Args:
-            pauses: ``pauses`` when the refresh began. A refresh that was under
-                way during a pause may return data from before the pause.
+            pauses: ``pause_count`` when the refresh began. A refresh that was
+                under way during a pause may return data from before the pause.
             now: monotonic seconds at which the refresh began.
-            whole: whether all sources answered.
+            is_complete: whether all sources answered.
         """
         if is_complete:
             self._refreshed_at = now
--- a/src/vanillaswitch/coordination/entry/request_handler.py
+++ b/src/vanillaswitch/coordination/entry/request_handler.py
@@ -52,15 +52,16 @@
             config: the configuration in force.
             fleet: the minions that accept new requests.
             catch_up: ``fleet_task.FleetTask.catch_up``.
-            peer_loads: returns the requests that all other entries have in
+            peer_in_flight: returns the requests that all other entries have in
                 flight, by minion instance.
-            entries: returns the names of the live entries, this one first.
+            live_entries: returns the names of the live entries, this one first.
             client: sends requests to minions.
             claims: ensures that a non-idempotent request with a key runs at
                 most once.
             metrics: counts replies and records durations.
-            boot: random id of this start of the process.
-            lend: sends a message about slot loans without blocking.
+            boot_id: random id of this start of the process.
+            send_loan_message: sends a message about slot loans without
+                blocking.
         """
         self._clock = clock
         self._config = config
--- a/src/vanillaswitch/coordination/entry/request_validation.py
+++ b/src/vanillaswitch/coordination/entry/request_validation.py
@@ -246,8 +246,8 @@
         return _refusal(
             400,
             "bad-key",
-            f"{requests.HEADER_IDEMPOTENCY_KEY} must have 1 to {MAX_KEY_LENGTH} "
-            "characters.",
+            f"{requests.HEADER_IDEMPOTENCY_KEY} must have 1 to "
+            f"{MAX_KEY_LENGTH} characters.",
         )
     issued_ms = _parse_number(
         control_headers.get(requests.HEADER_ISSUED_MS, "")
--- a/src/vanillaswitch/coordination/entry/routing.py
+++ b/src/vanillaswitch/coordination/entry/routing.py
@@ -1,8 +1,8 @@
 """Chooses the minion for a request.
 
 A policy defines how many requests this process may have in flight at a minion
-(``limit``), how many more it may send now (``room``) and which of the minions
-with free slots it prefers (``choose``).
+(``slot_limit``), how many more it may send now (``free_slots``) and which of
+the minions with free slots it prefers (``choose``).
 """
 
 from collections.abc import Collection
@@ -25,10 +25,11 @@
     """Use of the minions' slots by instance; absent instances mean zero.
 
     Attributes:
-        own: requests in flight, sent by this process.
-        peers: requests in flight of all other entries, as last reported.
-        entries: the live entries, this process first.
-        loans: slots borrowed from peers minus slots lent to them.
+        own_in_flight: requests in flight, sent by this process.
+        peer_in_flight: requests in flight of all other entries, as last
+            reported.
+        live_entries: the live entries, this process first.
+        net_loans: slots borrowed from peers minus slots lent to them.
     """
 
     own_in_flight: Mapping[str, int]
@@ -134,10 +135,12 @@
     the same time.
     """
 
-    def limit(self, minion: minions_lib.Minion, _loads: MinionLoads) -> int:
+    def slot_limit(
+        self, minion: minions_lib.Minion, _loads: MinionLoads
+    ) -> int:
         return minion.slots
 
-    def room(self, minion: minions_lib.Minion, loads: MinionLoads) -> int:
+    def free_slots(self, minion: minions_lib.Minion, loads: MinionLoads) -> int:
         return minion.slots - loads.in_flight_at(minion)
 
     def choose(
@@ -164,12 +167,12 @@
     do not affect the slots in this process's share.
     """
 
-    def limit(self, minion: minions_lib.Minion, loads: MinionLoads) -> int:
+    def slot_limit(self, minion: minions_lib.Minion, loads: MinionLoads) -> int:
         return slot_share(minion.instance, minion.slots, loads.live_entries)
 
-    def room(self, minion: minions_lib.Minion, loads: MinionLoads) -> int:
+    def free_slots(self, minion: minions_lib.Minion, loads: MinionLoads) -> int:
         used = loads.own_in_flight.get(minion.instance, 0)
-        return self.limit(minion, loads) - used
+        return self.slot_limit(minion, loads) - used
 
     def choose(
         self,
@@ -191,9 +194,9 @@
 class _LentShare(_FixedShare):
     """A fixed share, plus whole slots lent between entries on demand."""
 
-    def limit(self, minion: minions_lib.Minion, loads: MinionLoads) -> int:
+    def slot_limit(self, minion: minions_lib.Minion, loads: MinionLoads) -> int:
         net_lent = loads.net_loans.get(minion.instance, 0)
-        return super().limit(minion, loads) + net_lent
+        return super().slot_limit(minion, loads) + net_lent
 
 
 LENT_SHARE_POLICY = DEFAULT_POLICY
--- a/src/vanillaswitch/coordination/maintenance/background_failures.py
+++ b/src/vanillaswitch/coordination/maintenance/background_failures.py
@@ -14,9 +14,10 @@
     """Returns the expected background failures among touched instances.
 
     Args:
-        per_day: background failures per day of all ``total`` instances.
+        failures_per_day: background failures per day of all ``total``
+            instances.
         elapsed_s: seconds that the wave has run.
-        touched: number of instances whose maintenance has begun.
+        begun_count: number of instances whose maintenance has begun.
         total: number of instances in the wave.
     """
     if total == 0:
@@ -28,7 +29,7 @@
     """Returns the largest number of failures that the background explains.
 
     It is the smallest k for which more than k events have a probability below
-    ``SIGNIFICANCE`` in a Poisson distribution with this mean.
+    ``SIGNIFICANCE_LEVEL`` in a Poisson distribution with this mean.
 
     Args:
         mean: expected number of background failures.
--- a/src/vanillaswitch/coordination/peering/peer_network.py
+++ b/src/vanillaswitch/coordination/peering/peer_network.py
@@ -262,11 +262,12 @@
     Args:
         settings: name, data centre, listen address and seeds of the process.
         role: which daemon this is.
-        boot: random id of this process start.
+        boot_id: random id of this process start.
         open_transport: opens the transport that listens and sends messages.
         clock: measures silence and paces the heartbeats.
         rng: draws the jitter of the heartbeats.
-        snapshot: returns what to send in the next heartbeats; must not block.
+        local_status: returns what to send in the next heartbeats; must not
+            block.
     """
     identity = heartbeat_sender.ProcessIdentity(
         settings.process, boot_id, role, settings.data_centre
--- a/standins/slots_forwarding.py
+++ b/standins/slots_forwarding.py
@@ -33,19 +33,19 @@
 class OwnerPolicy:
     """Uses all slots of the minions that an entry owns, and no others."""
 
-    def limit(
+    def slot_limit(
         self, minion: minions_lib.Minion, loads: routing.MinionLoads
     ) -> int:
         """Returns all slots of a minion that we own, none of another."""
         owner = owner_of(minion.instance, loads.live_entries)
         return minion.slots if owner == loads.live_entries[0] else 0
 
-    def room(
+    def free_slots(
         self, minion: minions_lib.Minion, loads: routing.MinionLoads
     ) -> int:
         """Returns the free slots of a minion, by our own count alone."""
         used = loads.own_in_flight.get(minion.instance, 0)
-        return self.limit(minion, loads) - used
+        return self.slot_limit(minion, loads) - used
 
     def choose(
         self,
--- a/tests/cover/test_slot_loans.py
+++ b/tests/cover/test_slot_loans.py
@@ -125,16 +125,14 @@
 def test_the_reserve_follows_urgent_requests_and_shrinks_when_idle(
     usable, counts
 ):
-    slot_reserve = slot_reserve.SlotReserve()
+    reserve = slot_reserve.SlotReserve()
     for second, urgent in enumerate(counts):
-        slot_reserve.record_urgent(urgent, float(second))
+        reserve.record_urgent(urgent, float(second))
     minimum = round(usable / slot_reserve.SLOTS_PER_RESERVED_SLOT)
-    assert (
-        minimum <= slot_reserve.reserved_slots(usable) <= max(minimum, 48 + 1)
-    )
-    slot_reserve.record_urgent(0, len(counts) + 60.0)
-    slot_reserve.record_urgent(0, len(counts) + 120.0)
-    assert slot_reserve.reserved_slots(usable) == minimum < usable
+    assert minimum <= reserve.reserved_slots(usable) <= max(minimum, 48 + 1)
+    reserve.record_urgent(0, len(counts) + 60.0)
+    reserve.record_urgent(0, len(counts) + 120.0)
+    assert reserve.reserved_slots(usable) == minimum < usable
 
 
 def test_a_rare_urgent_request_leaves_a_single_slot_to_long_requests():
