--- a/src/vanillaswitch/coordination/once/group_commit.py
+++ b/src/vanillaswitch/coordination/once/group_commit.py
@@ -67,8 +67,8 @@
     """A single task that commits independent puts.
 
     The submitter of a put has to be the only writer of the row from when the
-    put takes effect until the submitter gets the outcome (``exclusive`` in
-    ``commits``).
+    put takes effect until the submitter gets the outcome (``exclusive_writer``
+    in ``commit_retries``).
     """
 
     def __init__(
@@ -156,7 +156,7 @@
         waiting, self._deferred = self._deferred, collections.deque()
         if not waiting:
             waiting.append(self._inbox.get())
-        while not self._inbox.is_empty():
+        while not self._inbox.empty():
             waiting.append(self._inbox.get())
         batch: dict[str, Submission] = {}
         text_size = 0
@@ -212,7 +212,7 @@
         waiting put would only learn near its deadline that it was never sent.
         """
         waiting, self._deferred = self._deferred, collections.deque()
-        while not self._inbox.is_empty():
+        while not self._inbox.empty():
             waiting.append(self._inbox.get())
         for submission in waiting:
             submission.set_outcome(
