--- a/tests/cover/test_entry_contact.py
+++ b/tests/cover/test_entry_contact.py
@@ -59,13 +59,13 @@
         assert reply == claim_rules.CLAIMS_UNAVAILABLE_UNKNOWN
 
 
-def member(name="a", address="1", standing="alive", **changes):
+def member(name="a", address="1", liveness="alive", **changes):
     last = peers.Heartbeat(
         name, "boot", peers.Role.ENTRY, address, "", 1, 1, 1, False, {}
     )
     last = dataclasses.replace(last, **changes)
-    standing = peer_membership.Liveness(standing)
-    return peer_membership.Member(last, standing, 0.0, 0.0)
+    liveness = peer_membership.Liveness(liveness)
+    return peer_membership.Member(last, liveness, 0.0, 0.0)
 
 
 def unbroken_since(*observations, wait_s=1.0):
@@ -91,12 +91,12 @@
 
 
 def test_an_unhealthy_entry_interrupts_the_contact():
-    for standing in ("suspect", "gone"):
-        assert unbroken_since([member()], [member(standing=standing)]) == 2
+    for liveness in ("suspect", "gone"):
+        assert unbroken_since([member()], [member(liveness=liveness)]) == 2
     other = member("b", "2", "gone", role=peers.Role.CONTROLLER)
     assert unbroken_since([member()], [member(), other]) == 0
-    retired = (peer_membership.PreviousBoot("old", 1, 0.0),)
-    replaced = dataclasses.replace(member(), retired=retired)
+    previous_boots = (peer_membership.PreviousBoot("old", 1, 0.0),)
+    replaced = dataclasses.replace(member(), previous_boots=previous_boots)
     assert unbroken_since([member()], [replaced]) == 2
 
 
@@ -108,7 +108,7 @@
 
 
 def test_an_entry_that_announced_leaving_is_not_missing():
-    left = member(standing="gone", leaving=True)
+    left = member(liveness="gone", leaving=True)
     assert unbroken_since([member()], [left], [], []) == 2
 
 
--- a/tests/cover/test_fleet_view.py
+++ b/tests/cover/test_fleet_view.py
@@ -144,14 +144,14 @@
     clock.advance(fleet_view.PAUSE_THRESHOLD_S + 1)
     assert not view.check_for_pause(clock.monotonic())
     assert view.update_drain(peers.DrainNotice("berthing", 9, ("m0",)))
-    assert task.catch_up(1.0)
+    assert task.refresh_after_pause(1.0)
     assert view.check_for_pause(clock.monotonic())
     assert _names(view) == ["m1"]
 
 
 def test_a_running_task_reads_the_platform():
     view, task = _task(clock_lib.SystemClock(), FakePlatform())
-    with task.running():
+    with task.run_refresher():
         while view.age_s(0) is None:
             gevent.sleep(0)
     assert _names(view) == ["m0", "m1"]
--- a/tests/cover/test_peer_task.py
+++ b/tests/cover/test_peer_task.py
@@ -73,7 +73,7 @@
     networks.pass_ticks()
     assert names(a) + names(b) + names(c) == [*"bc", *"ac", *"ab"]
     assert names(a, peers.Role.CONTROLLER) == ["c"]
-    assert a.peer_loads() == {"m": 5}
+    assert a.peer_in_flight() == {"m": 5}
 
 
 def test_a_leaving_process_is_not_alive_for_any_peer_after_one_tick(networks):
@@ -107,8 +107,8 @@
         reply(REPLY)
 
     b.subscribe(peers.ClaimQuery, answer)
-    assert a.ask(b.address, QUERY, peer_doubles.TIMEOUT_S) == REPLY
-    assert b.ask(a.address, QUERY, 0.0) is None
+    assert a.query_claim(b.address, QUERY, peer_doubles.TIMEOUT_S) == REPLY
+    assert b.query_claim(a.address, QUERY, 0.0) is None
 
 
 def test_a_broadcast_reaches_all_peers_except_those_that_left(networks):
--- a/tests/failures/test_claim_record_memory.py
+++ b/tests/failures/test_claim_record_memory.py
@@ -15,8 +15,8 @@
     the records kept for replays, so they were never evicted.
     """
     harness = claim_harness.ClaimHarness(("a",))
-    ledger = harness.entries["a"].components.records
-    ledger._limits = claim_records.Limits(max_recent_bytes=4096)
+    records = harness.entries["a"].components.records
+    records._limits = claim_records.Limits(max_recent_bytes=4096)
     for number in range(64):
         attempt = harness.claim_request("a", harness.request(f"k{number}"))
         if number % 2:
@@ -25,8 +25,8 @@
             attempt.entry.claims.complete(attempt.claim_id, make_answer(body))
         attempt.entry.write_all()
     harness.close()
-    assert ledger.unwritten_count == 0
-    assert ledger.known_count <= 16
+    assert records.unwritten_count == 0
+    assert records.known_count <= 16
 
 
 def make_answer(body):
--- a/tests/failures/test_not_run_during_table_outage.py
+++ b/tests/failures/test_not_run_during_table_outage.py
@@ -91,13 +91,13 @@
     keys. This holds whether the entry itself or a peer gets the retry.
     """
     monkeypatch.setattr(claim_history, "MAX_REMEMBERED_CLAIMS", remembered)
-    ledger = harness.entries["a"].parts.records
+    records = harness.entries["a"].components.records
     for number in range(4):
         harness.run_and_complete(
             harness.claim_request("a", harness.request(f"k{number}"))
         )
-    ledger.write_all()
-    ledger._recent.clear()
+    records.write_all()
+    records._recent.clear()
     disconnect_table(harness)
     for key in ("k0", "k3"):
         for name in ("a", "b"):
--- a/tests/failures/test_unresponsive_claim_holder.py
+++ b/tests/failures/test_unresponsive_claim_holder.py
@@ -28,7 +28,7 @@
         waits.append(timeout_s)
         harness.clock.advance(timeout_s)
 
-    harness.entries["b"].parts.lookup._query_claim = no_reply
+    harness.entries["b"].components.lookup._query_claim = no_reply
     assert (
         harness.begin("b", harness.request()) == claim_rules.HOLDER_UNREACHABLE
     )
--- a/tests/failures/test_unresponsive_table.py
+++ b/tests/failures/test_unresponsive_table.py
@@ -19,7 +19,7 @@
 
     def time_out(outcome):
         harness.clock.advance(2.0)
-        harness.entries["a"].parts.history.watch()
+        harness.entries["a"].components.history.watch()
         return outcome
 
     link = harness.entries["a"].link
