--- a/src/vanillaswitch/coordination/configuration/rollout.py
+++ b/src/vanillaswitch/coordination/configuration/rollout.py
@@ -68,9 +68,9 @@
     """Another configuration was accepted first; this one is refused for good.
 
     Attributes:
-        started_from: number from which the operator started.
-        found: the number in force.
-        changes: dotted paths that changed since ``started_from``.
+        base_number: number from which the operator started.
+        newest_number: the number in force.
+        changes: dotted paths that changed since ``base_number``.
     """
 
     base_number: int
@@ -122,7 +122,7 @@
         config: a checked configuration.
         author: who applies it.
         started_from: the number on which the operator's change is based;
-            ``NONE_YET`` for the first configuration.
+            ``NO_CONFIG_NUMBER`` for the first configuration.
 
     Returns:
         The outcome. After ``Unavailable`` the configuration neither was nor
--- a/src/vanillaswitch/coordination/control/controller.py
+++ b/src/vanillaswitch/coordination/control/controller.py
@@ -37,7 +37,7 @@
 """Pause between two steps of a duty."""
 
 IDLE_PAUSE_S = 2.0
-"""Pause after a step that found nothing to do; see ``Context.rest``."""
+"""Pause after a step with nothing to do; see ``DutyContext.set_pause``."""
 
 
 def _ignore_fence(fence: duty_assignment.Fence) -> None:
@@ -79,7 +79,7 @@
 
         Args:
             is_idle: whether the step found nothing to do; the pause is then
-                at least ``IDLE_S``, otherwise ``STEP_S``.
+                at least ``IDLE_PAUSE_S``, otherwise ``STEP_PAUSE_S``.
             min_pause_s: lower bound on the pause, which limits the rate of
                 reads.
         """
--- a/src/vanillaswitch/coordination/entry/admission.py
+++ b/src/vanillaswitch/coordination/entry/admission.py
@@ -8,7 +8,7 @@
 them.
 
 Running requests are not preempted, so some slots are reserved for urgent ones;
-see ``reserve``.
+see ``slot_reserve``.
 
 This module does no I/O: callers pass the time and the slots with each call and
 carry out the actions that it returns.
--- a/src/vanillaswitch/coordination/entry/request_handler.py
+++ b/src/vanillaswitch/coordination/entry/request_handler.py
@@ -32,7 +32,7 @@
         data_centre: str,
         config: config_view.ConfigView,
         fleet: fleet_view.FleetView,
-        catch_up: Callable[[float], bool],
+        refresh_after_pause: Callable[[float], bool],
         peer_in_flight: Callable[[], Mapping[str, int]],
         live_entries: Callable[[], tuple[str, ...]],
         client: minions.MinionClient,
@@ -51,7 +51,7 @@
             data_centre: data centre of this process.
             config: the configuration in force.
             fleet: the minions that accept new requests.
-            catch_up: ``fleet_task.FleetTask.catch_up``.
+            refresh_after_pause: that of ``fleet_refresher.FleetRefresher``.
             peer_in_flight: returns the requests that all other entries have in
                 flight, by minion instance.
             live_entries: returns the names of the live entries, this one first.
@@ -83,7 +83,7 @@
             send_loan_message,
         )
         self._sender = request_sender.RequestSender(
-            clock, fleet, catch_up, client, metrics.counters
+            clock, fleet, refresh_after_pause, client, metrics.counters
         )
         self._in_flight = 0
 
--- a/src/vanillaswitch/coordination/entry/request_sender.py
+++ b/src/vanillaswitch/coordination/entry/request_sender.py
@@ -65,7 +65,7 @@
         self,
         clock: clock_lib.Clock,
         fleet: fleet_view.FleetView,
-        catch_up: Callable[[float], bool],
+        refresh_after_pause: Callable[[float], bool],
         client: minions_lib.MinionClient,
         counters: metrics_lib.Counters,
     ):
@@ -74,14 +74,15 @@
         Args:
             clock: source of time.
             fleet: view of the fleet, checked right before each attempt.
-            catch_up: refreshes the view after a pause, within the given number
-                of seconds; returns whether the view is current.
+            refresh_after_pause: refreshes the view after a pause, within
+                the given number of seconds; returns whether the view is
+                current.
             client: client that sends the requests.
             counters: counters of attempts and retries.
         """
         self._clock = clock
         self._fleet = fleet
-        self._catch_up = catch_up
+        self._refresh_after_pause = refresh_after_pause
         self._client = client
         self._counters = counters
         self._retry_budgets: dict[str, retry.RetryBudget] = {}
@@ -136,7 +137,9 @@
         if time_left_s > 0 and not self._fleet.check_for_pause(
             self._clock.monotonic()
         ):
-            is_current = self._catch_up(min(time_left_s, MAX_CATCH_UP_S))
+            is_current = self._refresh_after_pause(
+                min(time_left_s, MAX_CATCH_UP_S)
+            )
             if not is_current or not self._fleet.check_for_pause(
                 self._clock.monotonic()
             ):
--- a/src/vanillaswitch/coordination/entry/slot_allocator.py
+++ b/src/vanillaswitch/coordination/entry/slot_allocator.py
@@ -58,7 +58,7 @@
         live_entries: Callable[[], tuple[str, ...]],
         boot_id: str = "",
     ):
-        """Initializes a slot book without requests in flight.
+        """Initializes a slot allocator without requests in flight.
 
         Args:
             rng: random source.
--- a/src/vanillaswitch/coordination/entry/slot_lending.py
+++ b/src/vanillaswitch/coordination/entry/slot_lending.py
@@ -1,6 +1,6 @@
 """Borrows slots from peers for queued requests, and lends idle ones.
 
-The task that owns the slot book and the queues calls this. It sends the
+The task that owns the slot allocator and the queues calls this. It sends the
 returned messages, which may arrive in any order or get lost.
 """
 
@@ -37,7 +37,7 @@
 
         Args:
             rng: random source; chooses the peer to ask.
-            slots: the slot book, which holds the loans.
+            slots: the slot allocator, which holds the loans.
             queue: returns a service's queue.
         """
         self._rng = rng
--- a/src/vanillaswitch/coordination/hedged_table.py
+++ b/src/vanillaswitch/coordination/hedged_table.py
@@ -10,7 +10,7 @@
 call continues in the background. The caller retries the same transaction as
 after any lost answer. The retry runs as a copy beside the first call, and the
 first answer counts. A late copy finds its rows changed and has no effect (see
-``commits``).
+``commit_retries``).
 """
 
 from collections.abc import Callable
--- a/src/vanillaswitch/coordination/maintenance/decision_records.py
+++ b/src/vanillaswitch/coordination/maintenance/decision_records.py
@@ -71,7 +71,7 @@
 
 
 def history_keys(decisions: Iterable[Decision]) -> tuple[str, ...]:
-    """Returns the keys of the rows to read before calling ``puts``."""
+    """Returns the keys of the rows to read before calling ``build_puts``."""
     subjects = {decision.subject for decision in decisions}
     return tuple(keys.decisions(subject) for subject in sorted(subjects))
 
--- a/src/vanillaswitch/coordination/maintenance/spare_capacity.py
+++ b/src/vanillaswitch/coordination/maintenance/spare_capacity.py
@@ -71,10 +71,10 @@
 def size_shared_spare(demands: Sequence[ServiceDemand]) -> int:
     """Sizes one spare pool for all services by the need of the worst rack.
 
-    With the placement of ``place``, the spare workers outside a lost rack
-    cover its loss. Spare workers that fit in none of the current racks go to
-    a rack without workers of any service, so the need of the worst rack is
-    always enough.
+    With the placement of ``place_spares``, the spare workers outside a lost
+    rack cover its loss. Spare workers that fit in none of the current racks
+    go to a rack without workers of any service, so the need of the worst rack
+    is always enough.
     """
     return min_spare_size(demands)
 
--- a/src/vanillaswitch/coordination/maintenance/wave_state.py
+++ b/src/vanillaswitch/coordination/maintenance/wave_state.py
@@ -32,7 +32,7 @@
         run: random id of this run; each start of the wave is a new run.
         rounds: instances by round, in the order planned at the start.
         done: instances that were rebooted and serve again, as of the last
-            write of this row; see ``fleet_state.Fleet.joined``.
+            write of this row; see ``fleet_state.Fleet.wave_with_done``.
         failed: instance to the reason why it did not come back.
         acknowledged: failed instances that don't count towards stopping the
             wave: an operator knew of them when resuming, or they failed
--- a/src/vanillaswitch/coordination/once/claim_service.py
+++ b/src/vanillaswitch/coordination/once/claim_service.py
@@ -48,9 +48,9 @@
     Attributes:
         holder: this process.
         committer: writes the claims; its task is spawned elsewhere.
-        ledger: keeps and writes outcomes; its task is spawned elsewhere.
+        records: keeps and writes outcomes; its task is spawned elsewhere.
         lookup: determines the state of claims of other processes.
-        witness: determines whether keys were claimed while the table is
+        history: determines whether keys were claimed while the table is
             unavailable; its task is spawned elsewhere.
         clock: for deadlines, and the wall clock for the retention.
         rng: random source for tickets.
@@ -84,37 +84,37 @@
         table: stores the claims.
         objects: stores the bodies of large answers.
         query_claim: see ``claim_lookup.ClaimLookup``.
-        members: see ``claim_witness.ClaimHistory``.
+        members: see ``claim_history.ClaimHistory``.
         clock: for all components.
         rng: random source of all components.
         retention_s: returns the current retention of claims, in seconds.
     """
     committer = group_commit.GroupCommitter(table, clock, rng)
-    ledger = claim_records.ClaimRecords(holder, committer, objects, clock)
+    records = claim_records.ClaimRecords(holder, committer, objects, clock)
     lookup = claim_lookup.ClaimLookup(
         holder, table, objects, query_claim, clock, rng
     )
-    witness = claim_history.ClaimHistory(
+    history = claim_history.ClaimHistory(
         holder, members, query_claim, clock, rng
     )
     return ClaimComponents(
-        holder, committer, ledger, lookup, witness, clock, rng, retention_s
+        holder, committer, records, lookup, history, clock, rng, retention_s
     )
 
 
 class TableClaimService:
     """Implements ``protocol.claims.ClaimService`` for one boot of an entry."""
 
-    def __init__(self, parts: ClaimComponents):
+    def __init__(self, components: ClaimComponents):
         """Creates the service from its components."""
-        self._holder = parts.holder
-        self._committer = parts.committer
-        self._ledger = parts.records
-        self._lookup = parts.lookup
-        self._witness = parts.history
-        self._clock = parts.clock
-        self._rng = parts.rng
-        self._retention_s = parts.retention_s
+        self._holder = components.holder
+        self._committer = components.committer
+        self._records = components.records
+        self._lookup = components.lookup
+        self._history = components.history
+        self._clock = components.clock
+        self._rng = components.rng
+        self._retention_s = components.retention_s
 
     def begin(self, request: requests.Request) -> ClaimResult:
         """Claims a request, or returns the known result for its key.
@@ -133,7 +133,7 @@
             request.caller, request.service, request.idempotency_key
         )
         digest = claim_rules.compute_digest(request)
-        known_record = self._ledger.get(row_key)
+        known_record = self._records.get(row_key)
         known_result = (
             _known_result(known_record, digest) if known_record else None
         )
@@ -144,13 +144,13 @@
         # Stored before the first task switch, so that a second request with
         # this key sees the first one in progress.
         record = claim_records.ClaimRecord(digest, request.issued_ms)
-        self._ledger.store(row_key, record)
+        self._records.store(row_key, record)
         try:
             return self._claim(row_key, record, request)
         except BaseException:
             # The task was killed, for example because its caller disconnected.
             # The insert may still take effect, but the request is never sent.
-            self._ledger.set_outcome(row_key, peers.ClaimState.RELEASED)
+            self._records.set_outcome(row_key, peers.ClaimState.RELEASED)
             raise
 
     def release(self, ticket: str) -> None:
@@ -162,7 +162,7 @@
         """
         self._set_outcome(ticket, peers.ClaimState.RELEASED)
         if ticket and not self._committer.is_unresponsive:
-            self._ledger.write((_row_key_of(ticket),))
+            self._records.write((_row_key_of(ticket),))
 
     def complete(self, ticket: str, answer: requests.Answer) -> None:
         """Stores the complete answer; it is written in the background."""
@@ -178,7 +178,7 @@
         Returns:
             The number of outcomes that are still unwritten.
         """
-        return self._ledger.flush(grace_s)
+        return self._records.flush(grace_s)
 
     def answer_query(self, query: peers.ClaimQuery) -> peers.ClaimReply:
         """Replies with the state of a claim of this boot.
@@ -189,11 +189,11 @@
         or replaced the holder at its address. Its own record for the key then
         says nothing about the claim in the query, so it replies UNKNOWN.
         """
-        record = self._ledger.get(query.claim)
+        record = self._records.get(query.claim)
         if not query.boot and (
             record is None or record.state is peers.ClaimState.RELEASED
         ):
-            return self._witness.reply_without_record(query)
+            return self._history.reply_without_record(query)
         if (
             record is None
             or query.boot not in ("", self._holder.boot_id)
@@ -201,15 +201,15 @@
         ):
             return peers.ClaimReply(query.query, peers.ClaimState.UNKNOWN)
         answer = record.answer
-        if answer and len(answer.body) > self._ledger.max_inline_bytes:
+        if answer and len(answer.body) > self._records.max_inline_bytes:
             answer = None
         return peers.ClaimReply(query.query, record.state, answer)
 
     def _can_claim(self, row_key: str) -> bool:
         return not (
-            self._ledger.is_full
+            self._records.is_full
             or self._committer.is_unresponsive
-            or not self._witness.may_claim(row_key)
+            or not self._history.may_claim(row_key)
         )
 
     def _check_with_peers(
@@ -217,7 +217,7 @@
     ) -> ClaimResult:
         """Returns what is known of a key whose row can't be read."""
         deadline = request.deadline - PEER_CHECK_RESERVE_S
-        return self._witness.check_with_peers(
+        return self._history.check_with_peers(
             row_key, digest, request.issued_ms, deadline
         )
 
@@ -245,13 +245,13 @@
                 # Only this boot could ever send the request, and from here on
                 # it will not. So this attempt does not run, whether or not the
                 # insert takes effect.
-                self._ledger.set_outcome(row_key, peers.ClaimState.RELEASED)
+                self._records.set_outcome(row_key, peers.ClaimState.RELEASED)
                 return self._check_with_peers(row_key, record.digest, request)
             if isinstance(outcome, platform.Unavailable):
                 peer_result = self._check_with_peers(
                     row_key, record.digest, request
                 )
-                self._ledger.discard(row_key)
+                self._records.discard(row_key)
                 return peer_result
             resolved = self._lookup.resolve(
                 outcome.found[0], record.digest, deadline
@@ -259,11 +259,11 @@
             if isinstance(resolved, claim_lookup.OwnRow):
                 return self._grant(row_key, record, resolved.version)
             if not isinstance(resolved, claim_lookup.UnclaimedRow):
-                self._ledger.discard(row_key)
+                self._records.discard(row_key)
                 return resolved
             record = dataclasses.replace(record, version=resolved.version)
-            self._ledger.store(row_key, record)
-        self._ledger.discard(row_key)
+            self._records.store(row_key, record)
+        self._records.discard(row_key)
         return claim_rules.IN_PROGRESS
 
     def _grant(
@@ -271,8 +271,8 @@
     ) -> claims.ClaimGranted:
         ticket = f"{ids.new_id(self._rng)}:{row_key}"
         granted = dataclasses.replace(record, claim_id=ticket, version=version)
-        self._ledger.store(row_key, granted)
-        self._witness.add(row_key)
+        self._records.store(row_key, granted)
+        self._history.add(row_key)
         return claims.ClaimGranted(ticket)
 
     def _set_outcome(
@@ -283,7 +283,7 @@
     ) -> None:
         if not ticket:
             return
-        record = self._ledger.get(_row_key_of(ticket))
+        record = self._records.get(_row_key_of(ticket))
         if (
             record is None
             or record.claim_id != ticket
@@ -292,9 +292,9 @@
             raise errors.InvariantError(
                 f"{ticket!r} is not an open claim; settle each claim once"
             )
-        self._ledger.set_outcome(_row_key_of(ticket), state, answer)
+        self._records.set_outcome(_row_key_of(ticket), state, answer)
         if state is peers.ClaimState.RELEASED:
-            self._witness.discard(_row_key_of(ticket))
+            self._history.discard(_row_key_of(ticket))
 
 
 def _row_key_of(ticket: str) -> str:
--- a/src/vanillaswitch/coordination/peering/peer_membership.py
+++ b/src/vanillaswitch/coordination/peering/peer_membership.py
@@ -54,12 +54,12 @@
     """A process that sent at least one heartbeat.
 
     Attributes:
-        last: its newest heartbeat.
-        standing: liveness as of the last tick or heartbeat.
-        received_at: when ``last`` was received.
+        last_heartbeat: its newest heartbeat.
+        liveness: liveness as of the last tick or heartbeat.
+        received_at: when ``last_heartbeat`` was received.
         silent_since: start of its silence: ``received_at`` plus the time for
             which this process was paused since.
-        retired: its earlier boots, the latest one last.
+        previous_boots: its earlier boots, the latest one last.
     """
 
     last_heartbeat: peers.Heartbeat
@@ -77,7 +77,7 @@
         process: name of this process; it is not one of its own members.
         address: peer address of this process.
         seeds: addresses from the settings, never forgotten.
-        last_tick_at: when ``tick`` last ran.
+        last_tick_at: when ``with_liveness_checked`` last ran.
         members: by process.
         learned: addresses from peers' heartbeats, with the time of the first.
         name_conflicts: number of heartbeats from other processes that use this
--- a/src/vanillaswitch/platform/store_rows.py
+++ b/src/vanillaswitch/platform/store_rows.py
@@ -7,7 +7,7 @@
 several. Tables that this program shares with the platform are not partitioned
 and hold plain documents. A row of any other table holds a document and the
 token of the transaction that wrote it, which settles a commit whose answer was
-lost (see ``coordination.commits``).
+lost (see ``coordination.commit_retries``).
 """
 
 import base64
--- a/src/vanillaswitch/protocol/claims.py
+++ b/src/vanillaswitch/protocol/claims.py
@@ -27,7 +27,7 @@
 class ClaimService(Protocol):
     """Claims requests by their idempotency keys.
 
-    The caller settles each ``Proceed`` with exactly one call of one of the
+    The caller settles each ``ClaimGranted`` with exactly one call of one of the
     other methods.
     """
 
--- a/src/vanillaswitch/protocol/requests.py
+++ b/src/vanillaswitch/protocol/requests.py
@@ -37,14 +37,15 @@
 
     Attributes:
         request_id: unique to this attempt of the caller.
-        caller: id of the caller, which is also the namespace of ``key``.
+        caller: id of the caller, which is also the namespace of
+            ``idempotency_key``.
         service: name in the configuration; first segment of the path.
         request_class: name of the class in the configuration.
         target: path and query as the caller sent them.
         headers: end-to-end headers to forward to the minion.
         deadline: monotonic time in seconds on this process's clock.
         key: idempotency key; empty if the caller sent none.
-        issued_ms: when the caller first issued the request under ``key``,
+        issued_ms: when the caller first issued the request under its key,
             milliseconds since the Unix epoch; 0 without a key.
     """
 
--- a/src/vanillaswitch/wiring/entry.py
+++ b/src/vanillaswitch/wiring/entry.py
@@ -35,7 +35,7 @@
     def __init__(
         self,
         base: base_lib.Base,
-        path: request_handler.RequestHandler,
+        handler: request_handler.RequestHandler,
         fleet: fleet_view.FleetView,
         claim_service: claim_service.TableClaimService,
         metrics: metrics_lib.Metrics,
@@ -43,7 +43,7 @@
         config_counters: Callable[[], Mapping[str, int]],
     ):
         self._base = base
-        self._path = path
+        self._handler = handler
         self._fleet = fleet
         self._claims = claim_service
         self._metrics = metrics
@@ -121,7 +121,7 @@
         )
         with caller_http.serve(
             self._base.settings.listen,
-            base_lib.ending_when_broken(self._path.handle),
+            base_lib.ending_when_broken(self._handler.handle),
             pages,
             self._base.clock,
             lambda: self._base.policies.max_body_bytes,
@@ -227,10 +227,10 @@
     def take(
         _sender: Any, message: slot_lending.LoanMessage, _reply: Any
     ) -> None:
-        path.handle_peer_message(message)
+        handler.handle_peer_message(message)
 
     with minion_http.open_client(base.clock) as client:
-        path = request_handler.RequestHandler(
+        handler = request_handler.RequestHandler(
             base.clock,
             base.rng,
             base.settings.data_centre,
@@ -249,8 +249,8 @@
         kinds = (peers.SlotAsk, peers.SlotGrant, peers.SlotReturn)
         for kind in kinds:
             network.subscribe(kind, take)
-        with path.running():
-            yield path
+        with handler.running():
+            yield handler
 
 
 def _send_loan(
@@ -288,10 +288,10 @@
         config_counters = enter(base_lib.configured(base))
         fleets = enter(_fleet_kept(base, fleet))
         service = enter(_claims_kept(base))
-        path = enter(_path_open(base, fleet, fleets, service, metrics))
-        told.count_loads(lambda: path.in_flight_by_minion)
+        handler = enter(_path_open(base, fleet, fleets, service, metrics))
+        told.count_loads(lambda: handler.in_flight_by_minion)
         running = Entry(
-            base, path, fleet, service, metrics, leaving, config_counters
+            base, handler, fleet, service, metrics, leaving, config_counters
         )
         enter(running._serving())
         yield running
--- a/standins/slots_entry.py
+++ b/standins/slots_entry.py
@@ -1,6 +1,6 @@
 """One entry's decisions on the virtual clock of ``slots_world``.
 
-The slot book, the queues, the retry rules and the membership are the real
+The slot allocator, the queues, the retry rules and the membership are the real
 ones; what the dispatcher's and sender's tasks do around them is done here by
 events.
 """
@@ -62,7 +62,7 @@
         self._peer_loads: Mapping[str, int] = {}
         view = config_view.ConfigView()
         view.offer(1, "digest", config)
-        self.book = slot_allocator.SlotAllocator(
+        self.slots = slot_allocator.SlotAllocator(
             rng,
             data_centre,
             view,
@@ -73,7 +73,7 @@
         )
         self.queue = admission.ServiceQueue()
         self.lending = slot_lending.SlotLending(
-            rng, self.book, lambda _: self.queue
+            rng, self.slots, lambda _: self.queue
         )
         self._budget = retry.RetryBudget()
         self._runs: dict[int, slots_world.Run] = {}
@@ -169,14 +169,14 @@
             config_version=1,
             view_version=1,
             leaving=False,
-            loads=self.book.in_flight_by_minion(self._events.now),
+            loads=self.slots.in_flight_by_minion(self._events.now),
             interval_s=interval_s,
         )
         way = slots_world.latency_s(self.data_centre, other.data_centre)
         self._events.after(way, lambda: other.heard(heartbeat))
 
     def _slots(self) -> admission.SlotCounts:
-        return self.book.count_slots(slots_world.SERVICE, self._events.now)
+        return self.slots.count_slots(slots_world.SERVICE, self._events.now)
 
     def _act(self, actions: tuple[admission.Action, ...]) -> None:
         for action in actions:
@@ -202,7 +202,7 @@
         self, run: slots_world.Run, excluded: frozenset[str]
     ) -> minions_lib.Minion | None:
         run.since = self._events.now
-        return self.book.allocate(
+        return self.slots.allocate(
             slots_world.SERVICE, excluded, run.since, run.ticket
         )
 
@@ -210,13 +210,13 @@
         self,
         run: slots_world.Run,
         minion: minions_lib.Minion,
-        verdict: slot_allocator.AttemptResult,
+        result: slot_allocator.AttemptResult,
     ) -> None:
         now = self._events.now
-        self.book.release(minion, verdict, run.since, now, run.ticket)
+        self.slots.release(minion, result, run.since, now, run.ticket)
 
     def _attempt(self, run: slots_world.Run) -> None:
-        """Does what ``delivery.Sender`` does for each attempt."""
+        """Does what ``request_sender.RequestSender`` does for each attempt."""
         minion = run.minion
         if minion is None:
             raise AssertionError("a request started without a slot")
@@ -263,19 +263,19 @@
         if isinstance(outcome, minions_lib.Answered):
             self._leave(run, slot_allocator.AttemptResult.ANSWERED, None)
             return
-        verdict = slot_allocator.AttemptResult.UNKNOWN
+        result = slot_allocator.AttemptResult.UNKNOWN
         if retry.is_minion_failure(outcome):
-            verdict = slot_allocator.AttemptResult.FAILED
+            result = slot_allocator.AttemptResult.FAILED
         if self._may_retry(run) and run.minion is not None:
             self.retries += 1
             tried = run.minion.instance
-            self._release(run, run.minion, verdict)
+            self._release(run, run.minion, result)
             run.minion = self._pick(run, frozenset({tried}))
             run.minion = run.minion or self._pick(run, frozenset())
             if run.minion is not None:
                 self._attempt(run)
                 return
-        self._leave(run, verdict, ENDED)
+        self._leave(run, result, ENDED)
 
     def _may_retry(self, run: slots_world.Run) -> bool:
         kind = run.call.traffic.definition.kind
@@ -288,12 +288,12 @@
     def _leave(
         self,
         run: slots_world.Run,
-        verdict: slot_allocator.AttemptResult,
+        result: slot_allocator.AttemptResult,
         refusal: requests.Refusal | None,
     ) -> None:
         now = self._events.now
         if run.minion is not None:
-            self._release(run, run.minion, verdict)
+            self._release(run, run.minion, result)
         del self._runs[run.ticket]
         self.queue.remove(run.ticket, now, record_duration=True)
         if refusal is not None and run.attempts.may_have_run:
--- a/tests/common/request_path_harness.py
+++ b/tests/common/request_path_harness.py
@@ -173,19 +173,23 @@
         self.metrics = metrics.Metrics()
         self.config = config_view.ConfigView()
         self.fleet = fleet_view.FleetView()
-        self.peer_loads: dict[str, int] = {}
-        self.catch_up: Callable[[float], bool] = lambda _: self.refresh()
+        self.peer_in_flight: dict[str, int] = {}
+        self.refresh_after_pause: Callable[[float], bool] = lambda _: (
+            self.refresh()
+        )
         names = (f"m{number}" for number in range(minions_up))
         self.fleet.update_instances(make_listings(*names), 0)
         self.config.offer(1, "digest", configuration or make_config())
-        self.path = request_handler.RequestHandler(
+        self.handler = request_handler.RequestHandler(
             clock=self.clock,
             rng=random.Random(1),
             data_centre="recife",
             config=self.config,
             fleet=self.fleet,
-            catch_up=lambda timeout_s: self.catch_up(timeout_s),
-            peer_in_flight=lambda: self.peer_loads,
+            refresh_after_pause=lambda timeout_s: self.refresh_after_pause(
+                timeout_s
+            ),
+            peer_in_flight=lambda: self.peer_in_flight,
             live_entries=lambda: entries,
             send_loan_message=lend,
             client=self.minion_client,
@@ -195,8 +199,8 @@
 
     def occupy_slots_by_peers(self, **slots: int) -> None:
         """Has peers use slots, for each routing policy."""
-        self.peer_loads.update(slots)
-        loans = self.path._dispatcher._slots.loans
+        self.peer_in_flight.update(slots)
+        loans = self.handler._dispatcher._slots.loans
         for name, count in slots.items():
             for number in range(count):
                 ask = peers.SlotAsk("peer", f"{name}-{number}", "", 1, 0)
@@ -204,8 +208,8 @@
 
     def free_slot_of_peer(self, name: str) -> None:
         """Has peers free the first slot that they took at a minion."""
-        self.peer_loads[name] -= 1
-        self.path.handle_peer_message(
+        self.peer_in_flight[name] -= 1
+        self.handler.handle_peer_message(
             peers.SlotReturn("peer", (f"{name}-0/0",))
         )
 
@@ -216,8 +220,10 @@
         return True
 
     def handle(self, target: str = QUOTE, **options: Any) -> requests.Reply:
-        """Handles one request; see ``incoming`` for the arguments."""
-        return self.path.handle(make_raw_request(self.clock, target, **options))
+        """Handles one request; see ``make_raw_request`` for the arguments."""
+        return self.handler.handle(
+            make_raw_request(self.clock, target, **options)
+        )
 
     def charge(self, key: str = "", **options: Any) -> requests.Reply:
         """Handles one request that must not run twice."""
@@ -237,5 +243,5 @@
         policies = config.Policies(routing=routing)
         configuration = dataclasses.replace(configuration, policies=policies)
     rig = RequestPathHarness(responder, minions_up, configuration)
-    with rig.path.running():
+    with rig.handler.running():
         yield rig
--- a/tests/common/sessions.py
+++ b/tests/common/sessions.py
@@ -205,7 +205,7 @@
         """
         entries = self.entries.values()
         self.wait(
-            lambda: not any(one._path.in_flight_by_minion for one in entries)
+            lambda: not any(one._handler.in_flight_by_minion for one in entries)
         )
         table = self.standin.table
         if table.faults.down:
--- a/tests/cover/test_request_handler.py
+++ b/tests/cover/test_request_handler.py
@@ -34,7 +34,7 @@
 
 def test_requests_are_refused_without_a_configuration_or_list_of_minions():
     with request_path_harness.run_request_path() as rig:
-        rig.path._config = config_view.ConfigView()
+        rig.handler._config = config_view.ConfigView()
         assert _refusal_of(rig.handle()) == (_NOT_RUN, "not-ready")
     with request_path_harness.run_request_path() as rig:
         rig.fleet._instances = None
@@ -131,7 +131,7 @@
             for number in range(2 + 8 + 8 + 3)
         ]
         gevent.idle()
-        assert rig.path.in_flight_by_minion == {"m0": 2, "m1": 8, "m2": 8}
+        assert rig.handler.in_flight_by_minion == {"m0": 2, "m1": 8, "m2": 8}
         finish.set()
         bodies = [task.get().body for task in tasks]
     assert bodies == [str(number).encode() for number in range(21)]
--- a/tests/cover/test_slot_loans.py
+++ b/tests/cover/test_slot_loans.py
@@ -162,19 +162,19 @@
         return request_path_harness.echo_answer(request)
 
     def send(envelope: slot_lending.AddressedMessage) -> None:
-        rigs[envelope.recipient].path.handle_peer_message(envelope.message)
+        rigs[envelope.recipient].handler.handle_peer_message(envelope.message)
 
     for names in (("a", "b"), ("b", "a")):
         rigs[names[0]] = request_path_harness.RequestPathHarness(
             answer_when_released, 1, configuration, names, send
         )
     a, b = rigs["a"], rigs["b"]
-    with a.path.running(), b.path.running():
+    with a.handler.running(), b.handler.running():
         tasks = [gevent.spawn(a.handle, request_id=f"r{n}") for n in range(2)]
         gevent.idle()
         while len(a.minion_client.minions) < 2:
             gevent.sleep(0)
-        assert a.path.in_flight_by_minion == {"m0": 2}
+        assert a.handler.in_flight_by_minion == {"m0": 2}
         third = gevent.spawn(b.handle, request_id="r3")
         gevent.idle()
         assert not b.minion_client.minions
--- a/tests/failures/test_dead_minion.py
+++ b/tests/failures/test_dead_minion.py
@@ -12,7 +12,7 @@
 _FAILED = slot_allocator.AttemptResult.FAILED
 
 
-def _make_slot_book(
+def _make_allocator(
     minions_up: int, slots: int = 2
 ) -> slot_allocator.SlotAllocator:
     rig = request_path_harness.RequestPathHarness(minions_up=minions_up)
@@ -24,15 +24,15 @@
 
 
 def _fail_until_suspected(
-    book: slot_allocator.SlotAllocator, name: str, now: float
+    allocator: slot_allocator.SlotAllocator, name: str, now: float
 ) -> None:
     """Fails requests at one minion until it is suspected."""
     for _ in range(retry.FAILURES_TO_SUSPECT):
-        taken = book.allocate("berthing", _NO_EXCLUSIONS, now)
+        taken = allocator.allocate("berthing", _NO_EXCLUSIONS, now)
         while taken.instance != name:
-            book.release(taken, _ANSWERED, now, now)
-            taken = book.allocate("berthing", _NO_EXCLUSIONS, now)
-        book.release(taken, _FAILED, now, now)
+            allocator.release(taken, _ANSWERED, now, now)
+            taken = allocator.allocate("berthing", _NO_EXCLUSIONS, now)
+        allocator.release(taken, _FAILED, now, now)
 
 
 def test_the_slots_of_a_dead_minion_are_not_free():
@@ -43,13 +43,15 @@
     faster than the retry budget can cover. With one of six minions dead, a
     third of all quotes was refused.
     """
-    book = _make_slot_book(2)
-    _fail_until_suspected(book, "m1", 0.0)
-    assert book.count_slots("berthing", 0.0).free == 2
+    allocator = _make_allocator(2)
+    _fail_until_suspected(allocator, "m1", 0.0)
+    assert allocator.count_slots("berthing", 0.0).free == 2
     for _ in range(2):
-        assert book.allocate("berthing", _NO_EXCLUSIONS, 0.0).instance == "m0"
-    assert book.count_slots("berthing", 0.0).free == 0
-    assert book.allocate("berthing", _NO_EXCLUSIONS, 0.0) is None
+        assert (
+            allocator.allocate("berthing", _NO_EXCLUSIONS, 0.0).instance == "m0"
+        )
+    assert allocator.count_slots("berthing", 0.0).free == 0
+    assert allocator.allocate("berthing", _NO_EXCLUSIONS, 0.0) is None
 
 
 def test_a_dead_minion_gets_one_probe_at_a_time_until_it_answers():
@@ -58,22 +60,23 @@
     A suspected minion is tried again after a while. Without a limit, all
     requests that wait then would be sent to it.
     """
-    book = _make_slot_book(2)
-    _fail_until_suspected(book, "m1", 0.0)
+    allocator = _make_allocator(2)
+    _fail_until_suspected(allocator, "m1", 0.0)
     probe_at = retry.SUSPECT_BACKOFF_S
-    assert book.count_slots("berthing", probe_at).free == 3
+    assert allocator.count_slots("berthing", probe_at).free == 3
     taken = [
-        book.allocate("berthing", _NO_EXCLUSIONS, probe_at) for _ in range(3)
+        allocator.allocate("berthing", _NO_EXCLUSIONS, probe_at)
+        for _ in range(3)
     ]
     probes = [minion for minion in taken if minion.instance == "m1"]
     assert len(probes) == 1
-    assert book.allocate("berthing", _NO_EXCLUSIONS, probe_at) is None
-    book.release(probes[0], _FAILED, probe_at, probe_at)
-    assert book.count_slots("berthing", probe_at).free == 0
+    assert allocator.allocate("berthing", _NO_EXCLUSIONS, probe_at) is None
+    allocator.release(probes[0], _FAILED, probe_at, probe_at)
+    assert allocator.count_slots("berthing", probe_at).free == 0
     second_probe_at = 2 * retry.SUSPECT_BACKOFF_S
-    probe = book.allocate("berthing", _NO_EXCLUSIONS, second_probe_at)
-    book.release(probe, _ANSWERED, second_probe_at, second_probe_at)
-    assert book.count_slots("berthing", second_probe_at).free == 2
+    probe = allocator.allocate("berthing", _NO_EXCLUSIONS, second_probe_at)
+    allocator.release(probe, _ANSWERED, second_probe_at, second_probe_at)
+    assert allocator.count_slots("berthing", second_probe_at).free == 2
 
 
 def test_requests_still_get_slots_when_all_minions_fail():
@@ -82,10 +85,10 @@
     If all minions are suspected, they still get requests, so that callers get
     the failure immediately.
     """
-    book = _make_slot_book(1)
-    _fail_until_suspected(book, "m0", 0.0)
-    assert book.count_slots("berthing", 0.0).free == 2
-    assert book.allocate("berthing", _NO_EXCLUSIONS, 0.0).instance == "m0"
+    allocator = _make_allocator(1)
+    _fail_until_suspected(allocator, "m0", 0.0)
+    assert allocator.count_slots("berthing", 0.0).free == 2
+    assert allocator.allocate("berthing", _NO_EXCLUSIONS, 0.0).instance == "m0"
 
 
 def test_the_slot_of_an_abandoned_request_is_not_free_immediately():
@@ -94,17 +97,19 @@
     Requests time out while the minion still works on them. If their slots were
     free immediately, new requests would be sent on top of them.
     """
-    book = _make_slot_book(1)
+    allocator = _make_allocator(1)
     for _ in range(2):
-        taken = book.allocate("berthing", _NO_EXCLUSIONS, 0.0)
-    book.release(taken, slot_allocator.AttemptResult.UNKNOWN, 0.0, 0.4)
-    assert book.count_slots("berthing", 0.7).free == 0
-    assert book.count_slots("berthing", 0.8).free == 1
-    taken = book.allocate("berthing", _NO_EXCLUSIONS, 0.8)
+        taken = allocator.allocate("berthing", _NO_EXCLUSIONS, 0.0)
+    allocator.release(taken, slot_allocator.AttemptResult.UNKNOWN, 0.0, 0.4)
+    assert allocator.count_slots("berthing", 0.7).free == 0
+    assert allocator.count_slots("berthing", 0.8).free == 1
+    taken = allocator.allocate("berthing", _NO_EXCLUSIONS, 0.8)
     released_at = 0.8 + 2 * slot_allocator.MAX_ABANDONED_S
-    book.release(taken, slot_allocator.AttemptResult.UNKNOWN, 0.8, released_at)
+    allocator.release(
+        taken, slot_allocator.AttemptResult.UNKNOWN, 0.8, released_at
+    )
     assert (
-        book.count_slots(
+        allocator.count_slots(
             "berthing", released_at + slot_allocator.MAX_ABANDONED_S
         ).free
         == 1
@@ -117,11 +122,11 @@
     After an attempt on a dead connection, the quote still holds its slot at the
     minion. It may use this slot for a new connection to the same minion.
     """
-    book = _make_slot_book(1, slots=1)
-    taken = book.allocate("berthing", _NO_EXCLUSIONS, 0.0, 7)
-    book.release(taken, slot_allocator.AttemptResult.UNKNOWN, 0.0, 0.5, 7)
-    assert book.allocate("berthing", _NO_EXCLUSIONS, 0.5, 8) is None
-    assert book.allocate("berthing", frozenset({"m0"}), 0.5, 7) is None
-    assert book.allocate("berthing", _NO_EXCLUSIONS, 0.5, 7) == taken
-    book.release(taken, _ANSWERED, 0.5, 0.6, 7)
-    assert book.count_slots("berthing", 0.6).free == 1
+    allocator = _make_allocator(1, slots=1)
+    taken = allocator.allocate("berthing", _NO_EXCLUSIONS, 0.0, 7)
+    allocator.release(taken, slot_allocator.AttemptResult.UNKNOWN, 0.0, 0.5, 7)
+    assert allocator.allocate("berthing", _NO_EXCLUSIONS, 0.5, 8) is None
+    assert allocator.allocate("berthing", frozenset({"m0"}), 0.5, 7) is None
+    assert allocator.allocate("berthing", _NO_EXCLUSIONS, 0.5, 7) == taken
+    allocator.release(taken, _ANSWERED, 0.5, 0.6, 7)
+    assert allocator.count_slots("berthing", 0.6).free == 1
--- a/tests/failures/test_draining_minion.py
+++ b/tests/failures/test_draining_minion.py
@@ -21,11 +21,11 @@
         rig.fleet.check_for_pause(rig.clock.monotonic())
         rig.clock.advance(fleet_view.PAUSE_THRESHOLD_S + 1)
 
-        def catch_up(_):
+        def refresh_after_pause(_):
             rig.fleet.update_drain(_DRAIN_NOTICE)
             return rig.refresh()
 
-        rig.catch_up = catch_up
+        rig.refresh_after_pause = refresh_after_pause
         for number in range(20):
             reply = rig.handle(request_id=f"r{number}")
             assert isinstance(reply, requests.Answer)
@@ -41,7 +41,7 @@
     with request_path_harness.run_request_path() as rig:
         rig.fleet.check_for_pause(rig.clock.monotonic())
         rig.clock.advance(fleet_view.PAUSE_THRESHOLD_S + 1)
-        rig.catch_up = lambda _: False
+        rig.refresh_after_pause = lambda _: False
         reply = rig.charge("k")
         assert isinstance(reply, requests.Refusal)
         assert reply.code == "view-stale"
--- a/tests/failures/test_not_run_guarantee.py
+++ b/tests/failures/test_not_run_guarantee.py
@@ -121,19 +121,19 @@
         faulty = FaultyMinions(rig.clock, faults)
         rig.minion_client.responder = faulty.answer
         if not can_catch_up:
-            rig.catch_up = lambda _: False
+            rig.refresh_after_pause = lambda _: False
         for number, (kind, _) in enumerate(scenario):
             _check_request(rig, faulty, kind, f"r{number}")
         gevent.idle()
-        assert rig.path.in_flight == 0
+        assert rig.handler.in_flight == 0
         # A lost attempt may still run, so its slot stays counted for a while.
         outcomes = (fault.outcome for fault in faults if fault)
         lost_count = sum(
             isinstance(outcome, minions.ResponseLost) for outcome in outcomes
         )
-        assert sum(rig.path.in_flight_by_minion.values()) <= lost_count
+        assert sum(rig.handler.in_flight_by_minion.values()) <= lost_count
         rig.clock.advance(slot_allocator.MAX_ABANDONED_S)
-        assert rig.path.in_flight_by_minion == {}
+        assert rig.handler.in_flight_by_minion == {}
 
 
 def test_a_charge_killed_while_it_is_sent_has_an_unknown_outcome():
@@ -155,7 +155,7 @@
         task.kill()
         assert rig.claims.settled == [("r1", "lost")]
         gevent.idle()
-        assert rig.path.in_flight_by_minion == {}
+        assert rig.handler.in_flight_by_minion == {}
 
 
 def test_the_claim_of_a_charge_killed_in_the_queue_is_released():
@@ -195,7 +195,7 @@
 
         rig.fleet.check_for_pause(rig.clock.monotonic())
         rig.claims.begin = slow_begin
-        rig.catch_up = slow_catch_up
+        rig.refresh_after_pause = slow_catch_up
         reply = rig.charge("k", timeout_ms=timeout_ms)
     assert isinstance(reply, requests.Refusal)
     assert reply.outcome is requests.Outcome.NOT_RUN
--- a/tests/failures/test_slot_loans.py
+++ b/tests/failures/test_slot_loans.py
@@ -97,7 +97,7 @@
     view.offer(
         1, "d", config.Config({}, {}, loaded.services, policies=policies)
     )
-    book = slot_allocator.SlotAllocator(
+    allocator = slot_allocator.SlotAllocator(
         random.Random(1),
         "recife",
         view,
@@ -106,7 +106,9 @@
         lambda: ("a", "b"),
     )
     queue = admission.ServiceQueue()
-    lender = slot_lending.SlotLending(random.Random(1), book, lambda _: queue)
+    lender = slot_lending.SlotLending(
+        random.Random(1), allocator, lambda _: queue
+    )
     report = loaded.classes["report"]
     arrival = class_queues.QueuedRequest(1, "report", report, 0.0, 1e6)
     queue.enqueue(arrival, admission.SlotCounts(8, 0), 0.0)
