--- a/src/vanillaswitch/coordination/fleet/instances/completions.py
+++ b/src/vanillaswitch/coordination/fleet/instances/completions.py
@@ -40,10 +40,10 @@
     def _apply_end(
         self, instance: instance_state.Instance, end: fleet.RunEnd, now: float
     ) -> None:
-        """Applies the end of a run that an instance listed."""
+        """Applies the end of a run that an instance reported."""
         run = instance.remove_run((end.task, end.run))
         self._needs_plan = True
-        self._mark_job_begun(end.task.job_id)
+        self._mark_job_started(end.task.job_id)
         entry = self.tracker.get(end.task.job_id)
         if entry is None or entry.ended is not None:
             return
@@ -62,10 +62,10 @@
             self._count_failure(entry, task, end, instance, now)
             if entry.ended is not None:
                 return
-        current = (
+        is_current = (
             task.run == end.run and task.state is job_tracker.TaskState.ASSIGNED
         )
-        if current and task.instance == instance.name:
+        if is_current and task.instance == instance.name:
             self._requeue(
                 entry, task, end.checkpoint or (run.checkpoint if run else "")
             )
@@ -75,7 +75,7 @@
         task: job_tracker.Task,
         run: int,
         instance: instance_state.Instance,
-        how: str,
+        outcome: str,
     ) -> None:
         self._emit(
             events.TaskEnded(
@@ -83,7 +83,7 @@
                 task.name.path_in_job,
                 run,
                 instance.name,
-                how,
+                outcome,
                 task.failed_runs,
             )
         )
@@ -117,7 +117,8 @@
         step = entry.open_by_key[name.occurrence, name.step]
         step.has_proven_task = True
         if step.step.long_running:
-            # It has to run until its job is cancelled, however a run ends.
+            # It has to run until its job is cancelled, whatever the outcome of
+            # a run.
             self._requeue(entry, task, "")
             return
         # The end of one member completes the whole gang.
@@ -136,14 +137,14 @@
         self.tracker.mark_dirty(entry)
 
     def _stop_current_run(self, task: job_tracker.Task, now: float) -> None:
-        """Stops the current run of a task that an earlier run has completed."""
-        other = self.instances.get(task.instance)
-        if other is None:
+        """Stops the newest run of a task that an earlier run has completed."""
+        instance = self.instances.get(task.instance)
+        if instance is None:
             return
-        run = other.runs.get((task.name, task.run))
+        run = instance.runs.get((task.name, task.run))
         if run is not None:
             self.stop_run(
-                other, run, now, "an earlier run of the task completed"
+                instance, run, now, "an earlier run of the task completed"
             )
 
     def _count_failure(
@@ -165,8 +166,8 @@
         step = entry.open_by_key[name.occurrence, name.step]
         self._suspend_if_failing(instance, entry.job.job_id, now)
         queue = self.queues.get(entry.job.queue)
-        allowed = queue.max_attempts if queue else 1
-        if not step.step.long_running and step.failure_count >= allowed:
+        max_failures = queue.max_attempts if queue else 1
+        if not step.step.long_running and step.failure_count >= max_failures:
             cause = (
                 f"a task {end.outcome} {step.failure_count} times, "
                 f"most recently on {instance.name}"
@@ -193,35 +194,41 @@
         self._emit_instance_changed(instance, "suspended", why, now)
 
     def _requeue(
-        self, entry: job_tracker.JobEntry, task: job_tracker.Task, saved: str
+        self,
+        entry: job_tracker.JobEntry,
+        task: job_tracker.Task,
+        checkpoint: str,
     ) -> None:
-        """Returns a task to the queue and keeps its checkpoint, if any."""
+        """Returns a task to the queue; stores its run's checkpoint, if any."""
         task.state = job_tracker.TaskState.WAITING
         task.instance = ""
         name = task.name
-        if saved and entry.job.steps[name.step].checkpointable:
-            self._save_checkpoint(entry, task, saved)
+        if checkpoint and entry.job.steps[name.step].checkpointable:
+            self._save_checkpoint(entry, task, checkpoint)
         self.tracker.mark_dirty(entry)
         self._needs_plan = True
 
     def _save_checkpoint(
-        self, entry: job_tracker.JobEntry, task: job_tracker.Task, saved: str
+        self,
+        entry: job_tracker.JobEntry,
+        task: job_tracker.Task,
+        checkpoint: str,
     ) -> None:
-        """Stores a checkpoint; one member's is valid for its whole gang."""
+        """Stores a checkpoint; that of a gang member is valid for the gang."""
         name = task.name
         step = entry.open_by_key[name.occurrence, name.step]
         for member in step.tasks if step.step.gang else [task]:
-            member.checkpoint = saved
+            member.checkpoint = checkpoint
 
     def _release_run(
         self,
         instance: instance_state.Instance,
         run: instance_state.Run,
-        how: str = "lost",
+        outcome: str = "lost",
     ) -> None:
-        """Removes a run that is certainly over without a listed end.
+        """Removes a run that is certainly over but has no reported end.
 
-        Requeues its task if this was the current run.
+        Requeues its task if this was the newest run of the task.
         """
         instance.remove_run(run.key)
         self._needs_plan = True
@@ -229,7 +236,7 @@
         task = entry.task(run.task) if entry else None
         if entry is None or task is None:
             return
-        current = task.run == run.run and task.instance == instance.name
-        if current and task.state is job_tracker.TaskState.ASSIGNED:
-            self._emit_run_end(task, run.run, instance, how)
+        is_current = task.run == run.run and task.instance == instance.name
+        if is_current and task.state is job_tracker.TaskState.ASSIGNED:
+            self._emit_run_end(task, run.run, instance, outcome)
             self._requeue(entry, task, run.checkpoint)
--- a/src/vanillaswitch/coordination/fleet/instances/crashes.py
+++ b/src/vanillaswitch/coordination/fleet/instances/crashes.py
@@ -2,9 +2,13 @@
 
 A task may crash every instance that starts it. If it were restarted like any
 other task, it could take down a whole pool and everything that runs there. Each
-loss therefore counts against the tasks that had just begun on the instance. The
-counts are stored with their jobs, and a job fails when one of its tasks has
+loss therefore counts against the tasks that had just started on the instance.
+The counts are stored with their jobs, and a job fails when one of its tasks has
 crashed too many instances.
+
+A suspected task first runs in isolation: nothing else starts on its instance.
+The isolation ends once the run is proven, that is, once it has worked long
+enough to show that it does not crash its instance (``Run.is_proven``).
 """
 
 from collections.abc import Callable
@@ -21,13 +25,14 @@
 from vanillaswitch.protocol import jobs
 from vanillaswitch.state import deployment as deployments
 
-SHARED_CAUSE_S = 0.5
+SHARED_CAUSE_WINDOW_S = 0.5
 """Instances lost within this time of each other may share a cause. The list of
 machines is read every 0.25 s and shows a crash another 0.25 s later."""
 
 IMAGE_SUSPICION_S = 60.0
-"""How long the first task of a step runs isolated after its image crashed
-instances. Later, the image may have been replaced under the same name."""
+"""How long an image stays suspect after a task with it crashed
+instances. Until then, the first task of a step with this image runs in
+isolation. Later, the image may have been replaced under the same name."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -36,13 +41,14 @@
 
     Attributes:
         at: monotonic seconds at which it was detected.
-        explained: a task that was already suspected explains it.
+        had_suspect: a task that was already suspected of crashing instances ran
+            there; it is the likely cause of the loss.
     """
 
     at: float
     instance: str
     rack: str
-    explained: bool
+    had_suspect: bool
 
 
 @dataclasses.dataclass(frozen=True)
@@ -51,7 +57,7 @@
 
     Attributes:
         at: monotonic seconds at which it was detected.
-        alone: no other run had just begun on the instance.
+        is_sole_unproven: no other run had just started on the instance.
         long_running: the task runs until its job is cancelled.
     """
 
@@ -59,7 +65,7 @@
     rack: str
     task: job_tracker.Task
     crash: crash_evidence.Crash
-    alone: bool
+    is_sole_unproven: bool
     long_running: bool
 
 
@@ -72,7 +78,7 @@
         emit: Callable[[object], None],
         bounds: deployments.Bounds = term_state.DEFAULT_BOUNDS,
     ):
-        """See ``term_state.State``."""
+        """See ``term_state.TermState``."""
         super().__init__(order, emit, bounds)
         self._recent_losses: list[_InstanceLoss] = []
         self._pending_crashes: list[_PendingCrash] = []
@@ -111,15 +117,15 @@
         """
         if instance.is_terminating or instance.registration.is_draining:
             return
-        begun = [run for run in runs if _may_have_begun(run)]
-        unproven = [run for run in begun if not run.is_proven]
+        started = [run for run in runs if _may_have_started(run)]
+        unproven = [run for run in started if not run.is_proven]
         has_suspect = any(run.is_isolated for run in unproven)
         if crash_confirmed:
             rack = instance.registration.rack
             self._record_loss(
                 _InstanceLoss(now, instance.name, rack, has_suspect)
             )
-        for run in begun:
+        for run in started:
             if _is_unlikely_cause(run, has_suspect):
                 continue
             crash = crash_evidence.Crash(
@@ -128,17 +134,17 @@
                 _evidence_kind(run, crash_confirmed),
                 run.run_time_s,
             )
-            alone = unproven == [run]
-            self._record_crash(instance, run, crash, alone, now)
+            is_sole_unproven = unproven == [run]
+            self._record_crash(instance, run, crash, is_sole_unproven, now)
             if not run.is_proven:
                 self._emit_crash(instance, run, crash, why, unproven, now)
 
     def _record_loss(self, loss: _InstanceLoss) -> None:
-        """Keeps a loss as long as pending crashes may be compared with it."""
+        """Stores a loss while pending crashes may be compared with it."""
         self._recent_losses = [
             known
             for known in self._recent_losses
-            if loss.at - known.at <= 2 * SHARED_CAUSE_S
+            if loss.at - known.at <= 2 * SHARED_CAUSE_WINDOW_S
         ]
         self._recent_losses.append(loss)
 
@@ -147,10 +153,13 @@
         instance: instance_state.Instance,
         run: instance_state.Run,
         crash: crash_evidence.Crash,
-        alone: bool,
+        is_sole_unproven: bool,
         now: float,
     ) -> None:
-        """Records a crash; its kind is final only ``SHARED_CAUSE_S`` later."""
+        """Records a crash.
+
+        Its kind is final after ``SHARED_CAUSE_WINDOW_S``.
+        """
         entry = self.tracker.get(run.task.job_id)
         task = entry.task(run.task) if entry else None
         if entry is None or task is None or not task.record_crash(crash):
@@ -160,19 +169,21 @@
         long_running = run.step.long_running
         rack = instance.registration.rack
         self._pending_crashes.append(
-            _PendingCrash(now, rack, task, crash, alone, long_running)
+            _PendingCrash(
+                now, rack, task, crash, is_sole_unproven, long_running
+            )
         )
-        strongest = dataclasses.replace(
+        upgraded = dataclasses.replace(
             crash, kind=crash_evidence.CrashKind.SOLE_NEW_RUN
         )
-        crashes = [*task.crashes[:-1], strongest]
+        crashes = [*task.crashes[:-1], upgraded]
         if crash_evidence.exceeds_crash_limit(
             crashes, long_running=long_running
         ):
-            task.not_before = now + SHARED_CAUSE_S
+            task.not_before = now + SHARED_CAUSE_WINDOW_S
 
     def evaluate_pending_crashes(self, now: float) -> None:
-        """Evaluates crashes for which all losses at the same time are known.
+        """Evaluates crashes for which all simultaneous losses are known.
 
         The delay is needed because the loss of a rack looks like a crashing
         task if two of its instances had just been given a run of that task.
@@ -180,25 +191,26 @@
         # Same expression as for ``Task.not_before``: a different rounding would
         # let a task start just before it is evaluated.
         due = [
-            item
-            for item in self._pending_crashes
-            if now >= item.at + SHARED_CAUSE_S
+            pending
+            for pending in self._pending_crashes
+            if now >= pending.at + SHARED_CAUSE_WINDOW_S
         ]
         if not due:
             return
         self._pending_crashes = [
-            item for item in self._pending_crashes if item not in due
+            pending for pending in self._pending_crashes if pending not in due
         ]
-        for item in due:
-            entry = self.tracker.get(item.task.name.job_id)
+        for pending in due:
+            entry = self.tracker.get(pending.task.name.job_id)
             if entry is None or entry.ended is not None:
                 continue
-            self._adjust_evidence(item)
+            self._adjust_evidence(pending)
             self.tracker.mark_dirty(entry)
             if all(
-                item.task is not other.task for other in self._pending_crashes
+                pending.task is not other.task
+                for other in self._pending_crashes
             ):
-                self._fail_if_crashing(entry, item.task, now)
+                self._fail_if_crashing(entry, pending.task, now)
 
     def _evaluate_recovered_crashes(
         self, entry: job_tracker.JobEntry, now: float
@@ -225,43 +237,53 @@
         ):
             self._fail_crashing_job(entry, task, now)
 
-    def _adjust_evidence(self, item: _PendingCrash) -> None:
-        """Adjusts the evidence of a crash to other losses at that time."""
-        task, crash = item.task, item.crash
+    def _adjust_evidence(self, pending: _PendingCrash) -> None:
+        """Upgrades or drops a crash, depending on simultaneous losses.
+
+        The crash of a run that was the only new one on its instance becomes
+        stronger evidence if there is no shared cause. The crash of a
+        long-running task that had worked for a while is dropped if there is
+        one. See ``_has_shared_cause``.
+        """
+        task, crash = pending.task, pending.crash
         if crash not in task.crashes:
             return
-        shared = self._has_shared_cause(item)
-        worked = crash.kind is crash_evidence.CrashKind.PROVEN_RUN
-        if shared and worked and item.long_running:
+        shared = self._has_shared_cause(pending)
+        was_proven = crash.kind is crash_evidence.CrashKind.PROVEN_RUN
+        if shared and was_proven and pending.long_running:
             task.remove_crash(crash.run)
         elif (
-            item.alone
+            pending.is_sole_unproven
             and not shared
             and crash.kind is crash_evidence.CrashKind.NEW_RUN
         ):
-            strongest = dataclasses.replace(
+            upgraded = dataclasses.replace(
                 crash, kind=crash_evidence.CrashKind.SOLE_NEW_RUN
             )
-            task.crashes[task.crashes.index(crash)] = strongest
+            task.crashes[task.crashes.index(crash)] = upgraded
 
-    def _has_shared_cause(self, item: _PendingCrash) -> bool:
+    def _has_shared_cause(self, pending: _PendingCrash) -> bool:
         """Whether another instance was lost at the same time.
 
-        Ignores the loss of an instance on which a suspected task explains it,
-        unless it is in the same rack.
+        Ignores an instance on which a suspected task ran, since that task is
+        the likely cause, unless the instance is in the same rack.
         """
-        own = {crash.instance for crash in item.task.crashes}
+        own = {crash.instance for crash in pending.task.crashes}
         return any(
             loss.instance not in own
-            and (not loss.explained or loss.rack == item.rack != "")
-            and abs(loss.at - item.at) <= SHARED_CAUSE_S
+            and (not loss.had_suspect or loss.rack == pending.rack != "")
+            and abs(loss.at - pending.at) <= SHARED_CAUSE_WINDOW_S
             for loss in self._recent_losses
         )
 
     def _fail_crashing_job(
         self, entry: job_tracker.JobEntry, task: job_tracker.Task, now: float
     ) -> None:
-        """Fails a job whose task crashes instances; suspects its image."""
+        """Fails a job whose task crashes instances.
+
+        For ``IMAGE_SUSPICION_S``, the first task of any other step with the
+        same image starts in isolation.
+        """
         self._emit(
             events.JobGivenUp(
                 entry.job.job_id,
@@ -283,7 +305,7 @@
     def _clear_if_proven(
         self, instance: instance_state.Instance, run: instance_state.Run
     ) -> None:
-        """Clears the task of a run that has worked for long enough.
+        """Drops the suspicion against a task whose run worked long enough.
 
         The other tasks of its step may then start as well.
         """
@@ -321,9 +343,9 @@
         if entry is None:
             return
         task = entry.task(run.task)
-        begun_ms = -1
+        started_ms = -1
         if run.started_at is not None:
-            begun_ms = round((now - run.started_at) * 1000)
+            started_ms = round((now - run.started_at) * 1000)
         self._emit(
             events.RunCrashed(
                 run.task.job_id,
@@ -336,14 +358,14 @@
                 len(task.crashes) if task else len(entry.fatal_crashes),
                 why,
                 round((now - run.decided_at) * 1000),
-                begun_ms,
+                started_ms,
                 len(instance.runs) - 1,
                 len(unproven) - 1,
             )
         )
 
 
-def _may_have_begun(run: instance_state.Run) -> bool:
+def _may_have_started(run: instance_state.Run) -> bool:
     if run.started_at is not None or run.has_unanswered_start:
         return True
     return run.sent and not run.is_start_unsent
@@ -356,8 +378,8 @@
     later their instance crashes for another reason. Applies to other tasks only
     if a suspected task ran on the same instance.
     """
-    worked_long = run.run_time_s >= crash_evidence.MAX_PROOF_S
-    return worked_long and (has_suspect or run.step.long_running)
+    ran_long = run.run_time_s >= crash_evidence.MAX_PROOF_S
+    return ran_long and (has_suspect or run.step.long_running)
 
 
 def _evidence_kind(
--- a/src/vanillaswitch/coordination/fleet/instances/disruption_budget.py
+++ b/src/vanillaswitch/coordination/fleet/instances/disruption_budget.py
@@ -1,9 +1,9 @@
 """The disruption budget of long-running tasks.
 
 A job with long-running tasks limits how many tasks of a step may be
-unavailable at once because of the fleet's own actions (``may_miss``). A task
+unavailable at once because this system stopped them (``Step.may_miss``). A task
 that is not serving counts as unavailable whatever the cause, so that planned
-stops on top of crashes never exceed the budget.
+stops in addition to crashes never exceed the budget.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
 """Progress that a long-running task reports while it serves."""
 
 MAX_REPORT_AGE_S = 2.0
-"""A task counts as serving for this long after its instance last listed it.
+"""A task counts as serving for this long after its instance last reported it.
 An instance with work answers within 1.0 s. A status report may be 1.8 s old on
 arrival, the longest that a call takes, and a stop takes up to 0.7 s to arrive.
 Together that is 4.5 s, the time after which a task that is not serving counts
@@ -35,8 +35,8 @@
     Attributes:
         unavailable: number of tasks that can't be assumed to be serving.
         max_unavailable: disruption budget of the step; 0 if it has no limit.
-        oldest_report_s: age of the oldest status report behind a task that
-            counts as serving.
+        oldest_report_s: age of the oldest status report because of which one of
+            these tasks counts as serving.
     """
 
     unavailable: int = 0
@@ -55,14 +55,14 @@
     if step is None or not step.step.may_miss:
         return SiblingStatus()
     unavailable = unavailable_indices(state, step, now) - {name.index}
-    listed_times = [
+    report_times = [
         run.reported_at
         for task in step.tasks
         if task.name != name
         and task.name.index not in unavailable
         and (run := _current_run(state, task)) is not None
     ]
-    oldest_s = now - min(listed_times, default=now)
+    oldest_s = now - min(report_times, default=now)
     return SiblingStatus(len(unavailable), step.step.may_miss, oldest_s)
 
 
@@ -84,12 +84,12 @@
     """Whether the last report of a run is too old to count it as serving.
 
     A run blocks its task from starting elsewhere until its lease has expired,
-    seconds after its instance crashed or was cut off. If the run counted as
-    serving all that time, the whole budget could be spent on other tasks of
+    seconds after its instance crashed or became unreachable. If the run counted
+    as serving all that time, the whole budget could be spent on other tasks of
     the step, and more tasks would be unavailable than the budget allows.
     """
     return now - run.reported_at > min(
-        MAX_REPORT_AGE_S, state.notice_s - ORDER_TIMEOUT_S
+        MAX_REPORT_AGE_S, state.unavailability_grace_s - ORDER_TIMEOUT_S
     )
 
 
@@ -113,12 +113,16 @@
 def _current_run(
     state: term_state.TermState, task: job_tracker.Task
 ) -> instance_state.Run | None:
-    """Returns a task's run, or None if it has none that goes on."""
+    """Returns the run of an assigned task.
+
+    Returns:
+        None if there is no such run, or if it will end with its machine.
+    """
     instance = state.instances.get(task.instance)
     if instance is None or task.state is not job_tracker.TaskState.ASSIGNED:
         return None
-    # The run will end with its machine, although the instance has not reported
-    # that yet: orders for several machines follow within milliseconds.
+    # The run will end with its machine, but the instance has not reported that
+    # yet. Orders for several machines follow within milliseconds of each other.
     if instance.is_terminating:
         return None
     return instance.runs.get((task.name, task.run))
@@ -128,7 +132,7 @@
     state: term_state.TermState, runs: Iterable[instance_state.Run], now: float
 ) -> bool:
     """Whether ending these runs together stays within all budgets."""
-    ending: dict[tuple[str, int, int], set[int]] = {}
+    ending_indices: dict[tuple[str, int, int], set[int]] = {}
     for run in runs:
         if run.has_unknown_demand:
             # The job can't be read yet, so its budget is unknown.
@@ -136,10 +140,12 @@
         if run.step.may_miss:
             name = run.task
             key = (name.job_id, name.occurrence, name.step)
-            ending.setdefault(key, set()).add(name.index)
-    for (job_id, occurrence, number), indices in ending.items():
+            ending_indices.setdefault(key, set()).add(name.index)
+    for (job_id, occurrence, step_number), indices in ending_indices.items():
         entry = state.tracker.get(job_id)
-        step = entry.open_by_key.get((occurrence, number)) if entry else None
+        step = (
+            entry.open_by_key.get((occurrence, step_number)) if entry else None
+        )
         if step is None:
             continue
         # Each run to end uses up the budget even if it does not count as
--- a/src/vanillaswitch/coordination/fleet/instances/incarnations.py
+++ b/src/vanillaswitch/coordination/fleet/instances/incarnations.py
@@ -1,9 +1,9 @@
 """Tells apart the incarnations of an instance that restarts under its id.
 
 A restarted instance keeps nothing of its previous incarnation. Its
-registration and its status reports both name the time at which it started.
-They reach the owner on different paths, so either can show a new incarnation
-first while the other still describes the former one for a while.
+registration and its status reports both contain the time at which it started
+(``born_ms``). They reach the owner on different paths, so either can show a new
+incarnation first while the other still describes the former one for a while.
 """
 
 import enum
@@ -21,10 +21,11 @@
     """The known incarnations of one instance, identified by start time."""
 
     def __init__(self, born_ms: int | None, now: float):
-        """Starts with the incarnation that the first registration names.
+        """Starts with the incarnation of the first registration.
 
         Args:
-            born_ms: milliseconds since 1970; None if it names none.
+            born_ms: start time in the first registration, in milliseconds since
+                1970; None if it contains none.
             now: monotonic seconds.
         """
         self._current = born_ms
@@ -36,16 +37,18 @@
         """Start time of the current incarnation; None if not known."""
         return self._current
 
-    def classify_report(self, born_ms: int | None, asked_at: float) -> Origin:
+    def classify_report(
+        self, born_ms: int | None, requested_at: float
+    ) -> Origin:
         """Returns the incarnation that a status report comes from.
 
         A report that was requested after the current incarnation became known
-        comes from the current or a newer one, whatever start time it names: the
+        comes from the current or a newer one, whatever its start time: the
         start time can be lower if the clock was set back in between.
 
         Args:
-            born_ms: the start time that the report names.
-            asked_at: monotonic seconds at which it was requested.
+            born_ms: the start time in the report.
+            requested_at: monotonic seconds at which it was requested.
         """
         if born_ms is None or born_ms == self._current:
             return Origin.CURRENT
@@ -54,8 +57,10 @@
             return Origin.CURRENT
         if born_ms in self._former:
             return Origin.FORMER
-        older = born_ms < self._current and asked_at < self._current_since
-        return Origin.FORMER if older else Origin.NEW
+        is_older = (
+            born_ms < self._current and requested_at < self._current_since
+        )
+        return Origin.FORMER if is_older else Origin.NEW
 
     def classify_registration(self, born_ms: int | None) -> Origin:
         """Returns the incarnation that a registration comes from.
@@ -73,7 +78,7 @@
             return Origin.FORMER
         return Origin.NEW
 
-    def add(self, born_ms: int | None, now: float) -> None:
+    def set_current(self, born_ms: int | None, now: float) -> None:
         """Makes a new incarnation the current one."""
         if self._current is not None:
             self._former.add(self._current)
--- a/src/vanillaswitch/coordination/fleet/instances/instance_client.py
+++ b/src/vanillaswitch/coordination/fleet/instances/instance_client.py
@@ -28,21 +28,22 @@
 """How long it waits on an idle instance; the most that instances accept."""
 
 ANSWER_MARGIN_S = 0.8
-"""Time beyond its wait that a renewal may take. After that the connection
-counts as broken, and the next call uses a new one."""
+"""Time that a renewal may take in addition to its wait. After that the
+connection counts as broken, and the next call uses a new one."""
 
 RETRY_TIMEOUT_S = 0.5
 """Timeout of the renewal after an unanswered one. It does not wait for a task
-to end, so a healthy instance answers in milliseconds. An instance that is gone
-is found silent 1.0 s earlier than with two full-length calls."""
+to end, so a healthy instance answers in milliseconds. A lost instance counts as
+unresponsive 1.0 s earlier than with two full-length calls."""
 
 BATCH_PAUSE_S = 0.015
-"""Pause between two renewals that lets task ends accumulate. Tasks of a step
-end close together, and each call costs processor time and counts as a health
-check."""
+"""Pause between two renewals, so that one report covers the ends of several
+runs. Tasks of a step end close together, and each call costs processor time and
+counts as a health check."""
 
-RECORD_WAIT_S = 0.3
-"""Longest wait for reported ends to be written before the next renewal."""
+MAX_RECORD_WAIT_S = 0.3
+"""Longest wait for the reported ends of runs to be written before the next
+renewal."""
 
 SEND_TIMEOUT_S = disruption_budget.ORDER_TIMEOUT_S
 """Limit for sending one start or stop order."""
@@ -51,10 +52,10 @@
 """Pause before a failed call is repeated."""
 
 SILENT_AFTER_CALLS = 2
-"""Consecutive unanswered renewals after which an instance is silent."""
+"""Consecutive unanswered renewals after which an instance is unresponsive."""
 
 MAX_CONCURRENT_STARTS = 4
-"""Starts in flight to one instance, each on its own connection."""
+"""Concurrent start calls to one instance, each on its own connection."""
 
 MAX_LATE_RETRIES = 3
 """How often a start that arrived after its deadline is sent with a new one."""
@@ -70,7 +71,7 @@
     Attributes:
         scheduler: the owner's decisions.
         upstreams: sends calls to instances.
-        writer: writes the owner's rows; knows its token and its term.
+        writer: writes the owner's rows; knows its fencing token and its term.
         clock: source of monotonic time.
         wake_planner: set to make the owner plan again.
     """
@@ -85,31 +86,34 @@
 class InstanceClient:
     """Makes all calls to one instance during one term of ownership."""
 
-    def __init__(self, means: CallContext, name: str):
-        self._means = means
-        self._scheduler = means.scheduler
-        self._clock = means.clock
+    def __init__(self, context: CallContext, name: str):
+        self._context = context
+        self._scheduler = context.scheduler
+        self._clock = context.clock
         self._name = name
-        self._recorded_life = 0
+        self._recorded_incarnation = 0
         self._recorded_end = 0
         self._recorded_event = gevent.event.Event()
         self._start_slots = gevent.lock.BoundedSemaphore(MAX_CONCURRENT_STARTS)
 
-    def mark_recorded(self, number: int, life: int) -> None:
-        """Records that task ends up to a number were written.
+    def mark_recorded(self, number: int, incarnation: int) -> None:
+        """Records that the ends of runs up to a number were written.
 
         Args:
-            number: number of the last written end.
-            life: incarnation of the instance that assigned the number.
+            number: number of the last written end of a run.
+            incarnation: incarnation of the instance that assigned the number.
         """
-        if life > self._recorded_life:
-            self._recorded_life, self._recorded_end = life, 0
-        if life == self._recorded_life and number > self._recorded_end:
+        if incarnation > self._recorded_incarnation:
+            self._recorded_incarnation, self._recorded_end = incarnation, 0
+        if (
+            incarnation == self._recorded_incarnation
+            and number > self._recorded_end
+        ):
             self._recorded_end = number
             self._recorded_event.set()
 
     def acknowledged_end(self, instance: instance_state.Instance) -> int:
-        """Returns the number of the last end that the instance may forget.
+        """Returns the number of the last run end that the instance may forget.
 
         Each incarnation of an instance numbers its ends from 1. With a number
         of the previous incarnation, the instance would forget ends that were
@@ -117,21 +121,21 @@
         """
         return (
             self._recorded_end
-            if instance.incarnation == self._recorded_life
+            if instance.incarnation == self._recorded_incarnation
             else 0
         )
 
     def run_until_gone(self) -> None:
         """Renews the instance's lease until it is gone or the term ends."""
         failures = 0
-        while not self._means.writer.is_term_over:
+        while not self._context.writer.is_term_over:
             instance = self._scheduler.instances.get(self._name)
             if instance is None:
                 return
             if not self._scheduler.should_poll(self._name):
-                # Either only an earlier owner's rows name the instance, for
-                # example after an outage in which its registration expired; it
-                # may register again. Or its service is not configured (yet).
+                # Either only rows of an earlier owner mention the instance, for
+                # example because its registration expired in an outage; it may
+                # register again. Or its service is not configured (yet).
                 self._clock.sleep(RETRY_PAUSE_S)
                 continue
             self._await_recorded_ends(instance)
@@ -154,7 +158,7 @@
         """
         self._recorded_event.clear()
         if instance.last_end_number > self.acknowledged_end(instance):
-            self._recorded_event.wait(RECORD_WAIT_S)
+            self._recorded_event.wait(MAX_RECORD_WAIT_S)
 
     def _renew_lease(
         self, instance: instance_state.Instance, again: bool
@@ -166,12 +170,12 @@
 
         Args:
             instance: the instance.
-            again: the call before got no answer.
+            again: the previous call got no answer.
 
         Returns:
             Whether the instance sent a status report.
         """
-        began = self._clock.monotonic()
+        began_at = self._clock.monotonic()
         wait_s = 0.0
         if instance.is_adopted and not instance.is_unresponsive and not again:
             wait_s = BUSY_POLL_S if instance.runs else IDLE_POLL_S
@@ -181,16 +185,16 @@
                 wait_s = crash_evidence.MIN_PROOF_S
             if instance.last_end_number > self.acknowledged_end(instance):
                 wait_s = 0.0
-        deadline_ms = self._deadline_ms(instance, began)
+        deadline_ms = self._deadline_ms(instance, began_at)
         # After an unanswered call, the instance may have crashed. The next
         # answer may come from an incarnation that has not reported any end.
-        seen = 0 if again else self.acknowledged_end(instance)
+        acknowledged_end = 0 if again else self.acknowledged_end(instance)
 
         def renew() -> fleet.RenewalOutcome:
-            return self._means.upstreams.renew_lease(
+            return self._context.upstreams.renew_lease(
                 instance.registration,
-                self._means.writer.token,
-                seen,
+                self._context.writer.token,
+                acknowledged_end,
                 deadline_ms,
                 wait_s,
                 RETRY_TIMEOUT_S if again else wait_s + ANSWER_MARGIN_S,
@@ -200,15 +204,15 @@
         if deadline_ms is None:
             outcome = renew()
         else:
-            outcome = self._call_with_grant(instance, began, renew)
+            outcome = self._call_extending_lease(instance, began_at, renew)
         now = self._clock.monotonic()
         if isinstance(outcome, fleet.StatusReport):
             self._scheduler.handle_status_report(
-                self._name, outcome, began, now
+                self._name, outcome, began_at, now
             )
-            self._means.wake_planner.set()
+            self._context.wake_planner.set()
             return True
-        self._scheduler.handle_unanswered_call(self._name, began)
+        self._scheduler.handle_unanswered_call(self._name, began_at)
         self._handle_rejection(outcome, now)
         return False
 
@@ -222,17 +226,17 @@
             instance's clock is unknown before its first answer, or this
             process last confirmed its ownership too long ago.
         """
-        unconfirmed_s = now - self._means.writer.confirmed_at
+        since_confirmed_s = now - self._context.writer.confirmed_at
         if (
             not instance.is_adopted
-            or unconfirmed_s > lease_times.RENEWAL_AFTER_LAST_WRITE_S
+            or since_confirmed_s > lease_times.RENEWAL_AFTER_LAST_WRITE_S
         ):
             return None
         return math.floor(
             instance.estimated_clock_ms(now) + lease_times.RUN_LEASE_S * 1000
         )
 
-    def _call_with_grant(
+    def _call_extending_lease(
         self,
         instance: instance_state.Instance,
         now: float,
@@ -241,44 +245,46 @@
         """Makes a call that may extend the lease of the instance's runs.
 
         The lease counts as extended during the call, and afterwards only if
-        any byte of the call may have left this process. Otherwise the lease of
-        an instance behind a network partition would never expire: the owner
-        tries to renew it twice a second, and its tasks would wait until the
-        partition heals.
+        any byte of the call may have been sent. Otherwise the lease of an
+        instance behind a network partition would never expire: the owner tries
+        to renew it twice a second, and its tasks would wait until the partition
+        heals.
         """
         until = lease_times.lease_expiry(now)
-        may_have_left = True
+        may_have_been_sent = True
         instance.begin_lease_renewal(until)
         try:
             outcome = call()
-            unsent = (
+            certainly_unsent = (
                 isinstance(outcome, fleet.NoAnswer)
                 and not outcome.may_take_effect
             )
-            may_have_left = not unsent
+            may_have_been_sent = not certainly_unsent
             return outcome
         finally:
-            instance.end_lease_renewal(until, may_have_left)
+            instance.end_lease_renewal(until, may_have_been_sent)
 
     def _handle_rejection(
         self, outcome: fleet.RenewalOutcome | fleet.OrderOutcome, now: float
     ) -> None:
-        """Handles an answer by another instance or a fenced refusal.
+        """Handles a refused call that concerns the instance or the term.
 
-        A fenced refusal means that a later owner exists; it ends the term.
+        Removes the instance if another one answered at its address. Ends the
+        term if the instance refused the call because it has seen a higher
+        fencing token: a later owner exists.
         """
         if isinstance(outcome, fleet.InstanceReplaced):
             self._scheduler.remove_instance(
                 self._name, now, "another instance answers at its address"
             )
-            self._means.wake_planner.set()
+            self._context.wake_planner.set()
         elif fleet.is_fenced(outcome):
             logs.warning(
                 "instance {} has seen a higher fencing token; ending the term",
                 self._name,
             )
-            self._means.writer.end_term()
-            self._means.wake_planner.set()
+            self._context.writer.end_term()
+            self._context.wake_planner.set()
 
     def send_start(self, order: term_state.StartOrder) -> None:
         """Sends a recorded start in its own greenlet."""
@@ -287,31 +293,31 @@
     def _send_start(self, order: term_state.StartOrder) -> None:
         with self._start_slots:
             self._send_start_until_settled(order)
-        self._means.wake_planner.set()
+        self._context.wake_planner.set()
 
     def _send_start_until_settled(self, order: term_state.StartOrder) -> None:
-        """Sends copies of a start until its outcome is known.
+        """Sends a start, repeatedly if unanswered, until its outcome is known.
 
         Stops early if the start is no longer wanted, the instance restarted,
         or the term ends.
         """
         key = (order.task, order.run)
         sent = False
-        late = 0
+        late_refusals = 0
         attempts = 0
         first_at = self._clock.monotonic()
-        life = self._current_life()
+        incarnation = self._current_incarnation()
         while (
-            not self._means.writer.is_term_over
+            not self._context.writer.is_term_over
             and self._scheduler.may_send_start(order)
         ):
-            if self._current_life() != life:
+            if self._current_incarnation() != incarnation:
                 # The start was meant for the previous incarnation.
                 return
-            began = self._clock.monotonic()
+            began_at = self._clock.monotonic()
             if attempts and self._scheduler.must_defer_resend(order):
                 if not self._scheduler.handle_start_unanswered(
-                    self._name, key, sent, began, first_at
+                    self._name, key, sent, began_at, first_at
                 ):
                     return
                 self._clock.sleep(RETRY_PAUSE_S)
@@ -328,7 +334,7 @@
                 return
             if isinstance(outcome, fleet.NoAnswer):
                 sent = sent or outcome.may_take_effect
-                self._scheduler.handle_unanswered_call(self._name, began)
+                self._scheduler.handle_unanswered_call(self._name, began_at)
                 if not self._scheduler.handle_start_unanswered(
                     self._name, key, sent, now, first_at
                 ):
@@ -338,10 +344,12 @@
             self._handle_rejection(outcome, now)
             if not isinstance(outcome, fleet.Refused):
                 return
-            late += outcome.reason is fleet.RefusalReason.DEADLINE_PASSED
+            late_refusals += (
+                outcome.reason is fleet.RefusalReason.DEADLINE_PASSED
+            )
             if (
                 outcome.reason is fleet.RefusalReason.DEADLINE_PASSED
-                and late <= MAX_LATE_RETRIES
+                and late_refusals <= MAX_LATE_RETRIES
             ):
                 continue
             if not self._scheduler.handle_start_refused(
@@ -350,19 +358,19 @@
                 return
             self._clock.sleep(RETRY_PAUSE_S)
 
-    def _current_life(self) -> int:
+    def _current_incarnation(self) -> int:
         """Returns the number of the instance's incarnation; 0 if it is gone."""
         instance = self._scheduler.instances.get(self._name)
         return instance.incarnation if instance is not None else 0
 
     def _start_once(
-        self, order: term_state.StartOrder, fresh: bool
+        self, order: term_state.StartOrder, new_connection: bool
     ) -> fleet.OrderOutcome | None:
         """Sends one copy of a start.
 
         Args:
             order: the start.
-            fresh: use a new connection.
+            new_connection: whether to use a new connection.
 
         Returns:
             The outcome; None if the instance is gone.
@@ -379,15 +387,15 @@
             order.run,
             order.spec,
             order.checkpoint,
-            self._means.writer.token,
+            self._context.writer.token,
             deadline,
             order.ticket,
         )
-        return self._call_with_grant(
+        return self._call_extending_lease(
             instance,
             now,
-            lambda: self._means.upstreams.start(
-                instance.registration, start, SEND_TIMEOUT_S, fresh
+            lambda: self._context.upstreams.start(
+                instance.registration, start, SEND_TIMEOUT_S, new_connection
             ),
         )
 
@@ -402,12 +410,12 @@
         instance = self._scheduler.instances.get(self._name)
         if instance is None:
             return
-        outcome = self._means.upstreams.set_pace(
+        outcome = self._context.upstreams.set_pace(
             instance.registration,
             pace.run.task,
             pace.run.run,
             pace.percent,
-            self._means.writer.token,
+            self._context.writer.token,
         )
         if isinstance(outcome, fleet.Accepted):
             pace.run.pace = pace.percent
@@ -424,20 +432,20 @@
             return
         if not self._scheduler.may_send_stop(order, self._clock.monotonic()):
             return
-        outcome = self._means.upstreams.stop(
+        outcome = self._context.upstreams.stop(
             instance.registration,
             order.task,
             order.run,
-            self._means.writer.token,
+            self._context.writer.token,
             SEND_TIMEOUT_S,
         )
         now = self._clock.monotonic()
         is_accepted = isinstance(outcome, fleet.Accepted)
-        is_outdated = (
+        is_stale_run = (
             isinstance(outcome, fleet.Refused)
             and outcome.reason is fleet.RefusalReason.STALE_RUN
         )
-        if is_accepted or is_outdated:
+        if is_accepted or is_stale_run:
             self._scheduler.handle_stop_accepted(
                 self._name, (order.task, order.run), now
             )
--- a/src/vanillaswitch/coordination/fleet/instances/instance_clients.py
+++ b/src/vanillaswitch/coordination/fleet/instances/instance_clients.py
@@ -14,32 +14,32 @@
     otherwise nothing would renew its lease any more.
     """
 
-    def __init__(self, means: instance_client.CallContext):
-        self._means = means
-        self._tasks: dict[str, instance_client.InstanceClient] = {}
+    def __init__(self, context: instance_client.CallContext):
+        self._context = context
+        self._clients: dict[str, instance_client.InstanceClient] = {}
 
     def get(self, name: str) -> instance_client.InstanceClient | None:
         """Returns the object that makes an instance's calls."""
-        return self._tasks.get(name)
+        return self._clients.get(name)
 
     def start_missing(self) -> None:
         """Starts the loops of instances that have none."""
-        for name in list(self._means.scheduler.instances):
-            if name not in self._tasks:
-                task = instance_client.InstanceClient(self._means, name)
-                self._tasks[name] = task
-                gevent.spawn(self._run, name, task)
+        for name in list(self._context.scheduler.instances):
+            if name not in self._clients:
+                client = instance_client.InstanceClient(self._context, name)
+                self._clients[name] = client
+                gevent.spawn(self._run, name, client)
 
-    def _run(self, name: str, task: instance_client.InstanceClient) -> None:
+    def _run(self, name: str, client: instance_client.InstanceClient) -> None:
         """Runs a loop; logs its failure.
 
         ``start_missing`` starts it again.
         """
         try:
-            task.run_until_gone()
+            client.run_until_gone()
         except Exception as error:
             logs.error(
                 "lease renewal loop of instance {} failed: {!r}", name, error
             )
         finally:
-            del self._tasks[name]
+            del self._clients[name]
--- a/src/vanillaswitch/coordination/fleet/instances/lease_times.py
+++ b/src/vanillaswitch/coordination/fleet/instances/lease_times.py
@@ -3,13 +3,13 @@
 RUN_LEASE_S = 6.0
 """Lease on the runs of an instance. It has to outlast a change of owner (about
 4 s) and a short outage. A longer lease delays restarting the tasks of an
-instance that is cut off."""
+unreachable instance."""
 
-CLOCK_ERROR = 1.03
+CLOCK_ERROR_FACTOR = 1.03
 """Factor by which a lease may last longer on the owner's clock. An instance's
 clock may be 2% slow; the rest covers the travel time of a response."""
 
-LAPSE_MARGIN_S = 0.2
+EXPIRY_MARGIN_S = 0.2
 """Added to a lease before it counts as expired, because timers fire late."""
 
 RENEWAL_AFTER_LAST_WRITE_S = 8.0
@@ -20,8 +20,8 @@
 
 
 def lease_expiry(now: float, lease_s: float = RUN_LEASE_S) -> float:
-    """Returns when a lease that is granted now has expired for certain."""
-    return now + lease_s * CLOCK_ERROR + LAPSE_MARGIN_S
+    """Returns when a lease that is granted now has certainly expired."""
+    return now + lease_s * CLOCK_ERROR_FACTOR + EXPIRY_MARGIN_S
 
 
 def inherited_lease_expiry(now: float) -> float:
--- a/src/vanillaswitch/coordination/fleet/instances/order_outcomes.py
+++ b/src/vanillaswitch/coordination/fleet/instances/order_outcomes.py
@@ -16,7 +16,7 @@
 
 START_ANSWER_TIMEOUT_S = 1.5
 """Time after which the owner gives up on an unanswered start. It stops the
-run; the task may start elsewhere once the run certainly can't start."""
+run; the task may start elsewhere once the run can no longer start."""
 
 
 class OrderOutcomes(start_checks.StartChecks):
@@ -43,14 +43,14 @@
         run = self._find_run(name, key)
         if run is not None:
             run.mark_started(now)
-            self._mark_job_begun(key[0].job_id)
+            self._mark_job_started(key[0].job_id)
 
     def handle_start_refused(
         self,
         name: str,
         key: instance_state.RunKey,
         reason: fleet.RefusalReason,
-        certain: bool,
+        no_copy_pending: bool,
         now: float,
     ) -> bool:
         """Handles a refused start.
@@ -59,7 +59,7 @@
             name: the instance.
             key: task and run.
             reason: reason that the instance gave.
-            certain: no earlier copy of the start can still take effect.
+            no_copy_pending: no earlier copy of the start can still take effect.
             now: monotonic seconds.
 
         Returns:
@@ -76,7 +76,7 @@
                 key[1],
                 name,
                 reason.value,
-                certain,
+                no_copy_pending,
             )
         )
         if reason in (
@@ -87,11 +87,11 @@
                 instance.suspended_until, now + REFUSAL_BACKOFF_S
             )
         if reason is fleet.RefusalReason.INVALID_TICKET:
-            step = key[0].job_id, key[0].occurrence, key[0].step
-            self._tickets_valid_until.pop(step, None)
+            step_key = key[0].job_id, key[0].occurrence, key[0].step
+            self._tickets_valid_until.pop(step_key, None)
         if reason is fleet.RefusalReason.STALE_RUN:
             run.cannot_start_since = now
-        elif certain:
+        elif no_copy_pending:
             self._release_run(instance, run)
         elif not run.confirmed:
             why = "start refused while an earlier copy is unanswered"
@@ -109,7 +109,7 @@
 
         The task may already be serving, so stopping it counts against the
         disruption budget of its step. If the stop has to wait, the next status
-        report or the answer to another copy settles whether the run started.
+        report or the answer to another copy shows whether the run started.
 
         Returns:
             Whether the run is stopped; False if the budget does not allow it.
@@ -134,8 +134,9 @@
             key: task and run.
             sent: whether any copy of the start left this process.
             now: monotonic seconds.
-            first_at: when the first copy was sent, which a slow owner does
-                long after the decision. Defaults to the time of the decision.
+            first_at: monotonic seconds at which the first copy was sent. A slow
+                owner sends it long after the decision. Defaults to the time of
+                the decision.
 
         Returns:
             Whether to send the start again.
@@ -148,8 +149,8 @@
         run.is_start_unsent = not sent
         if run.confirmed:
             return False
-        since = run.decided_at if first_at is None else first_at
-        if now - since < START_ANSWER_TIMEOUT_S:
+        waiting_since = run.decided_at if first_at is None else first_at
+        if now - waiting_since < START_ANSWER_TIMEOUT_S:
             return True
         if not sent:
             self._release_run(instance, run)
@@ -177,13 +178,13 @@
                     continue
                 for run in list(instance.runs.values()):
                     if stragglers.is_stalled(run, now):
-                        self._move_stalled(instance, run, instances, now)
+                        self._stop_stalled_run(instance, run, instances, now)
 
-    def _move_stalled(
+    def _stop_stalled_run(
         self,
         instance: instance_state.Instance,
         run: instance_state.Run,
-        others: Iterable[instance_state.Instance],
+        pool_instances: Iterable[instance_state.Instance],
         now: float,
     ) -> None:
         """Stops a stalled run if another instance can run its task.
@@ -194,7 +195,7 @@
         task = entry.task(run.task) if entry else None
         has_capacity = any(
             other is not instance and other.can_take_over(run, now)
-            for other in others
+            for other in pool_instances
         )
         if task is None or not has_capacity:
             return
--- a/src/vanillaswitch/coordination/fleet/instances/registration_watcher.py
+++ b/src/vanillaswitch/coordination/fleet/instances/registration_watcher.py
@@ -18,8 +18,8 @@
 rarely contain anything new."""
 
 UNLIST_DELAY_S = 2.5
-"""A missing registration counts as removed only this long after the store
-recovered. Live instances register again within about 2 s."""
+"""A missing registration counts as removed only if the store has worked again
+for this long. Live instances register again within about 2 s."""
 
 RegistrationDecoder = Callable[
     [str, Mapping[str, Any]], fleet.Registration | unusable.Unusable
@@ -84,9 +84,9 @@
         self._follower.run()
 
     def mark_missing_unlisted(self, now: float) -> None:
-        """Marks instances as unlisted whose registrations stay missing."""
-        settled = now - self._follower.recovered_at >= UNLIST_DELAY_S
-        if self._follower.is_failing or not settled:
+        """Marks instances as not listed if their registrations stay missing."""
+        has_settled = now - self._follower.recovered_at >= UNLIST_DELAY_S
+        if self._follower.is_failing or not has_settled:
             return
         for name in self._missing:
             self._scheduler.mark_unlisted(name)
@@ -117,24 +117,24 @@
             self._unusable.pop(change.key, None)
             return
         self._missing.discard(change.key)
-        found = self._decode_change(change)
-        if isinstance(found, unusable.Unusable):
-            self._emit_unusable(change, found.reason)
+        decoded = self._decode_change(change)
+        if isinstance(decoded, unusable.Unusable):
+            self._emit_unusable(change, decoded.reason)
             self._scheduler.mark_registration_unreadable(
-                change.key, found.reason, now
+                change.key, decoded.reason, now
             )
             return
         self._unusable.pop(change.key, None)
         known = self._scheduler.instances.get(change.key)
-        same = known is not None and known.registration == found
+        is_unchanged = known is not None and known.registration == decoded
         if (
             known
-            and same
+            and is_unchanged
             and known.is_listed
             and not known.has_unreadable_registration
         ):
             return
-        self._scheduler.handle_registration(found, now)
+        self._scheduler.handle_registration(decoded, now)
 
     def _decode_change(
         self, change: change_feeds.RowChange
--- a/src/vanillaswitch/coordination/fleet/instances/restarts.py
+++ b/src/vanillaswitch/coordination/fleet/instances/restarts.py
@@ -1,4 +1,4 @@
-"""Detects instances that restart under their id and ends their former runs."""
+"""Detects instances that restart under their id; ends their previous runs."""
 
 from collections.abc import Collection
 
@@ -16,7 +16,7 @@
 
 
 class RestartDetection(crashes.CrashTracking):
-    """Tells the incarnations of an instance apart."""
+    """Distinguishes the incarnations of an instance."""
 
     def handle_registration(
         self, registration: fleet.Registration, now: float
@@ -54,9 +54,12 @@
             self._emit_instance_changed(instance, "former", why, now)
             return False
         if origin is incarnations.Origin.NEW:
-            reported = {(row.task, row.run) for row in report.running}
-            reported |= {(end.task, end.run) for end in report.ended_runs}
-            self._handle_restart(instance, report.born_ms, now, reported)
+            reported_keys = {
+                (run_status.task, run_status.run)
+                for run_status in report.running
+            }
+            reported_keys |= {(end.task, end.run) for end in report.ended_runs}
+            self._handle_restart(instance, report.born_ms, now, reported_keys)
         return True
 
     def _handle_restart(
@@ -64,21 +67,21 @@
         instance: instance_state.Instance,
         born_ms: int | None,
         now: float,
-        reported: Collection[instance_state.RunKey] = (),
+        reported_keys: Collection[instance_state.RunKey] = (),
     ) -> None:
-        """Ends what ran before an instance restarted.
+        """Ends the runs of the former incarnation.
 
         The id stays the same, so the new start time is the only sign. Without
-        this, the empty report of the new incarnation would pass for one that
-        is older than the starts, and its tasks would count as running forever.
-        The ends of the new incarnation, numbered from 1, would pass for ends
-        that are already known.
+        this, the empty report of the new incarnation would be taken for one
+        that is older than the starts, and its tasks would count as running
+        forever. The run ends of the new incarnation, numbered from 1, would be
+        taken for ends that are already known.
 
         Args:
             instance: the one that restarted.
             born_ms: start time of the new incarnation.
             now: monotonic seconds.
-            reported: runs that its report names; the new incarnation accepted
+            reported_keys: runs in its report; the new incarnation accepted
                 them.
         """
         why = (
@@ -87,22 +90,22 @@
         )
         self._emit_instance_changed(instance, "restarted", why, now)
         runs = list(instance.runs.values())
-        crashed = [run for run in runs if run.key not in reported]
+        crashed = [run for run in runs if run.key not in reported_keys]
         self._count_loss(instance, crashed, why, now)
-        instance.incarnations.add(born_ms, now)
-        # Calls sent before the restart that reach the new incarnation name
-        # deadlines on the former clock. The instance cuts such a lease to the
-        # longest one that it grants.
-        longest_s = self._bounds.max_hold_s
+        instance.incarnations.set_current(born_ms, now)
+        # A call that was sent before the restart and reaches the new
+        # incarnation states its deadline on the clock of the former one. The
+        # instance shortens such a lease to the longest one that it grants.
+        max_lease_s = self._bounds.max_hold_s
         instance.reset_incarnation(
-            now, lease_times.lease_expiry(now, longest_s)
+            now, lease_times.lease_expiry(now, max_lease_s)
         )
         self._pending_stops = [
             s for s in self._pending_stops if s.instance != instance.name
         ]
-        self._forget_tickets(instance.name)
+        self._drop_tickets(instance.name)
         for run in runs:
-            if run.key in reported or run.inherited:
+            if run.key in reported_keys or run.inherited:
                 continue
             if _may_start_late(run):
                 run.reset_reported_state()
@@ -116,27 +119,29 @@
     ) -> None:
         """Detects a restart of an instance by its clock.
 
-        The response to a start names no incarnation. The deadline in that start
-        was on the clock of the former one, so the run may last for the longest
-        lease that an instance grants. Counted as expired before, the task would
-        run twice. The instance gets no more work until it sends a status
-        report.
+        The response to a start does not identify the incarnation. The deadline
+        in that start was on the clock of the former one, so the run may last
+        for the longest lease that an instance grants. If the lease counted as
+        expired earlier, the task could run twice. The instance gets no more
+        work until it sends a status report.
         """
         behind_ms = instance.estimated_clock_ms(now) - clock_ms
         if not instance.is_adopted or behind_ms <= CLOCK_RESET_MS:
             return
-        longest_s = self._bounds.max_hold_s
-        lapses_at = lease_times.lease_expiry(now, longest_s)
-        instance.lease_expires_at = max(instance.lease_expires_at, lapses_at)
+        max_lease_s = self._bounds.max_hold_s
+        lease_expires_at = lease_times.lease_expiry(now, max_lease_s)
+        instance.lease_expires_at = max(
+            instance.lease_expires_at, lease_expires_at
+        )
         instance.has_unanswered_call = True
 
-    def _stop_late_starts(
+    def _stop_undelivered_starts(
         self, instance: instance_state.Instance, now: float
     ) -> None:
-        """Stops ended runs whose starts may still arrive at an instance.
+        """Stops runs that are over but whose starts may still arrive.
 
         Called at the first status report of an incarnation. A new incarnation
-        does not refuse such a start as outdated and would run a finished task
+        does not refuse such a start as outdated; it would run a finished task
         again.
         """
         self._pending_stops.extend(
@@ -144,7 +149,7 @@
             for task, run in instance.undelivered_starts(now)
         )
 
-    def _forget_tickets(self, name: str) -> None:
+    def _drop_tickets(self, name: str) -> None:
         """Drops an instance's tickets, which only one incarnation accepts."""
         for step, tickets in list(self.tickets.items()):
             if name in tickets:
@@ -159,9 +164,9 @@
     """Whether a run may be on the new incarnation or may still start there.
 
     The new incarnation knows no fencing token and no run. It may have accepted
-    a start that was meant for the former one, or may still carry out a copy of
-    a start without a response, while the task runs elsewhere. It has to accept
-    a stop first. A run that the former incarnation listed began there and has
-    ended with it.
+    a start that was meant for the former one, or may still execute a copy of
+    an unanswered start. The task may run elsewhere only after the new
+    incarnation has accepted a stop. A run that the former incarnation reported
+    had started there and ended with it.
     """
     return run.has_unanswered_start or (run.sent and not run.was_reported)
--- a/src/vanillaswitch/coordination/fleet/instances/run_recovery.py
+++ b/src/vanillaswitch/coordination/fleet/instances/run_recovery.py
@@ -1,8 +1,8 @@
 """Recovers the runs that previous owners recorded.
 
 The stored rows name the instance of each run but don't show whether it still
-runs. The status reports of the instances show that. Some jobs are read later
-than the rest, if their part of the store is unavailable.
+runs. The status reports of the instances show that. If a part of the store is
+unavailable, its jobs are read later than the rest ("late jobs" below).
 """
 
 from vanillaswitch.coordination.fleet.instances import status_reports
@@ -43,76 +43,79 @@
         return unregistered
 
     def recover_late_job(
-        self, entry: job_tracker.JobEntry, now: float, lapses_at: float
+        self, entry: job_tracker.JobEntry, now: float, lease_expires_at: float
     ) -> None:
         """Recovers the runs of a job that could not be read before.
 
-        If an instance has sent a status report meanwhile, the state of each
-        run is known. Either the run or its end was listed, or the run never
-        began and its order is void, since this owner's fencing token is higher.
+        If an instance has sent a status report meanwhile, the state of each of
+        its runs is known. Either it reported the run or its end, or the run
+        never started and can't start any more, since the instance refuses
+        orders with a lower fencing token than this owner's.
         """
         for step in entry.open_by_key.values():
             for task in step.tasks:
                 if task.state is job_tracker.TaskState.ASSIGNED:
-                    self._recover_late_task(step, task, now, lapses_at)
+                    self._recover_late_task(step, task, now, lease_expires_at)
         for instance in self.instances.values():
-            self._apply_unread_ends(instance, entry.job.job_id, now)
+            self._apply_unprocessed_ends(instance, entry.job.job_id, now)
             for run in list(instance.runs.values()):
                 if (
                     run.has_unknown_demand
                     and run.task.job_id == entry.job.job_id
                 ):
-                    self._resolve_unread_run(instance, entry, run, now)
+                    self._resolve_run_of_late_job(instance, entry, run, now)
         self._evaluate_recovered_crashes(entry, now)
 
-    def _resolve_unread_run(
+    def _resolve_run_of_late_job(
         self,
         instance: instance_state.Instance,
         entry: job_tracker.JobEntry,
         run: instance_state.Run,
         now: float,
     ) -> None:
-        """Reinstates or stops a run that the rows of its job don't name."""
-        row = fleet.RunStatus(
+        """Reinstates or stops a run that is not in the rows of its job."""
+        run_status = fleet.RunStatus(
             run.task, run.run, run.checkpoint, run.percent, run.gauge
         )
-        if not status_reports.can_reinstate(entry, row):
+        if not status_reports.can_reinstate(entry, run_status):
             self.stop_run(
                 instance, run, now, "not a current run of a known job"
             )
             return
         instance.remove_run(run.key)
-        self._reinstate_run(instance, entry, row, now).copy_reported_state(run)
+        self._reinstate_run(
+            instance, entry, run_status, now
+        ).copy_reported_state(run)
 
     def _recover_late_task(
         self,
         step: job_tracker.OpenStep,
         task: job_tracker.Task,
         now: float,
-        lapses_at: float,
+        lease_expires_at: float,
     ) -> None:
         """Recovers a run of a job that was read late.
 
-        Merges it with what its instance has listed meanwhile. Releases it if
-        the instance has listed neither the run nor its end.
+        Merges it with what its instance has reported meanwhile. Releases it if
+        the instance has reported neither the run nor its end.
         """
         instance = self.instances.get(task.instance)
         if instance is None:
             self._add_unregistered(task.instance, now)
             instance = self.instances[task.instance]
-            instance.lease_expires_at = lapses_at
-        found = instance.remove_run((task.name, task.run))
+            instance.lease_expires_at = lease_expires_at
+        reported_run = instance.remove_run((task.name, task.run))
         self._recover_run(step, task, now)
         run = instance.runs[task.name, task.run]
-        if found is not None:
+        if reported_run is not None:
             run.inherited = False
-            run.copy_reported_state(found)
+            run.copy_reported_state(reported_run)
         elif instance.is_adopted and not any(
             (end.task, end.run) == run.key for end in instance.unprocessed_ends
         ):
             self._release_run(instance, run)
 
-    def _apply_unread_ends(
+    def _apply_unprocessed_ends(
         self, instance: instance_state.Instance, job_id: str, now: float
     ) -> None:
         """Applies the ends that were kept until their job could be read."""
--- a/src/vanillaswitch/coordination/fleet/instances/scheduler.py
+++ b/src/vanillaswitch/coordination/fleet/instances/scheduler.py
@@ -2,19 +2,20 @@
 
 Callers report events as method calls with the current time. The resulting
 actions are queued until the caller takes them: rows to write, starts to send
-after their rows are written, stops to send at once, and task ends to
+after their rows are written, stops to send at once, and ends of runs to
 acknowledge after they are written.
 
 Three rules ensure that no failure makes a task run twice:
 
 * A start is sent only after the row that names its run and its instance was
-  written under the owner's precondition. A later owner therefore knows every
-  run that may exist, and an earlier owner can't start anything new.
-* An instance may forget a task's end only after that end was written.
+  written on the condition that this process is still the owner. A later owner
+  therefore knows every run that may exist, and an earlier owner can't start
+  anything new.
+* An instance may forget the end of a run only after that end was written.
 * While a run may exist, its task does not start elsewhere. It may start again
   once its instance reports the end, or once the run certainly can't start any
-  more: the instance refused it for good, is gone, or its lease has expired by
-  any clock.
+  more: the instance refused it and no copy of the start is pending, the
+  instance is gone, or its lease has expired even if its clock is slow.
 """
 
 from collections.abc import Mapping
@@ -64,8 +65,10 @@
         )
         if cpu and not entry.job.repeat_count:
             pool = self.pool_name_of(entry)
-            history = self.arrivals.setdefault(pool, arrival_rate.ArrivalRate())
-            history.record_job(cpu, now)
+            arrival_history = self.arrivals.setdefault(
+                pool, arrival_rate.ArrivalRate()
+            )
+            arrival_history.record_job(cpu, now)
 
     def restore(
         self,
@@ -95,18 +98,18 @@
         document: Mapping[str, object],
         version: int,
         now: float,
-        lapses_at: float,
+        lease_expires_at: float,
         age_s: float = 0.0,
     ) -> unusable.Unusable | None:
         """Adds a job whose job row could not be read at takeover.
 
         Args:
-            job: the job, which the caller has removed from the unread jobs.
+            job: the job, which the caller removed from ``unreadable_jobs``.
             document: progress that an earlier owner recorded.
             version: version of the progress row.
             now: monotonic seconds.
-            lapses_at: monotonic seconds by which the lease of every run on an
-                unreachable instance has expired.
+            lease_expires_at: monotonic seconds by which the lease of every run
+                on an unreachable instance has expired.
             age_s: seconds since the job was submitted.
 
         Returns:
@@ -117,7 +120,7 @@
         entry = self.tracker.get(job.job_id)
         if entry is None or entry.ended is not None:
             return problem
-        self.recover_late_job(entry, now, lapses_at)
+        self.recover_late_job(entry, now, lease_expires_at)
         self._needs_plan = True
         if job.job_id in self._cancels_before_job:
             self._cancels_before_job.remove(job.job_id)
--- a/src/vanillaswitch/coordination/fleet/instances/start_checks.py
+++ b/src/vanillaswitch/coordination/fleet/instances/start_checks.py
@@ -1,10 +1,10 @@
 """Checks, just before a start is sent, whether it may still be sent.
 
-Load pattern: the capacity of an instance shrinks between the decision on a
-start and its sending, because the row has to be written first or because
-unanswered copies are sent again. An instance that does not enforce its
-capacity starts everything it is ordered to. So the owner checks each start
-again right before sending it.
+The capacity of an instance may shrink between the decision on a start and its
+sending. The row has to be written first, and unanswered starts are sent again
+later. An instance that does not enforce its capacity starts everything that it
+is ordered to start. So the owner checks each start again right before sending
+it.
 """
 
 from vanillaswitch.coordination.fleet import events
@@ -54,7 +54,7 @@
     def _withhold_start(
         self, instance: instance_state.Instance, run: instance_state.Run
     ) -> None:
-        """Queues a task again whose start no longer fits, with its gang."""
+        """Requeues a task whose start no longer fits, and its gang."""
         self._emit(
             events.StartWithheld(
                 run.task.job_id,
@@ -64,7 +64,7 @@
                 instance.free_cpu,
             )
         )
-        self._release_run(instance, run, how="withheld")
+        self._release_run(instance, run, outcome="withheld")
         if not run.step.gang:
             return
         for other in self.instances.values():
@@ -77,18 +77,20 @@
                     why = "start of another gang member no longer fits"
                     self.stop_run(other, member, run.decided_at, why)
                 else:
-                    self._release_run(other, member, how="withheld")
+                    self._release_run(other, member, outcome="withheld")
 
-    def update_listed_capacity(self, name: str, room: fleet.Resources) -> None:
+    def update_listed_capacity(
+        self, name: str, capacity: fleet.Resources
+    ) -> None:
         """Updates an instance's capacity from the platform's machine list."""
         instance = self.instances.get(name)
-        if instance is not None and instance.update_listed_capacity(room):
+        if instance is not None and instance.update_listed_capacity(capacity):
             self._needs_plan = True
 
-    def set_registrations_stale(self, old: bool) -> None:
+    def set_registrations_stale(self, is_stale: bool) -> None:
         """Sets whether registrations may state an outdated capacity."""
-        if not old and not self._registrations_stale:
+        if not is_stale and not self._registrations_stale:
             return
-        self._registrations_stale = old
+        self._registrations_stale = is_stale
         for instance in self.instances.values():
-            instance.set_registration_stale(old)
+            instance.set_registration_stale(is_stale)
--- a/src/vanillaswitch/coordination/fleet/instances/status_reports.py
+++ b/src/vanillaswitch/coordination/fleet/instances/status_reports.py
@@ -1,4 +1,4 @@
-"""Processes the status reports of instances and their absence."""
+"""Processes status reports and unanswered calls; expires leases."""
 
 from collections.abc import Collection
 
@@ -44,18 +44,20 @@
             if end.number > instance.last_end_number:
                 instance.last_end_number = end.number
                 self._process_end(instance, end, now)
-        listed = {(row.task, row.run) for row in report.running}
-        for row in report.running:
+        listed = {
+            (run_status.task, run_status.run) for run_status in report.running
+        }
+        for run_status in report.running:
             if not instance.is_adopted:
-                self._drop_replacement(instance, row, listed)
-            self._process_listed_run(instance, row, began_at, now)
+                self._drop_newer_run(instance, run_status, listed)
+            self._process_listed_run(instance, run_status, began_at, now)
         for run in list(instance.runs.values()):
             if run.key not in listed:
                 self._process_missing_run(instance, run, began_at, now)
         if not instance.is_adopted:
             instance.is_adopted = True
             instance.adopted_at = now
-            self._stop_late_starts(instance, now)
+            self._stop_undelivered_starts(instance, now)
 
     def _process_end(
         self, instance: instance_state.Instance, end: fleet.RunEnd, now: float
@@ -63,8 +65,8 @@
         """Applies the end of a run, or keeps it until its job can be read.
 
         An end that was applied now would be acknowledged, so the instance would
-        forget it. The unread job would not know of it, and its task would run a
-        second time.
+        forget it. The unread job would not have the end, and its task would run
+        a second time.
         """
         if end.task.job_id in self.unreadable_jobs:
             instance.unprocessed_ends.append(end)
@@ -72,93 +74,105 @@
         else:
             self._apply_end(instance, end, now)
 
-    def _drop_replacement(
+    def _drop_newer_run(
         self,
         instance: instance_state.Instance,
-        row: fleet.RunStatus,
+        run_status: fleet.RunStatus,
         listed: Collection[instance_state.RunKey],
     ) -> None:
         """Drops a newer run of a listed task that never started.
 
-        The previous owner recorded the newer run after it took the listed one
-        as over. This owner's fencing token voids that start, and no other
-        instance was sent the newer run, so the listed run is the current one.
-        Stopped as outdated, its task would become unavailable in addition to
-        those that the disruption budget already covers.
+        The previous owner recorded the newer run after it considered the listed
+        one to be over. The instance refuses that start because this owner's
+        fencing token is higher, and no other instance was sent the newer run.
+        So the listed run is the current one. If it were stopped as outdated,
+        its task would become unavailable in addition to those that the
+        disruption budget already covers.
         """
-        entry = self.tracker.get(row.task.job_id)
-        task = entry.task(row.task) if entry else None
+        entry = self.tracker.get(run_status.task.job_id)
+        task = entry.task(run_status.task) if entry else None
         if entry is None or task is None or task.instance != instance.name:
             return
-        gang = entry.job.steps[row.task.step].gang
-        newer = instance.runs.get((row.task, task.run))
+        gang = entry.job.steps[run_status.task.step].gang
+        newer = instance.runs.get((run_status.task, task.run))
         if newer is None or not newer.inherited or newer.key in listed:
             return
-        if gang or row.run >= newer.run:
+        if gang or run_status.run >= newer.run:
             return
         instance.remove_run(newer.key)
         task.state = job_tracker.TaskState.WAITING
-        task.run = row.run
+        task.run = run_status.run
 
     def _process_listed_run(
         self,
         instance: instance_state.Instance,
-        row: fleet.RunStatus,
+        run_status: fleet.RunStatus,
         began_at: float,
         now: float,
     ) -> None:
-        """Updates a run from its row in a status report."""
-        run = instance.runs.get((row.task, row.run))
+        """Updates a run from its entry in a status report."""
+        run = instance.runs.get((run_status.task, run_status.run))
         if run is None:
-            run = self._process_unknown_run(instance, row, now)
+            run = self._process_unknown_run(instance, run_status, now)
             if run is None:
                 return
         run.mark_started(now)
         run.started_before_term = run.started_before_term or run.inherited
         run.inherited = False
-        # Orders of the previous owner are void since the instance was adopted.
-        # A stop that it accepted before ends its run within ``stop_s``.
+        # Since its first report to this owner, the instance refuses orders of
+        # the previous one. A stop that it accepted before ends its run within
+        # ``stop_s``.
         if began_at >= instance.adopted_at + self._bounds.stop_s:
             run.may_be_stopping = False
-        self._mark_job_begun(row.task.job_id)
-        stragglers.record_progress(instance, run, row.percent, now)
-        run.gauge = row.gauge
+        self._mark_job_started(run_status.task.job_id)
+        stragglers.record_progress(instance, run, run_status.percent, now)
+        run.gauge = run_status.gauge
         if not run.is_cleared:
             self._clear_if_proven(instance, run)
-        run.checkpoint = row.checkpoint or run.checkpoint
+        run.checkpoint = run_status.checkpoint or run.checkpoint
 
     def _process_unknown_run(
         self,
         instance: instance_state.Instance,
-        row: fleet.RunStatus,
+        run_status: fleet.RunStatus,
         now: float,
     ) -> instance_state.Run | None:
         """Handles a listed run that this owner does not know; stops most.
 
         Returns:
-            The run if it takes capacity. None for a run on an adopted instance:
-            the report may have been on its way while the end of the run was
-            processed, so the run is over.
+            The run if it reserves capacity. None if the instance has reported
+            to this owner before: this report may have been in transit while the
+            end of the run was processed, so the run is over.
         """
-        if row.task.job_id in self.unreadable_jobs:
-            return self._add_unread_run(instance, row, now)
-        entry = self.tracker.get(row.task.job_id)
-        if entry is not None and can_reinstate(entry, row):
-            return self._reinstate_run(instance, entry, row, now)
-        if entry is None or row.task.step >= len(entry.job.steps):
+        if run_status.task.job_id in self.unreadable_jobs:
+            return self._add_run_of_unreadable_job(instance, run_status, now)
+        entry = self.tracker.get(run_status.task.job_id)
+        if entry is not None and can_reinstate(entry, run_status):
+            return self._reinstate_run(instance, entry, run_status, now)
+        if entry is None or run_status.task.step >= len(entry.job.steps):
             step = jobs.Step(count=1)
         else:
-            step = entry.job.steps[row.task.step]
+            step = entry.job.steps[run_status.task.step]
         if instance.is_adopted:
             self.emit_stop(
-                instance, row.task, row.run, now, "listed, not in the book"
+                instance,
+                run_status.task,
+                run_status.run,
+                now,
+                "listed, not in the book",
             )
             self._pending_stops.append(
-                term_state.StopOrder(instance.name, row.task, row.run)
+                term_state.StopOrder(
+                    instance.name, run_status.task, run_status.run
+                )
             )
             return None
         run = instance_state.Run(
-            row.task, row.run, step, job_tracker.task_demand(step), now
+            run_status.task,
+            run_status.run,
+            step,
+            job_tracker.task_demand(step),
+            now,
         )
         run.sent = run.confirmed = True
         instance.add_run(run)
@@ -169,57 +183,65 @@
         self,
         instance: instance_state.Instance,
         entry: job_tracker.JobEntry,
-        row: fleet.RunStatus,
+        run_status: fleet.RunStatus,
         now: float,
     ) -> instance_state.Run:
-        """Restores a listed run that this owner had taken as over.
+        """Restores a listed run that this owner had considered to be over.
 
         An expired lease, or a machine listed without an instance, is indirect
         evidence that a run is over. The status report of the instance takes
         precedence. Otherwise all such runs, however many belong to one
         service, would be stopped as soon as their instances report again.
         """
-        open_step = entry.open_by_key[row.task.occurrence, row.task.step]
-        step, task = open_step.step, open_step.tasks[row.task.index]
+        open_step = entry.open_by_key[
+            run_status.task.occurrence, run_status.task.step
+        ]
+        step, task = open_step.step, open_step.tasks[run_status.task.index]
         task.state = job_tracker.TaskState.ASSIGNED
         task.instance = instance.name
-        task.remove_crash(row.run)
-        task.last_counted_run = min(task.last_counted_run, row.run - 1)
+        task.remove_crash(run_status.run)
+        task.last_counted_run = min(task.last_counted_run, run_status.run - 1)
         run = instance_state.Run(
-            row.task, row.run, step, job_tracker.task_demand(step), now
+            run_status.task,
+            run_status.run,
+            step,
+            job_tracker.task_demand(step),
+            now,
         )
         run.sent = run.may_be_stopping = run.started_before_term = True
-        # It has begun and can't begin again, so a status report that does not
+        # It has started and can't start again, so a status report that does not
         # list it shows that it is over.
         run.cannot_start_since = now
         instance.add_run(run)
         self.tracker.mark_dirty(entry)
         self._emit(
             events.RunTakenBack(
-                row.task.job_id,
-                row.task.path_in_job,
-                row.run,
+                run_status.task.job_id,
+                run_status.task.path_in_job,
+                run_status.run,
                 instance.name,
-                row.percent,
+                run_status.percent,
             )
         )
         return run
 
-    def _add_unread_run(
+    def _add_run_of_unreadable_job(
         self,
         instance: instance_state.Instance,
-        row: fleet.RunStatus,
+        run_status: fleet.RunStatus,
         now: float,
     ) -> instance_state.Run:
         """Adds a run whose job can't be read yet; it continues.
 
         Its resource need is unknown, so it takes the whole instance. The
-        capacity that is free now could be too little: other runs may turn out
-        to have never begun and free theirs.
+        capacity that is free now could be too little: some of the other runs
+        may never have started, and their capacity becomes free later.
         """
         step = jobs.Step(count=1)
-        whole = instance.registration.capacity
-        run = instance_state.Run(row.task, row.run, step, whole, now)
+        full_capacity = instance.registration.capacity
+        run = instance_state.Run(
+            run_status.task, run_status.run, step, full_capacity, now
+        )
         run.sent = run.has_unknown_demand = True
         instance.add_run(run)
         return run
@@ -236,17 +258,18 @@
         The report may be older than a start that was sent meanwhile, so a
         missing run proves nothing by itself. The run is over if it could no
         longer start before the report was requested, or if a previous owner
-        ordered it, whose order this owner's higher fencing token voids.
+        ordered it: the instance now refuses that owner's orders, because this
+        owner's fencing token is higher.
         """
         inherited = run.inherited and not instance.is_adopted
         if inherited and _targets_former_incarnation(instance, run):
             why = "its instance restarted"
             self._count_loss(instance, [run], why, now, crash_confirmed=False)
-        void = (
+        was_ruled_out = (
             run.cannot_start_since is not None
             and run.cannot_start_since < began_at
         )
-        if inherited or void or _can_no_longer_start(run, began_at):
+        if inherited or was_ruled_out or _can_no_longer_start(run, began_at):
             self._release_run(instance, run)
 
     def handle_unanswered_call(self, name: str, began_at: float) -> None:
@@ -265,7 +288,7 @@
             instance.has_unanswered_call = True
 
     def mark_unresponsive(self, name: str, now: float) -> None:
-        """Marks an instance that does not respond."""
+        """Marks an instance that answers no calls."""
         instance = self.instances.get(name)
         if instance is not None and not instance.is_unresponsive:
             instance.is_unresponsive = True
@@ -301,16 +324,18 @@
                 )
 
 
-def _can_no_longer_start(run: instance_state.Run, asked_at: float) -> bool:
+def _can_no_longer_start(run: instance_state.Run, requested_at: float) -> bool:
     """Whether a run is being stopped and no start of it can still arrive.
 
     No copy of the start is sent once the run is being stopped. The stop itself
-    may be held back, because it could exceed the disruption budget of its job
-    while the other tasks of the step wait in the same way.
+    may be delayed, because it could exceed the disruption budget of its job
+    while the stops of other tasks of the step are delayed in the same way.
     """
     if run.stop_requested_at is None:
         return False
-    return asked_at - run.stop_requested_at >= instance_state.MAX_ORDER_DELAY_S
+    return (
+        requested_at - run.stop_requested_at >= instance_state.MAX_ORDER_DELAY_S
+    )
 
 
 def _targets_former_incarnation(
@@ -321,13 +346,18 @@
     return None not in known and run.born_ms != instance.incarnations.current_ms
 
 
-def can_reinstate(entry: job_tracker.JobEntry, row: fleet.RunStatus) -> bool:
+def can_reinstate(
+    entry: job_tracker.JobEntry, run_status: fleet.RunStatus
+) -> bool:
     """Whether a listed run is its task's newest and nothing replaced it.
 
-    Never true for a gang, which starts and ends as a whole: one member by
-    itself is of no use.
+    Never true for a gang, which starts and ends as a whole: a single member is
+    useless.
     """
-    task = entry.task(row.task)
-    if task is None or entry.job.steps[row.task.step].gang:
+    task = entry.task(run_status.task)
+    if task is None or entry.job.steps[run_status.task.step].gang:
         return False
-    return task.state is job_tracker.TaskState.WAITING and row.run == task.run
+    return (
+        task.state is job_tracker.TaskState.WAITING
+        and run_status.run == task.run
+    )
--- a/src/vanillaswitch/coordination/fleet/instances/stop_orders.py
+++ b/src/vanillaswitch/coordination/fleet/instances/stop_orders.py
@@ -57,8 +57,8 @@
         tasks of the step may crash, and the stop would end one task too many.
 
         The budget does not apply to a job that has ended, to an instance that
-        is draining and takes its tasks with it anyway, and to a run that is
-        not the task's current one and would execute the task a second time.
+        is draining, since its tasks end with it anyway, and to a run that is
+        not the task's newest one and would execute the task a second time.
         """
         entry = self.tracker.get(run.task.job_id)
         task = entry.task(run.task) if entry else None
--- a/src/vanillaswitch/coordination/fleet/instances/suspect_placement.py
+++ b/src/vanillaswitch/coordination/fleet/instances/suspect_placement.py
@@ -1,11 +1,12 @@
 """Chooses instances for tasks that are suspected of crashing them.
 
-When an instance crashes, every task that had just begun there may be the cause.
-If the suspects were packed onto the fullest instance like other tasks, the one
-that causes crashes would take down as many runs again. Each suspect therefore
-starts on an instance without other new runs, so that a second crash identifies
-it, and where the fewest runs would be lost. Nothing else starts there until the
-suspect has worked for a while.
+When an instance crashes, every task that had just started there may be the
+cause. Other tasks go to the fullest instance that has capacity for them. If
+suspects did so too, the one that causes crashes would end as many runs again.
+Each suspect therefore starts on an instance without other new runs, so that a
+second crash identifies it, and where the fewest runs would be lost. Nothing
+else starts there until the suspect has run long enough to show that it does not
+crash its instance.
 """
 
 from collections.abc import Sequence
@@ -16,11 +17,12 @@
 from vanillaswitch.coordination.fleet.queue import job_tracker
 
 BUSY_SUSPECT_SHARE = 0.25
-"""Largest share of a pool that may run suspected tasks at a time. The rest
-serves jobs that are not suspected."""
+"""Largest share of a pool that may run suspected tasks at a time. Applies when
+an instance with other runs is chosen. The rest of the pool runs tasks that are
+not suspected."""
 
 IDLE_SUSPECT_SHARE = 0.75
-"""The same limit for choosing an instance without other work. Most tasks lost
+"""The same limit when an instance without other runs is chosen. Most tasks lost
 with an instance are not the cause, and with the lower limit they would wait
 for each other while instances are idle."""
 
@@ -29,9 +31,9 @@
     pool: Sequence[instance_state.Instance], chosen: instance_state.Instance
 ) -> bool:
     """Whether the chosen instance of a pool may run a suspected task."""
-    share = BUSY_SUSPECT_SHARE if chosen.runs else IDLE_SUSPECT_SHARE
-    running = sum(instance.has_active_trial for instance in pool)
-    return running < max(1, int(len(pool) * share))
+    max_share = BUSY_SUSPECT_SHARE if chosen.runs else IDLE_SUSPECT_SHARE
+    active_suspects = sum(instance.has_active_trial for instance in pool)
+    return active_suspects < max(1, int(len(pool) * max_share))
 
 
 def choose_suspect_instance(
--- a/src/vanillaswitch/coordination/fleet/instances/term_state.py
+++ b/src/vanillaswitch/coordination/fleet/instances/term_state.py
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StartOrder:
-    """A start that may be sent once its job's row is written."""
+    """An order to start a run; may be sent once its job's row is written."""
 
     instance: str
     task: jobs.TaskName
@@ -66,11 +66,12 @@
         pools: configured pools by name.
         unreadable_jobs: jobs of which only the progress is known, because their
             own rows are in a part of the store that is unavailable.
-        tickets: ticket of each instance, by step.
+        tickets: ticket for each instance, by step. The advice service issues
+            them, and an instance may refuse a start without a valid ticket.
         jobs_without_spec: jobs that could start if their spec had been read.
         backlog_cpu: thousandths of a core that ready tasks wait for, by pool.
         arrivals: recently arrived jobs, by pool.
-        backlog_load: load of the waiting tasks that end by themselves, by
+        backlog_load: load of the waiting tasks that are not long-running, by
             pool.
     """
 
@@ -83,7 +84,8 @@
         """Creates the empty state of a new term.
 
         Args:
-            order: decides which open step gets capacity first.
+            order: scheduling order; decides which open step gets capacity
+                first.
             emit: receives each event of ``events``.
             bounds: limits of the deployment.
         """
@@ -108,8 +110,8 @@
         self._needs_plan = True
 
     @property
-    def notice_s(self) -> float:
-        """Seconds after which an unavailable long-running task uses budget."""
+    def unavailability_grace_s(self) -> float:
+        """Seconds for which an unavailable long-running task uses no budget."""
         return self._bounds.notice_s
 
     def apply_config(self, config: fleet.FleetConfig) -> None:
@@ -152,9 +154,9 @@
 
         Another writer may have overwritten it, so the instance may be running
         or gone. The leases of its runs are renewed at the last known address.
-        The runs keep their capacity until they are listed as ended or their
-        lease has expired; started elsewhere before, tasks could run twice. The
-        instance gets no new work.
+        The runs keep their capacity until the instance reports their end or
+        their lease has expired. If their tasks started elsewhere before, they
+        could run twice. The instance gets no new work.
         """
         known = self.instances.get(name)
         if known is None or known.has_unreadable_registration:
@@ -178,7 +180,7 @@
     def mark_unlisted(self, name: str) -> None:
         """Marks an instance that left the platform's list.
 
-        This does not prove that it stopped: it may be cut off and still run.
+        This does not prove that it stopped: it may be unreachable but running.
         """
         if name in self.instances:
             self.instances[name].is_listed = False
@@ -212,14 +214,14 @@
 
     def instances_by_pool(self) -> dict[str, list[instance_state.Instance]]:
         """Returns the instances of each pool that has any."""
-        found: dict[str, list[instance_state.Instance]] = {}
+        by_pool: dict[str, list[instance_state.Instance]] = {}
         for instance in self.instances.values():
             service = instance.registration.service
-            found.setdefault(service, []).append(instance)
-        return found
+            by_pool.setdefault(service, []).append(instance)
+        return by_pool
 
-    def _mark_job_begun(self, job_id: str) -> None:
-        """Marks a job as begun; one of its tasks certainly runs or has run."""
+    def _mark_job_started(self, job_id: str) -> None:
+        """Marks a job as started: one of its tasks runs or has run."""
         entry = self.tracker.get(job_id)
         if entry is not None:
             entry.has_started = True
@@ -232,7 +234,7 @@
 
     @property
     def needs_plan(self) -> bool:
-        """Whether anything changed that planning may act on."""
+        """Whether something changed that planning has to consider."""
         return self._needs_plan
 
     @property
@@ -248,15 +250,17 @@
         self._pending_starts = [
             s for s in self._pending_starts if s.task.job_id not in ids
         ]
-        seen = {
+        recorded_ends = {
             name: instance.acknowledged_end
             for name, instance in self.instances.items()
         }
         if self.tracker.has_dirty:
             # Some of these ends belong to jobs that are not in this batch.
-            seen = {}
-        incarnations = {name: self.instances[name].incarnation for name in seen}
-        return WriteBatch(entries, tuple(starts), seen, incarnations)
+            recorded_ends = {}
+        incarnations = {
+            name: self.instances[name].incarnation for name in recorded_ends
+        }
+        return WriteBatch(entries, tuple(starts), recorded_ends, incarnations)
 
     def take_stops(self) -> list[StopOrder]:
         """Removes and returns the stops to send."""
--- a/src/vanillaswitch/coordination/fleet/instances/ticket_refresher.py
+++ b/src/vanillaswitch/coordination/fleet/instances/ticket_refresher.py
@@ -1,4 +1,9 @@
-"""Requests tickets from the advice service that says where steps may run."""
+"""Requests tickets from the advice service.
+
+Tasks of a queue with an advice service (``Queue.advice``) may start only on
+instances for which the service has issued a ticket. The ticket is sent with the
+start. Tickets expire, so they are requested again while steps wait.
+"""
 
 from collections.abc import Callable
 
@@ -13,10 +18,10 @@
 from vanillaswitch.protocol import fleet
 
 TIMEOUT_MARGIN_S = 1.0
-"""Time beyond the configured duration that an advice call may take."""
+"""Time that an advice call may take in addition to its configured duration."""
 
 RETRY_PAUSE_S = 0.1
-"""Pause after a failed call before the step is requested again."""
+"""Pause after a failed call before tickets are requested again."""
 
 
 class TicketRefresher:
@@ -27,59 +32,63 @@
         scheduler: schedulers.Scheduler,
         advisor: fleet.Advisor,
         clock: clocks.Clock,
-        wake: gevent.event.Event,
+        wake_planner: gevent.event.Event,
         wall_ms: Callable[[], float],
     ):
         self._scheduler = scheduler
         self._wall_ms = wall_ms
         self._advisor = advisor
         self._clock = clock
-        self._wake = wake
-        self._pending: set[tuple[str, int, int]] = set()
+        self._wake_planner = wake_planner
+        self._requested_steps: set[tuple[str, int, int]] = set()
 
     def request_missing_tickets(self) -> None:
         """Requests tickets for ready steps that need them."""
         if not any(queue.advice for queue in self._scheduler.queues.values()):
             return
         now = self._clock.monotonic()
-        moment = queue_order.PlanTime(now, self._wall_ms())
-        for steps in self._scheduler.ready_steps(moment).values():
+        plan_time = queue_order.PlanTime(now, self._wall_ms())
+        for steps in self._scheduler.ready_steps(plan_time).values():
             for step in steps:
-                key = (step.entry.job.job_id, step.occurrence, step.number)
+                step_key = (step.entry.job.job_id, step.occurrence, step.number)
                 tickets = self._scheduler.tickets_for(step, now)
-                if tickets is None or tickets or key in self._pending:
+                if (
+                    tickets is None
+                    or tickets
+                    or step_key in self._requested_steps
+                ):
                     continue
-                self._pending.add(key)
-                gevent.spawn(self._request, step, key)
+                self._requested_steps.add(step_key)
+                gevent.spawn(self._request, step, step_key)
 
     def _request(
-        self, step: job_tracker.OpenStep, key: tuple[str, int, int]
+        self, step: job_tracker.OpenStep, step_key: tuple[str, int, int]
     ) -> None:
         try:
             self._request_once(step)
         finally:
-            self._pending.discard(key)
+            self._requested_steps.discard(step_key)
 
     def _request_once(self, step: job_tracker.OpenStep) -> None:
-        """Requests tickets for a step and hands them to the decisions."""
+        """Requests tickets for a step and passes them to the scheduler."""
         queue = self._scheduler.queues.get(step.entry.job.queue)
         if queue is None or queue.advice is None:
             return
-        began = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         names = [
             instance.name
             for instance in self._scheduler.pool_instances(queue.service)
-            if instance.is_schedulable(began)
+            if instance.is_schedulable(requested_at)
         ]
         if not names:
             return
-        limit_ms = queue.advice.decision_ms
-        limit_ms += queue.advice.period_ms * len(names)
+        expected_ms = queue.advice.decision_ms
+        expected_ms += queue.advice.period_ms * len(names)
         job_id = step.entry.job.job_id
         outcome = self._advisor.request_tickets(
             f"{job_id}.{step.occurrence}.{step.number}",
             names,
-            limit_ms / 1000 + TIMEOUT_MARGIN_S,
+            expected_ms / 1000 + TIMEOUT_MARGIN_S,
         )
         if isinstance(outcome, fleet.NoAnswer):
             logs.warning(
@@ -91,6 +100,6 @@
             return
         validity_s = outcome.validity_s or queue.advice.validity_ms / 1000
         self._scheduler.set_tickets(
-            step, outcome.by_instance, began + validity_s
+            step, outcome.by_instance, requested_at + validity_s
         )
-        self._wake.set()
+        self._wake_planner.set()
