--- a/src/vanillaswitch/coordination/fleet/instances/crashes.py
+++ b/src/vanillaswitch/coordination/fleet/instances/crashes.py
@@ -113,7 +113,7 @@
             why: how the loss was detected.
             now: monotonic seconds.
             crash_confirmed: whether the instance crashed; otherwise it may only
-                be cut off.
+                be unreachable.
         """
         if instance.is_terminating or instance.registration.is_draining:
             return
--- a/src/vanillaswitch/coordination/fleet/instances/stop_orders.py
+++ b/src/vanillaswitch/coordination/fleet/instances/stop_orders.py
@@ -25,10 +25,10 @@
         A repeated stop is logged again only for steps with a disruption
         budget.
         """
-        repeated = run.stop_requested_at is not None
-        if not repeated or run.step.may_miss:
+        is_repeat = run.stop_requested_at is not None
+        if not is_repeat or run.step.may_miss:
             self.emit_stop(instance, run.task, run.run, now, why)
-        if not repeated:
+        if not is_repeat:
             run.stop_requested_at = now
         run.stop_sent_at = now
         self._pending_stops.append(
