--- a/src/vanillaswitch/coordination/fleet/instances/stop_orders.py
+++ b/src/vanillaswitch/coordination/fleet/instances/stop_orders.py
@@ -25,10 +25,10 @@
         A repeated stop is logged again only for steps with a disruption
         budget.
         """
-        repeated = run.stop_requested_at is not None
-        if not repeated or run.step.may_miss:
+        is_repeat = run.stop_requested_at is not None
+        if not is_repeat or run.step.may_miss:
             self.emit_stop(instance, run.task, run.run, now, why)
-        if not repeated:
+        if not is_repeat:
             run.stop_requested_at = now
         run.stop_sent_at = now
         self._pending_stops.append(
@@ -57,8 +57,8 @@
         tasks of the step may crash, and the stop would end one task too many.
 
         The budget does not apply to a job that has ended, to an instance that
-        is draining and takes its tasks with it anyway, and to a run that is
-        not the task's current one and would execute the task a second time.
+        is draining, since its tasks end with it anyway, and to a run that is
+        not the task's newest one and would execute the task a second time.
         """
         entry = self.tracker.get(run.task.job_id)
         task = entry.task(run.task) if entry else None
