--- a/tests/failures/test_duty_failures.py
+++ b/tests/failures/test_duty_failures.py
@@ -237,7 +237,7 @@
     stop once the duty has another holder.
     """
     called: list[str] = []
-    for name in ("STEPS", "KEEPALIVES"):
+    for name in ("DUTY_STEPS", "DUTY_KEEPALIVES"):
         kinds: registry.Registry[controller.DutyStep] = registry.Registry(
             "duty"
         )
@@ -249,13 +249,13 @@
     group.faults.down = True
     group.tick_rounds(6)
     group.members["a"].step("repair")
-    assert called == ["STEPS", "KEEPALIVES"]
+    assert called == ["DUTY_STEPS", "DUTY_KEEPALIVES"]
     group.faults.down = False
     group.start("b")
     group.tick_rounds(8, "b")
     group.members["a"].tick()
     group.members["a"].step("repair")
-    assert called == ["STEPS", "KEEPALIVES"]
+    assert called == ["DUTY_STEPS", "DUTY_KEEPALIVES"]
 
 
 def test_a_broken_invariant_in_a_step_ends_the_process(
