--- a/src/vanillaswitch/coordination/fleet/job_requests/__init__.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/__init__.py
@@ -1,1 +1,1 @@
-"""Serves clients' requests about jobs, here or through another process."""
+"""Executes job requests of clients, or forwards them to another process."""
--- a/src/vanillaswitch/coordination/fleet/job_requests/job_rows.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/job_rows.py
@@ -1,10 +1,11 @@
-"""Converts jobs to and from rows of the table.
-
-Load pattern: a new owner reads the rows of all jobs of the last minutes, most
-of which have ended, while its link also carries its lease renewals. The spec
-makes up 90 % of a job, and only the start of a task needs it. So a long spec
-has a separate row, written in the same transaction: reading 400 jobs takes
-0.2 MB instead of 1.6 MB.
+"""Converts jobs to and from documents for table rows and messages.
+
+Load pattern: a new owner of the fleet (the process that plans its tasks) reads
+the rows of all jobs of the last minutes, most of which have ended, while its
+network link also carries its lease renewals. The spec makes up 90 % of a job,
+and only the start of a task needs it. So a long spec has a separate row,
+written in the same transaction: reading 400 jobs takes 0.2 MB instead of
+1.6 MB.
 """
 
 from collections.abc import Mapping
@@ -18,20 +19,20 @@
 from vanillaswitch.protocol import unusable
 
 INLINE_SPEC_BYTES = 200
-"""A spec up to this size stays in the job's row: the key of a separate row
-would take as much space."""
+"""Largest size of a spec that is stored in the job's row. The key of a separate
+row would take as much space."""
 
 _SPEC = "spec"
 _DIGEST = "spec_digest"
 
 
 @functools.cache
-def _defaults() -> dict[str, Any]:
+def _step_defaults() -> dict[str, Any]:
     return dataclasses.asdict(jobs.Step(count=0))
 
 
 def pack(job: jobs.Job) -> dict[str, Any]:
-    """Returns the row of a job without a long spec, see ``pack_spec``."""
+    """Returns the row of a job, without a long spec; see ``pack_spec``."""
     document = pack_full(job)
     if _has_separate_spec(job):
         document[_SPEC], document[_DIGEST] = "", jobs.hash_spec(job.spec)
@@ -39,15 +40,16 @@
 
 
 def pack_full(job: jobs.Job) -> dict[str, Any]:
-    """Returns a job with its spec as a document; defaults are left out.
+    """Returns a job as a document that includes its spec.
 
-    Used in messages between processes: the receiver may have to write both
+    Omits fields of steps that have their default value. Messages between
+    processes contain this document, since the receiver may have to write both
     rows of the job.
     """
     document = dataclasses.asdict(job)
     if not job.spec_digest:
         del document[_DIGEST]
-    defaults = _defaults()
+    defaults = _step_defaults()
     document["steps"] = [
         {
             name: list(value) if isinstance(value, tuple) else value
@@ -60,7 +62,7 @@
 
 
 def pack_spec(job: jobs.Job) -> dict[str, Any] | None:
-    """Returns the row of a job's long spec; None for a short one."""
+    """Returns the row of a long spec; None if the job's row contains it."""
     return {_SPEC: job.spec} if _has_separate_spec(job) else None
 
 
@@ -73,10 +75,16 @@
 
 
 def is_same_job(stored: Mapping[str, Any], document: Mapping[str, Any]) -> bool:
-    """Whether two documents are repeated submissions of the same job."""
-    submitted = (_SPEC, "steps", "repeat_count", "first_run_ms", "interval_ms")
+    """Whether a stored job and a submitted one have the same content."""
+    submitted_fields = (
+        _SPEC,
+        "steps",
+        "repeat_count",
+        "first_run_ms",
+        "interval_ms",
+    )
     return stored.get(_DIGEST, "") == document.get(_DIGEST, "") and all(
-        stored.get(name) == document.get(name) for name in submitted
+        stored.get(name) == document.get(name) for name in submitted_fields
     )
 
 
--- a/src/vanillaswitch/coordination/fleet/job_requests/job_service.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/job_service.py
@@ -1,9 +1,9 @@
 """Serves clients even if this process can't reach the store.
 
 A request that this process could not execute, or whose outcome it does not
-know, is forwarded to another process. Both may write the same job: a job has
-one row, so it stays one job, and a process that finds the row reports it as
-accepted.
+know, is forwarded to another process. Both processes may then write the same
+job. This does not duplicate the job: it has only one row, and a process that
+finds the row reports the job as accepted.
 """
 
 from vanillaswitch.coordination.fleet.job_requests import (
@@ -14,9 +14,9 @@
 from vanillaswitch.protocol import jobs
 
 LOCAL_TIMEOUT_S = 1.0
-"""How long this process tries before it forwards a request: more than twice the
-duration of a write at a store that is 60 times slower, and a third of the time
-that clients wait."""
+"""How long this process tries to execute a request before it forwards it. This
+is more than twice the duration of a write when the store is 60 times slower
+than usual, and a third of the time that clients wait."""
 
 
 class JobService:
@@ -24,11 +24,11 @@
 
     def __init__(
         self,
-        local: job_stores.JobStore,
+        job_store: job_stores.JobStore,
         forwarder: request_forwarder.RequestForwarder,
         clock: clocks.Clock,
     ):
-        self._local = local
+        self._job_store = job_store
         self._forwarder = forwarder
         self._clock = clock
 
@@ -41,10 +41,14 @@
             job: the job.
             deadline: monotonic seconds after which the client stops waiting.
         """
-        local = self._local.submit(job, self._local_deadline(deadline))
-        if _is_final(local):
-            return local
-        return _combine(local, self._forwarder.submit(job, deadline))
+        local_result = self._job_store.submit(
+            job, self._local_deadline(deadline)
+        )
+        if _is_final(local_result):
+            return local_result
+        return _combine_results(
+            local_result, self._forwarder.submit(job, deadline)
+        )
 
     def cancel(
         self, job_id: str, known_accepted: bool, deadline: float
@@ -53,46 +57,49 @@
 
         Args:
             job_id: the job.
-            known_accepted: whether the job is known to be accepted.
-                False if that is not known.
+            known_accepted: True if the job is known to be accepted; False if
+                this is unknown.
             deadline: monotonic seconds after which the client stops waiting.
         """
-        local = self._local.cancel(
+        local_result = self._job_store.cancel(
             job_id, known_accepted, self._local_deadline(deadline)
         )
-        if _is_final(local):
-            return local
-        forwarded = self._forwarder.cancel(job_id, known_accepted, deadline)
-        return _combine(local, forwarded)
+        if _is_final(local_result):
+            return local_result
+        forwarded_result = self._forwarder.cancel(
+            job_id, known_accepted, deadline
+        )
+        return _combine_results(local_result, forwarded_result)
 
     def state(
         self, job_id: str, deadline: float
     ) -> jobs.JobState | None | job_stores.StateUnknown:
         """Reads a job's recorded state; None when there is no such job."""
-        local = self._local.state(job_id)
-        if isinstance(local, job_stores.StateUnknown):
+        local_state = self._job_store.state(job_id)
+        if isinstance(local_state, job_stores.StateUnknown):
             return self._forwarder.state(job_id, deadline)
-        return local
+        return local_state
 
     def _local_deadline(self, deadline: float) -> float:
         return min(deadline, self._clock.monotonic() + LOCAL_TIMEOUT_S)
 
 
-def _is_final(verdict: job_stores.RequestResult) -> bool:
-    return verdict not in (
+def _is_final(result: job_stores.RequestResult) -> bool:
+    return result not in (
         job_stores.RequestResult.NOT_APPLIED,
         job_stores.RequestResult.UNKNOWN,
     )
 
 
-def _combine(
-    local: job_stores.RequestResult, forwarded: job_stores.RequestResult
+def _combine_results(
+    local_result: job_stores.RequestResult,
+    forwarded_result: job_stores.RequestResult,
 ) -> job_stores.RequestResult:
-    """Returns the result of a request that was tried here and forwarded.
+    """Returns the result of a request that was tried here and then forwarded.
 
-    It is NOT_DONE only if both results are: the write of this process may
-    still take effect.
+    It is ``NOT_APPLIED`` only if both results are, since the write of this
+    process may still take effect.
     """
-    if forwarded is job_stores.RequestResult.NOT_APPLIED:
-        return local
-    return forwarded
+    if forwarded_result is job_stores.RequestResult.NOT_APPLIED:
+        return local_result
+    return forwarded_result
--- a/src/vanillaswitch/coordination/fleet/job_requests/job_store.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/job_store.py
@@ -1,11 +1,12 @@
 """Submits, cancels and looks up jobs in the table, on any process.
 
-A job is accepted once its row is in the table, whichever process owns the
-fleet and even if none does: the owner finds the row there. So clients are
-served during a change of owner, and an accepted job depends on no process.
+A job is accepted as soon as its row is in the table. The process that owns the
+fleet, which plans the tasks, finds the row there, even if it became the owner
+later. So clients are served during a change of owner, and an accepted job
+survives the loss of any process.
 
-Only the row decides whether a job runs. A client is told "not run" only when
-no copy of the write of the row can take effect any more.
+A job runs if and only if its row exists. A client is told that its job does
+not run only when no copy of the write of that row can take effect any more.
 """
 
 from collections.abc import Callable
@@ -23,19 +24,20 @@
 from vanillaswitch.protocol import jobs
 from vanillaswitch.protocol import platform
 
-STORE_SILENT_S = 0.9
-"""A store that answered no call for so long is considered unavailable: one that
-is 60 times slower answers in half of it. Requests are then refused without a
-write, since a write that was sent without an answer can't be refused any more.
-Otherwise each submission in an outage would hang until its client times
+STORE_UNRESPONSIVE_S = 0.9
+"""A store that has answered no call for this long is considered unresponsive.
+This is twice the time in which a store that is 60 times slower than usual
+answers. Requests are then refused before anything is written, because a request
+can't be refused any more after its write was sent and got no answer. Without
+this, each submission during an outage would hang until its client times
 out."""
 
 COMMIT_TIMEOUT_S = 2.0
-"""Longest wait for the outcome of a write. After it the client is told that the
-outcome is unknown, early enough to retry with the same id."""
+"""Longest wait for the outcome of a write. The client is then told that the
+outcome is unknown, early enough for a retry with the same id."""
 
 
-_END_STATES = [state.value for state in jobs.JobState if state.is_final]
+_FINAL_STATES = [state.value for state in jobs.JobState if state.is_final]
 """Valid values of the ``ended`` field of a job's progress row."""
 
 
@@ -43,11 +45,11 @@
     """Result of a submission or a cancellation.
 
     Attributes:
-        ACCEPTED: it is recorded in the table.
+        ACCEPTED: the request is recorded in the table.
         ID_CONFLICT: another job with this id exists.
         NOT_FOUND: there is no such job.
-        NOT_APPLIED: it certainly has no effect.
-        UNKNOWN: it may have taken effect or may still do so.
+        NOT_APPLIED: the request has no effect and will have none.
+        UNKNOWN: the request may have taken effect or may still do so.
     """
 
     ACCEPTED = "accepted"
@@ -70,7 +72,7 @@
         table: platform.Table,
         clock: clocks.Clock,
         boot: str,
-        unanswered_s: Callable[[], float],
+        unresponsive_s: Callable[[], float],
     ):
         """Creates a job store.
 
@@ -78,13 +80,14 @@
             table: the table of jobs.
             clock: source of time for timeouts.
             boot: id of this process's start; makes transaction tokens unique.
-            unanswered_s: returns for how long the store answered no call.
+            unresponsive_s: returns for how many seconds the store has answered
+                no call.
         """
-        self._unanswered_s = unanswered_s
+        self._unresponsive_s = unresponsive_s
         self._table = table
         self._clock = clock
         self._boot = boot
-        self._ids = itertools.count(1)
+        self._transaction_ids = itertools.count(1)
 
     def submit(self, job: jobs.Job, deadline: float) -> RequestResult:
         """Submits a job; a repeated submission of the same job has no effect.
@@ -94,12 +97,14 @@
             deadline: monotonic seconds after which the client stops waiting.
 
         Raises:
-            errors.InvariantError: the job lacks its spec, so it could never
-                run.
+            errors.InvariantError: the job has a digest instead of its spec, so
+                it could never run.
         """
         if job.spec_digest:
-            raise errors.InvariantError("a submitted job must contain its spec")
-        if self._is_store_silent():
+            raise errors.InvariantError(
+                "a submitted job must contain its spec, not only the digest"
+            )
+        if self._is_store_unresponsive():
             return RequestResult.NOT_APPLIED
         document = job_rows.pack(job)
         key = f"{fenced_writer.JOB_TABLE}/{job.job_id}"
@@ -111,13 +116,15 @@
         if isinstance(outcome, platform.Committed):
             return RequestResult.ACCEPTED
         if isinstance(outcome, platform.Conflict):
-            same = any(
+            is_same = any(
                 job_rows.is_same_job(row.value, document)
                 for row in outcome.found
                 if row.key == key
             )
-            return RequestResult.ACCEPTED if same else RequestResult.ID_CONFLICT
-        return _unsettled_verdict(outcome)
+            return (
+                RequestResult.ACCEPTED if is_same else RequestResult.ID_CONFLICT
+            )
+        return _uncommitted_result(outcome)
 
     def cancel(
         self, job_id: str, known_accepted: bool, deadline: float
@@ -126,11 +133,11 @@
 
         Args:
             job_id: the job.
-            known_accepted: whether the job is known to be accepted.
-                False if that is not known.
+            known_accepted: True if the job is known to be accepted; False if
+                this is unknown.
             deadline: monotonic seconds after which the client stops waiting.
         """
-        if self._is_store_silent():
+        if self._is_store_unresponsive():
             return RequestResult.NOT_APPLIED
         if not known_accepted:
             read = self._table.read([f"{fenced_writer.JOB_TABLE}/{job_id}"])
@@ -142,11 +149,11 @@
         outcome = self._insert({key: {"cancelled": True}}, deadline)
         if isinstance(outcome, platform.Committed | platform.Conflict):
             return RequestResult.ACCEPTED
-        return _unsettled_verdict(outcome)
+        return _uncommitted_result(outcome)
 
     def state(self, job_id: str) -> jobs.JobState | None | StateUnknown:
         """Reads a job's recorded state; None when there is no such job."""
-        if self._is_store_silent():
+        if self._is_store_unresponsive():
             return StateUnknown()
         read = self._table.read(
             [
@@ -161,8 +168,11 @@
             return None
         progress = rows.get(fenced_writer.PROGRESS_TABLE, {})
         ended = progress.get("ended")
-        if ended and ended not in _END_STATES:
-            logs.error("job {}: unknown end state in its progress row", job_id)
+        if ended and ended not in _FINAL_STATES:
+            logs.error(
+                "job {}: its progress row contains no valid end state",
+                job_id,
+            )
             return StateUnknown()
         if ended:
             return jobs.JobState(ended)
@@ -170,13 +180,13 @@
             return jobs.JobState.RUNNING
         return jobs.JobState.QUEUED
 
-    def _is_store_silent(self) -> bool:
-        return self._unanswered_s() > STORE_SILENT_S
+    def _is_store_unresponsive(self) -> bool:
+        return self._unresponsive_s() > STORE_UNRESPONSIVE_S
 
     def _insert(
         self, rows: Mapping[str, Mapping[str, object]], deadline: float
     ) -> platform.CommitOutcome:
-        token = f"{self._boot}-in-{next(self._ids)}"
+        token = f"{self._boot}-in-{next(self._transaction_ids)}"
         puts = tuple(
             platform.Put(key, platform.ABSENT, document)
             for key, document in rows.items()
@@ -189,7 +199,7 @@
         )
 
 
-def _unsettled_verdict(outcome: platform.CommitOutcome) -> RequestResult:
+def _uncommitted_result(outcome: platform.CommitOutcome) -> RequestResult:
     if isinstance(outcome, platform.Unavailable):
         return RequestResult.NOT_APPLIED
     return RequestResult.UNKNOWN
--- a/src/vanillaswitch/coordination/fleet/job_requests/peer_calls.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/peer_calls.py
@@ -10,86 +10,92 @@
 from vanillaswitch.protocol import peer_transport
 from vanillaswitch.protocol import peers
 
-IDLE_STREAM_S = 10.0
-"""A stream without a new question is closed after this time."""
+IDLE_STREAM_TIMEOUT_S = 10.0
+"""A stream on which no request was sent for this long is closed."""
 
-MakeQuestion = Callable[[str], peers.Message]
-"""Creates a question with the given id."""
+MakeRequest = Callable[[str], peers.Message]
+"""Creates a request message with the given id."""
 
 
 class PeerCalls:
-    """Sends questions to other processes and matches answers by id."""
+    """Sends requests to other processes and matches answers to them by id."""
 
     def __init__(self, clock: clocks.Clock, boot: str):
-        """Creates it without a transport; see ``set_transport``.
+        """Creates an instance without a transport; see ``set_transport``.
 
         Args:
             clock: source of time for closing idle streams.
-            boot: id of this process's start; makes question ids unique.
+            boot: id of this process's start; makes request ids unique.
         """
         self._clock = clock
         self._boot = boot
-        self._ids = itertools.count(1)
+        self._request_ids = itertools.count(1)
         self._transport: peer_transport.PeerTransport | None = None
-        self._waiting: dict[str, gevent.event.AsyncResult] = {}
+        self._pending_calls: dict[str, gevent.event.AsyncResult] = {}
         self._last_used_at: dict[str, float] = {}
-        self._kept_open = ""
+        self._kept_open_address = ""
 
     def set_transport(self, transport: peer_transport.PeerTransport) -> None:
-        """Sets the transport. Before this, no question can be sent."""
+        """Sets the transport. No request can be sent before."""
         self._transport = transport
 
-    def on_answer(self, question: str, message: peers.Message) -> None:
-        """Delivers an answer; drops it if its question has timed out."""
-        waiting = self._waiting.get(question)
-        if waiting is not None:
-            waiting.set(message)
+    def on_answer(self, request_id: str, message: peers.Message) -> None:
+        """Delivers an answer; drops it if its request has timed out."""
+        pending_call = self._pending_calls.get(request_id)
+        if pending_call is not None:
+            pending_call.set(message)
 
-    def call(self, address: str, make: MakeQuestion, timeout_s: float) -> Any:
-        """Sends a question to the process at an address.
+    def call(
+        self, address: str, make_request: MakeRequest, timeout_s: float
+    ) -> Any:
+        """Sends a request to the process at an address and awaits the answer.
 
         Returns:
-            The answer; None if none arrived in time. The question may have
+            The answer; None if none arrived in time. The request may have
             arrived nevertheless, or may still arrive.
         """
         if not address or self._transport is None:
             return None
-        self._retain(address)
-        question_id = f"{self._boot}-{next(self._ids)}"
-        waiting = gevent.event.AsyncResult()
-        self._waiting[question_id] = waiting
+        self._record_use(address)
+        request_id = f"{self._boot}-{next(self._request_ids)}"
+        pending_call = gevent.event.AsyncResult()
+        self._pending_calls[request_id] = pending_call
         try:
-            if not self._transport.send(address, make(question_id)):
+            if not self._transport.send(address, make_request(request_id)):
                 return None
-            return waiting.get(timeout=timeout_s)
+            return pending_call.get(timeout=timeout_s)
         except gevent.Timeout:
-            # The stream may be dead or waiting to reconnect. It is closed, so
-            # that the next question opens another at once.
+            # The stream may be dead or waiting to reconnect. Close it, so that
+            # the next request opens a new one at once.
             self._last_used_at.pop(address, None)
             self._transport.close_all_except(self._last_used_at)
             return None
         finally:
-            del self._waiting[question_id]
+            del self._pending_calls[request_id]
 
     def keep_stream_open(self, address: str) -> None:
         """Keeps a stream open to one process, replacing the previous one.
 
-        The stream closes at once when that process is killed, so this is
-        detected earlier than by periodic questions.
+        The stream closes as soon as that process is killed. This detects the
+        failure earlier than periodic requests would.
         """
-        self._kept_open = address
+        self._kept_open_address = address
         if self._transport is None:
             return
-        self._retain(address)
-        question_id = f"{self._boot}-{next(self._ids)}"
+        self._record_use(address)
+        request_id = f"{self._boot}-{next(self._request_ids)}"
         # The first message opens the stream; its answer is ignored.
-        self._transport.send(address, peers.StoreQuestion(question_id))
+        self._transport.send(address, peers.StoreQuestion(request_id))
 
-    def _retain(self, address: str) -> None:
+    def _record_use(self, address: str) -> None:
+        """Records that a stream is used now, and closes idle streams."""
         now = self._clock.monotonic()
         self._last_used_at[address] = now
-        for other, used_at in list(self._last_used_at.items()):
-            if now - used_at > IDLE_STREAM_S and other != self._kept_open:
-                del self._last_used_at[other]
+        for used_address, used_at in list(self._last_used_at.items()):
+            if (
+                now - used_at > IDLE_STREAM_TIMEOUT_S
+                and used_address != self._kept_open_address
+            ):
+                del self._last_used_at[used_address]
         if self._transport is not None:
             self._transport.close_all_except(self._last_used_at)
--- a/src/vanillaswitch/coordination/fleet/job_requests/request_forwarder.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/request_forwarder.py
@@ -1,15 +1,15 @@
 """Forwards clients' requests to another process that can reach the store.
 
-Load pattern: for seconds the store rejects some processes, or their network
-path to it is cut, while it serves the others. Without forwarding, clients that
-connect to such a process are refused although another process could have
-accepted their job.
-
-Answers to clients stay correct. A request is forwarded only to a process that
-has just confirmed that the store answers it. So if there is no such process,
-nothing was sent and the client may be told "not run". The outcome of a request
-that was forwarded without an answer is unknown. A forwarded request is never
-forwarded again, so it can't loop.
+Load pattern: at times the store rejects some processes for seconds, or their
+network path to it is cut, while it serves the others. Without forwarding,
+clients that connect to such a process are refused although another process
+could have accepted their job.
+
+A request is forwarded only to a process that has just confirmed that the store
+answers it. If there is no such process, nothing was sent, so the client may be
+told that its job does not run. If a forwarded request gets no answer, its
+outcome is unknown. A forwarded request is never forwarded again, so it can't
+loop.
 """
 
 from collections.abc import Callable
@@ -31,25 +31,27 @@
 from vanillaswitch.protocol import unusable
 
 STORE_STATUS_TIMEOUT_S = 0.3
-"""Timeout of the question whether the store answers another process. An answer
-takes a few milliseconds, plus some for a new stream."""
+"""Timeout of the request that asks another process whether the store answers
+it. The answer takes a few milliseconds, plus a few to open a new stream."""
 
 STORE_STATUS_TTL_S = 0.5
-"""How long that answer is cached, so that in a full outage not every request
-asks again."""
+"""How long that answer is cached, so that not every request of a client asks
+again while the store is unavailable to all processes."""
 
-STORE_RECENT_S = 1.2
-"""A process can help if the store answered it within this time. It reads the
-owner's row at least every half second."""
+MAX_STORE_ANSWER_AGE_S = 1.2
+"""A process reaches the store if the store answered it within this time. Each
+process reads the row of the fleet's owner at least every half second."""
 
-MAX_CONCURRENT = 32
-"""Limit on concurrent requests of other processes; more are rejected as not
-done. At 7 ms each it allows 4,500 per second, far more than clients send."""
+MAX_CONCURRENT_REQUESTS = 32
+"""Limit on concurrent requests of other processes. Further ones are answered
+with ``NOT_APPLIED``. At 7 ms per request the limit allows 4,500 requests per
+second, far more than clients send."""
 
-MAX_HELPERS = 4
-"""How many possible helpers are remembered: recent owners and processes that
-asked to replace one. If the owner changes while this process can't reach the
-store, an earlier owner can tell which process is the owner now."""
+MAX_KNOWN_PEERS = 4
+"""How many other processes are remembered to forward requests to. They are
+recent owners of the fleet, and processes that asked whether the owner is still
+active. If the owner changes while this process can't reach the store, an
+earlier owner can tell which process is the owner now."""
 
 
 class RequestForwarder:
@@ -58,18 +60,18 @@
     def __init__(
         self,
         calls: peer_calls.PeerCalls,
-        local: job_stores.JobStore,
+        job_store: job_stores.JobStore,
         own_address: str,
         owner: Callable[[], str],
         store_answered_at: Callable[[], float],
         clock: clocks.Clock,
         emit: Callable[[object], None],
     ):
-        """Creates it without known helpers.
+        """Creates a forwarder that knows no other processes.
 
         Args:
             calls: sends requests to other processes.
-            local: executes requests of other processes at the store.
+            job_store: executes requests of other processes at the store.
             own_address: address at which this process listens.
             owner: returns the address of the fleet's owner.
             store_answered_at: returns when the store last answered this
@@ -78,15 +80,15 @@
             emit: receives events.
         """
         self._calls = calls
-        self._local = local
+        self._job_store = job_store
         self._own_address = own_address
         self._owner = owner
         self._store_answered_at = store_answered_at
         self._clock = clock
         self._emit = emit
-        self._helpers: list[str] = []
+        self._known_peers: list[str] = []
         self._store_statuses: dict[str, tuple[float, bool]] = {}
-        self._workers = gevent.pool.Pool(MAX_CONCURRENT)
+        self._request_pool = gevent.pool.Pool(MAX_CONCURRENT_REQUESTS)
 
     def on_message(
         self, message: peers.Message, reply: peer_transport.SendReply
@@ -99,48 +101,56 @@
                 )
             )
         elif isinstance(message, peers.OwnerQuestion):
-            # The sender can reach the store and sees no writes of this owner.
-            # It often becomes the next owner, so it is a possible helper.
-            self._remember_helper(message.asker)
+            # The sender can reach the store and sees that the owner does not
+            # write. It often becomes the next owner.
+            self._remember_peer(message.asker)
         elif isinstance(message, peers.Errand):
-            self._accept(message, reply)
+            self._start_request(message, reply)
         elif isinstance(message, peers.StoreStanding | peers.ErrandDone):
             self._calls.on_answer(message.question, message)
 
     def submit(
         self, job: jobs.Job, deadline: float
     ) -> job_stores.RequestResult:
-        """Forwards the submission of a job; NOT_DONE if no process can help."""
+        """Forwards the submission of a job.
+
+        Returns:
+            The result; ``NOT_APPLIED`` if no other process reaches the store.
+        """
         document = json.dumps(job_rows.pack_full(job)).encode()
-        done = self._forward(
+        response = self._forward(
             peers.ErrandKind.SUBMIT, job.job_id, document, False, deadline
         )
-        return _verdict_of(done)
+        return _result_of(response)
 
     def cancel(
         self, job_id: str, known_accepted: bool, deadline: float
     ) -> job_stores.RequestResult:
-        """Forwards the cancellation of a job; NOT_DONE if none can help."""
-        done = self._forward(
+        """Forwards the cancellation of a job.
+
+        Returns:
+            The result; ``NOT_APPLIED`` if no other process reaches the store.
+        """
+        response = self._forward(
             peers.ErrandKind.CANCEL, job_id, b"", known_accepted, deadline
         )
-        return _verdict_of(done)
+        return _result_of(response)
 
     def state(
         self, job_id: str, deadline: float
     ) -> jobs.JobState | None | job_stores.StateUnknown:
-        """Forwards the read of a job's recorded state."""
-        done = self._forward(
+        """Reads a job's recorded state through another process."""
+        response = self._forward(
             peers.ErrandKind.STATE, job_id, b"", False, deadline
         )
-        if isinstance(done, peers.ErrandDone):
-            if done.state:
-                return jobs.JobState(done.state)
-            if done.verdict == job_stores.RequestResult.NOT_FOUND:
+        if isinstance(response, peers.ErrandDone):
+            if response.state:
+                return jobs.JobState(response.state)
+            if response.verdict == job_stores.RequestResult.NOT_FOUND:
                 return None
         return job_stores.StateUnknown()
 
-    # Forwarding requests of own clients.
+    # Forwarding requests of this process's clients.
 
     def _forward(
         self,
@@ -150,117 +160,131 @@
         known_accepted: bool,
         deadline: float,
     ) -> peers.ErrandDone | job_stores.RequestResult:
-        helper = self._find_helper()
-        patience_s = deadline - self._clock.monotonic()
-        if not helper or patience_s <= 0:
+        peer = self._find_peer()
+        timeout_s = deadline - self._clock.monotonic()
+        if not peer or timeout_s <= 0:
             return job_stores.RequestResult.NOT_APPLIED
-        done = self._calls.call(
-            helper,
-            lambda question_id: peers.Errand(
-                question_id, kind, job_id, document, known_accepted, patience_s
+        response = self._calls.call(
+            peer,
+            lambda request_id: peers.Errand(
+                request_id, kind, job_id, document, known_accepted, timeout_s
             ),
-            patience_s,
+            timeout_s,
         )
-        answered = isinstance(done, peers.ErrandDone)
-        verdict = (
-            done.verdict if answered else job_stores.RequestResult.UNKNOWN.value
+        answered = isinstance(response, peers.ErrandDone)
+        result = (
+            response.verdict
+            if answered
+            else job_stores.RequestResult.UNKNOWN.value
         )
-        self._emit(events.ErrandSent(job_id, kind.value, helper, verdict))
-        if not isinstance(done, peers.ErrandDone):
-            self._store_statuses.pop(helper, None)
+        self._emit(events.ErrandSent(job_id, kind.value, peer, result))
+        if not isinstance(response, peers.ErrandDone):
+            self._store_statuses.pop(peer, None)
             return job_stores.RequestResult.UNKNOWN
-        return done
+        return response
+
+    def _find_peer(self) -> str:
+        """Returns the address of a process that reaches the store.
 
-    def _find_helper(self) -> str:
-        """Returns the address of a process that can help; empty for none."""
-        self._remember_helper(self._owner())
+        Empty if there is none.
+        """
+        self._remember_peer(self._owner())
         tried: set[str] = set()
         while True:
-            untried = [name for name in self._helpers if name not in tried]
+            untried = [
+                address for address in self._known_peers if address not in tried
+            ]
             if not untried:
                 return ""
             tried.add(untried[0])
             if self._can_help(untried[0]):
                 return untried[0]
 
-    def _remember_helper(self, address: str) -> None:
+    def _remember_peer(self, address: str) -> None:
         if not address or address == self._own_address:
             return
-        others = [name for name in self._helpers if name != address]
-        self._helpers = [address, *others][:MAX_HELPERS]
+        others = [other for other in self._known_peers if other != address]
+        self._known_peers = [address, *others][:MAX_KNOWN_PEERS]
 
     def _can_help(self, address: str) -> bool:
         now = self._clock.monotonic()
-        until, is_able = self._store_statuses.get(address, (0.0, False))
-        if now < until:
-            return is_able
+        valid_until, reaches_store = self._store_statuses.get(
+            address, (0.0, False)
+        )
+        if now < valid_until:
+            return reaches_store
         status = self._calls.call(
             address,
-            lambda question_id: peers.StoreQuestion(question_id),
+            lambda request_id: peers.StoreQuestion(request_id),
             STORE_STATUS_TIMEOUT_S,
         )
-        is_able = isinstance(status, peers.StoreStanding) and status.answers
-        until = self._clock.monotonic() + STORE_STATUS_TTL_S
-        self._store_statuses[address] = (until, is_able)
+        reaches_store = (
+            isinstance(status, peers.StoreStanding) and status.answers
+        )
+        valid_until = self._clock.monotonic() + STORE_STATUS_TTL_S
+        self._store_statuses[address] = (valid_until, reaches_store)
         if isinstance(status, peers.StoreStanding):
-            self._remember_helper(status.owner)
-        return is_able
+            self._remember_peer(status.owner)
+        return reaches_store
 
     # Executing requests of other processes.
 
     def _reaches_store(self) -> bool:
         return (
             self._clock.monotonic() - self._store_answered_at()
-            <= STORE_RECENT_S
+            <= MAX_STORE_ANSWER_AGE_S
         )
 
-    def _accept(
-        self, errand: peers.Errand, reply: peer_transport.SendReply
+    def _start_request(
+        self, request: peers.Errand, reply: peer_transport.SendReply
     ) -> None:
-        if self._workers.full():
-            verdict = job_stores.RequestResult.NOT_APPLIED.value
-            reply(peers.ErrandDone(errand.question, verdict))
+        if self._request_pool.full():
+            result = job_stores.RequestResult.NOT_APPLIED.value
+            reply(peers.ErrandDone(request.question, result))
             return
-        self._workers.spawn(self._execute, errand, reply)
+        self._request_pool.spawn(self._execute_request, request, reply)
 
-    def _execute(
-        self, errand: peers.Errand, reply: peer_transport.SendReply
+    def _execute_request(
+        self, request: peers.Errand, reply: peer_transport.SendReply
     ) -> None:
-        deadline = self._clock.monotonic() + errand.patience_s
+        deadline = self._clock.monotonic() + request.patience_s
         state = ""
-        if errand.kind is peers.ErrandKind.SUBMIT:
-            verdict = self._execute_submit(errand, deadline)
-        elif errand.kind is peers.ErrandKind.CANCEL:
-            verdict = self._local.cancel(errand.job_id, errand.known, deadline)
+        if request.kind is peers.ErrandKind.SUBMIT:
+            result = self._execute_submit(request, deadline)
+        elif request.kind is peers.ErrandKind.CANCEL:
+            result = self._job_store.cancel(
+                request.job_id, request.known, deadline
+            )
         else:
-            verdict, state = _state_result(self._local.state(errand.job_id))
-        reply(peers.ErrandDone(errand.question, verdict.value, state))
+            result, state = _state_result(self._job_store.state(request.job_id))
+        reply(peers.ErrandDone(request.question, result.value, state))
 
     def _execute_submit(
-        self, errand: peers.Errand, deadline: float
+        self, request: peers.Errand, deadline: float
     ) -> job_stores.RequestResult:
-        job = job_rows.unpack(json.loads(errand.document))
+        job = job_rows.unpack(json.loads(request.document))
         if isinstance(job, unusable.Unusable):
             logs.error(
-                "cannot decode the job of a forwarded request: {}", job.reason
+                "rejected a forwarded request: cannot decode its job: {}",
+                job.reason,
             )
             return job_stores.RequestResult.NOT_APPLIED
-        return self._local.submit(job, deadline)
+        return self._job_store.submit(job, deadline)
 
 
 def _state_result(
-    found: jobs.JobState | None | job_stores.StateUnknown,
+    state: jobs.JobState | None | job_stores.StateUnknown,
 ) -> tuple[job_stores.RequestResult, str]:
-    if isinstance(found, job_stores.StateUnknown):
+    if isinstance(state, job_stores.StateUnknown):
         return job_stores.RequestResult.UNKNOWN, ""
-    if found is None:
+    if state is None:
         return job_stores.RequestResult.NOT_FOUND, ""
-    return job_stores.RequestResult.ACCEPTED, found.value
+    return job_stores.RequestResult.ACCEPTED, state.value
 
 
-def _verdict_of(
-    done: peers.ErrandDone | job_stores.RequestResult,
+def _result_of(
+    response: peers.ErrandDone | job_stores.RequestResult,
 ) -> job_stores.RequestResult:
-    if isinstance(done, peers.ErrandDone):
-        return job_stores.RequestResult(done.verdict)
-    return done
+    if isinstance(response, peers.ErrandDone):
+        return job_stores.RequestResult(response.verdict)
+    return response
--- a/src/vanillaswitch/coordination/fleet/machines/__init__.py
+++ b/src/vanillaswitch/coordination/fleet/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Moves machines between pools and puts them into maintenance."""
+"""Moves machines between pools and orders their maintenance."""
--- a/src/vanillaswitch/coordination/fleet/machines/capacity_planner.py
+++ b/src/vanillaswitch/coordination/fleet/machines/capacity_planner.py
@@ -1,15 +1,16 @@
 """Decides which machines move to another pool, and when.
 
-Load pattern: queues have bursts, one queue after the other. During a burst of
-some seconds a queue demands several times its mean, more than its pool can
-run, and a fraction of the mean otherwise. The fleet as a whole has enough
-capacity. A moving machine is out of service for one to two seconds, and a move
-costs as much as one to two seconds of a machine. A machine in a pool costs
-money all the time, used or not. So the planner moves machines as soon as the
-load rises, takes them from pools where they are idle, and returns them to
+Load pattern: each queue has its tasks run by one pool. Queues have bursts, one
+queue after the other. During a burst, which takes some seconds, a queue needs
+several times its mean capacity, more than its pool has. Otherwise it needs a
+fraction of the mean. The fleet as a whole has enough capacity. A moving machine
+is out of service for one to two seconds, and a move costs as much as one to two
+seconds of a machine. A machine in a pool costs money whether it is used or not.
+A machine in the standby pool is off. So the planner moves machines as soon as
+the load rises, takes them from pools where they are idle, and moves them to
 standby when no pool has needed them for a while.
 
-The demand of a pool is the CPU that its running and waiting tasks take, plus
+The demand of a pool is the CPU that its running and waiting tasks request, plus
 the expected growth until a machine arrives. Recent growth is the first sign of
 a burst, seconds before the pool is full.
 """
@@ -29,27 +30,27 @@
     Attributes:
         utilisation: target share of a pool's CPU that is in use. Below 1,
             since tasks of one to five cores leave gaps on 16 cores.
-        growth_window_s: window over which growth is measured. A burst brings
-            several jobs in that time.
+        growth_window_s: window over which growth is measured. Several jobs of a
+            burst arrive in that time.
         look_ahead_s: minimum time over which growth is extrapolated. It is
-            about half of the duration of a move: short tasks that end
-            meanwhile make up for the rest.
+            about half of the duration of a move: short tasks that end during
+            the move free capacity for the rest.
         longest_look_ahead_s: maximum of the same, for tasks that run longer
             than a machine takes to arrive (1.5 s for the move, 0.5 s until it
-            is listed): what starts now still runs then.
-        most_growth: limit on the growth, as a multiple of what the recent jobs
-            would add at their usual size. One large job is not a burst:
-            without the limit a pool of 19 machines briefly required 52, and
-            kept seven too many for 3 to 5 s.
-        idle_s: how long a pool must have a surplus before a machine goes to
+            is listed). Such tasks, started now, still run when it arrives.
+        most_growth: limit on the growth, as a multiple of
+            ``PoolLoad.arrival_growth``. One large job is not a burst: without
+            the limit a pool of 19 machines briefly required 52, and kept seven
+            too many for 3 to 5 s.
+        idle_s: how long a pool must have a surplus before a machine moves to
             standby. Over that time an idle machine costs as much as a move.
-        settle_s: how long a new owner that sees no work sends no machine to
-            standby. Until then, where operators placed the machines is the
-            best estimate of the load to come.
-        familiar_s: how long after the first work a new owner starts to send
-            machines to standby. It learns of all running tasks within half a
-            second. The rest is for instances that answer late: their machines
-            seem idle until then.
+        settle_s: how long a planner that sees no short tasks moves no machine
+            to standby. Until then, the pools in which operators placed the
+            machines are the best estimate of the coming load.
+        familiar_s: delay from the first short tasks that the planner sees until
+            it may move machines to standby. A new owner receives all running
+            tasks within half a second. The rest of the delay is for instances
+            that answer late: until they do, their machines seem idle.
     """
 
     utilisation: float = 0.9
@@ -71,21 +72,21 @@
 
     Attributes:
         demand_cpu: thousandths of a core that tasks use or wait for.
-        min_machines: machines that it needs at any load, for tasks that may
-            not share an instance.
-        machine_count: machines that are up or on their way to it.
-        idle_machines: its machines that run nothing. The first are best to
-            move to another pool, the last to send to standby.
+        min_machines: machines that the pool needs at any load, for tasks that
+            may not share an instance.
+        machine_count: machines that serve the pool or are moving to it.
+        idle_machines: its machines that run nothing. Machines at the start are
+            moved to other pools first, machines at the end to standby.
         machine_cpu: full capacity of one machine, thousandths of a core.
         mean_task_s: mean estimated duration of its short tasks, seconds.
-        surge_machines: machines that it gets in addition to what it needs, to
-            replace those that are drained for maintenance.
-        standby: its machines are off.
-        arrival_growth: growth of demand by the recent jobs at their usual
-            size, thousandths of a core per second; None where jobs are not
-            counted.
-        lost_cpu: how much less than their full capacity its machines have
-            now, thousandths of a core.
+        surge_machines: machines that the pool gets in addition to those it
+            needs, to replace machines that are drained for maintenance.
+        standby: whether this is the standby pool, whose machines are off.
+        arrival_growth: growth of demand if each of the recent jobs had the
+            average size, thousandths of a core per second; None for no limit
+            on the measured growth.
+        lost_cpu: the difference between the full and the current capacity of
+            its machines, thousandths of a core.
     """
 
     name: str
@@ -103,14 +104,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Move:
-    """An order to move a machine to a pool."""
+    """A planned move of a machine to a pool."""
 
     machine: str
     pool: str
 
 
 class CapacityPlanner:
-    """Plans moves from successive loads of the pools."""
+    """Plans moves from successive observations of the pools' loads."""
 
     def __init__(self, policy: ScalingPolicy = DEFAULT_POLICY):
         self._policy = policy
@@ -127,14 +128,14 @@
 
     @property
     def required_machines(self) -> Mapping[str, int]:
-        """Machines that each pool needs, by the last plan."""
+        """Machines that each pool needs, according to the last plan."""
         return self._required
 
     def reset_surplus_timers(self) -> None:
-        """Restarts the timers that tell how long pools have a surplus.
+        """Restarts the timers that measure how long pools have had a surplus.
 
-        To be called while the load can't be observed: during an outage of the
-        store clients are refused, and all return when it ends.
+        Call this while the load can't be observed. During an outage of the
+        store clients are refused, and all of them return when it ends.
         """
         self._surplus_since.clear()
 
@@ -146,7 +147,7 @@
             now: monotonic seconds.
         """
         by_name = {load.name: load for load in loads}
-        self._record_start(by_name.values(), now)
+        self._record_first_times(by_name.values(), now)
         self._required = {
             name: 0 if load.standby else self._count_required(load, now)
             for name, load in by_name.items()
@@ -161,7 +162,9 @@
         moves.extend(self._move_to_standby(by_name, moves, now))
         return moves
 
-    def _record_start(self, loads: Iterable[PoolLoad], now: float) -> None:
+    def _record_first_times(
+        self, loads: Iterable[PoolLoad], now: float
+    ) -> None:
         """Records the times of the first plan and of the first short tasks."""
         if self._first_plan_at is None:
             self._first_plan_at = now
@@ -173,11 +176,11 @@
     def _is_load_known(self, now: float) -> bool:
         """Whether this planner has observed the load for long enough.
 
-        Before that, a machine may seem idle only because its instance has not
-        answered yet.
+        Before that, a machine may seem idle because its instance has not
+        answered the new owner yet.
         """
-        began_at = now if self._first_plan_at is None else self._first_plan_at
-        if now - began_at >= self._policy.settle_s:
+        started_at = now if self._first_plan_at is None else self._first_plan_at
+        if now - started_at >= self._policy.settle_s:
             return True
         if self._first_work_at is None:
             return False
@@ -191,12 +194,12 @@
 
     def _count_required(self, load: PoolLoad, now: float) -> int:
         policy = self._policy
-        longest_s = policy.longest_look_ahead_s
-        ahead_s = min(max(policy.look_ahead_s, load.mean_task_s), longest_s)
+        max_s = policy.longest_look_ahead_s
+        look_ahead_s = min(max(policy.look_ahead_s, load.mean_task_s), max_s)
         growth = self._growth(load, now)
         if load.arrival_growth is not None:
             growth = min(growth, policy.most_growth * load.arrival_growth)
-        demand = load.demand_cpu + growth * ahead_s
+        demand = load.demand_cpu + growth * look_ahead_s
         demand += load.lost_cpu * policy.utilisation
         usable_cpu = max(1, load.machine_cpu) * policy.utilisation
         return max(load.min_machines, math.ceil(demand / usable_cpu))
@@ -208,18 +211,20 @@
         window_s = self._policy.growth_window_s
         while len(history) > 2 and history[1][0] <= now - window_s:
             history.popleft()
-        began, before = history[0]
-        if now <= began:
+        window_start, initial_demand = history[0]
+        if now <= window_start:
             return 0.0
-        return max(0.0, (load.demand_cpu - before) / (now - began))
+        return max(
+            0.0, (load.demand_cpu - initial_demand) / (now - window_start)
+        )
 
     def _available_machines(
         self, loads: Mapping[str, PoolLoad], now: float
     ) -> list[str]:
         """Returns machines that can move now, those in pools first.
 
-        An idle machine in a pool already costs money; one on standby costs
-        only once it is used.
+        An idle machine in a pool already costs money. A machine on standby
+        costs nothing until it is used.
         """
         pooled: list[str] = []
         standby: list[str] = []
@@ -238,7 +243,7 @@
     def _move_to_standby(
         self, loads: Mapping[str, PoolLoad], moves: Sequence[Move], now: float
     ) -> list[Move]:
-        """Returns moves to standby of machines that were idle for a while."""
+        """Returns moves to standby from pools with a lasting surplus."""
         if not self._is_load_known(now):
             return []
         target = next(
@@ -252,14 +257,18 @@
             load = loads.get(name)
             if load is None or now - since < self._policy.idle_s:
                 continue
-            left = [
-                item for item in load.idle_machines if item not in already_moved
+            unassigned = [
+                machine
+                for machine in load.idle_machines
+                if machine not in already_moved
             ]
-            leaving = len(load.idle_machines) - len(left)
-            surplus = self._surplus(load) - leaving
+            assigned_count = len(load.idle_machines) - len(unassigned)
+            surplus = self._surplus(load) - assigned_count
             # Takes from the end: see ``PoolLoad.idle_machines``.
             released = (
-                left[max(0, len(left) - surplus) :] if surplus > 0 else []
+                unassigned[max(0, len(unassigned) - surplus) :]
+                if surplus > 0
+                else []
             )
             moves_to_standby.extend(
                 Move(machine, target) for machine in released
@@ -272,20 +281,21 @@
 ) -> list[Move]:
     """Assigns available machines to pools with a shortage, round robin.
 
-    A burst can need a hundred machines and more, which is all of them. Served
-    first, it would leave other pools for 13 s without the one or two machines
-    that their long-running tasks need to leave machines due for maintenance.
+    A burst can need a hundred machines and more, which is all of them. If its
+    pool got all machines first, other pools would lack one or two machines for
+    13 s. They need these for the long-running tasks of machines that are due
+    for maintenance.
     """
     moves: list[Move] = []
-    left = dict(shortages)
+    remaining = dict(shortages)
     machines = iter(available)
-    while left:
-        for name in sorted(left):
+    while remaining:
+        for name in sorted(remaining):
             machine = next(machines, None)
             if machine is None:
                 return moves
             moves.append(Move(machine, name))
-            left[name] -= 1
-            if not left[name]:
-                del left[name]
+            remaining[name] -= 1
+            if not remaining[name]:
+                del remaining[name]
     return moves
--- a/src/vanillaswitch/coordination/fleet/machines/evacuation.py
+++ b/src/vanillaswitch/coordination/fleet/machines/evacuation.py
@@ -1,7 +1,8 @@
-"""Drains instances within the disruption budgets of their jobs.
+"""Stops long-running tasks of drained instances so that they run elsewhere.
 
-The budget of a long-running step is ``may_miss``: how many of its tasks may be
-unavailable at once because of planned stops.
+Stops stay within the disruption budgets of the jobs. The budget of a
+long-running step is ``may_miss``: how many of its tasks may be unavailable at
+once because of planned stops.
 """
 
 from collections.abc import Iterable
@@ -16,7 +17,7 @@
     instance: instance_state.Instance,
     now: float,
 ) -> bool:
-    """Whether the budgets allow all runs of an instance to end at once."""
+    """Whether the budgets allow stopping all runs of an instance at once."""
     return disruption_budget.allows_disruption(
         scheduler, instance.runs.values(), now
     )
@@ -29,9 +30,9 @@
 ) -> None:
     """Stops long-running tasks of an instance, within their budgets.
 
-    They start elsewhere once the instance has listed their end. Short tasks
-    are left to finish. An instance that is shutting down itself ends its tasks
-    in any case, so there the budgets are not checked.
+    The tasks start elsewhere after the instance has reported that they ended.
+    Short tasks may finish. An instance that is shutting down ends its tasks in
+    any case, so the budgets are not checked for it.
     """
     others = [
         other
@@ -61,11 +62,11 @@
 ) -> bool:
     """Whether another instance can run a task that is stopped here.
 
-    If none can, the task would wait while its own instance is half empty. A
-    cordoned instance is drained now, so its tasks may also go where short
-    tasks have to end first. An instance that is due for maintenance later has
-    time: its tasks go only where there is free capacity now, and not to an
-    instance that is due as well.
+    If none can, a stopped task would wait while its own instance is half empty.
+    A cordoned instance is drained now. So its tasks may also move to an
+    instance where short tasks have to end first. An instance that is only due
+    for maintenance is drained later. So its tasks move only to an instance that
+    has free capacity now and is not due for maintenance itself.
     """
     if instance.is_cordoned:
         return any(
@@ -79,14 +80,21 @@
 
 
 def evacuate_instances(scheduler: schedulers.Scheduler, now: float) -> None:
-    """Drains all instances that are cordoned, due or shutting down.
+    """Evacuates instances that are cordoned, due or shutting down.
 
-    Long-running tasks leave an instance as soon as its machine is due for
-    maintenance, while it still gets short ones. A job allows only one or two
-    of them to stop at a time. Started later, the drain of the last machines of
-    a wave would run one after the other, 1.2 s each, past the wave's end.
+    An instance is due if its machine waits for maintenance.
+
+    Long-running tasks are stopped as soon as the machine of their instance is
+    due for maintenance, while the instance still gets short tasks. A job allows
+    only one or two of its long-running tasks to stop at a time. If this started
+    later, the last machines of a wave would be drained one after the other, in
+    1.2 s each, and the wave would end too late.
     """
     for instance in list(scheduler.instances.values()):
-        draining = instance.registration.is_draining
-        if instance.is_cordoned or instance.is_maintenance_due or draining:
+        is_shutting_down = instance.registration.is_draining
+        if (
+            instance.is_cordoned
+            or instance.is_maintenance_due
+            or is_shutting_down
+        ):
             evacuate_instance(scheduler, instance, now)
--- a/src/vanillaswitch/coordination/fleet/machines/mover.py
+++ b/src/vanillaswitch/coordination/fleet/machines/mover.py
@@ -1,11 +1,11 @@
 """Orders planned moves of machines and tracks them until they complete.
 
-Load pattern: a burst of a queue starts at once and needs dozens of machines,
-each of which is in service 1.5 s after its order at the earliest. Sent one by
-one, with 16 ms per order and reads of the list in between, the orders would
-spread the arrival of 128 machines over 5 s of a burst of 8 s. So moves are
-planned from the waiting tasks, more often than the list is read, and many
-orders are sent concurrently.
+Load pattern: a burst of a queue starts suddenly and needs dozens of machines.
+Each of them is in service 1.5 s after its order at the earliest. If orders were
+sent one by one, at 16 ms per order and with reads of the list in between, 128
+machines would arrive over 5 s of a burst of 8 s. So moves are planned from the
+waiting tasks, more often than the list is read, and many orders are sent
+concurrently.
 """
 
 from collections.abc import Callable
@@ -26,48 +26,50 @@
 from vanillaswitch.protocol import fleet
 
 STEP_INTERVAL_S = 0.1
-"""Interval between plans: less than a tenth of the time that a machine needs to
-arrive, so that planning adds little to it."""
+"""Interval between plans. It is less than a tenth of the time that a machine
+takes to arrive, so planning adds little to that time."""
 
 MAX_CONCURRENT_ORDERS = 16
-"""Limit on concurrent orders. At 16 ms each it allows 1,000 orders per second,
-more than the platform accepts. Orders that the platform rejects are planned
-again."""
+"""Limit on concurrent orders. At 16 ms per order it allows 1,000 orders per
+second, more than the platform accepts. Orders that exceed the platform's rate
+limit are planned again."""
 
 RETRY_DELAY_S = 0.4
-"""Pause of all orders after one that failed or got no answer."""
+"""How long no orders are sent after one that got no usable answer, counted from
+when that order was planned."""
 
 MAINTENANCE_SURGE = 3
-"""Additional machines of a pool while machines of it are due for maintenance.
-Where long-running tasks may not share an instance, a machine can be drained
-only if another one takes its tasks. In a simulated wave, one to six machines
-were late without it and none with it. A larger surge would stand idle."""
+"""Maximum number of additional machines of a pool while some of its machines
+are due for maintenance. Where long-running tasks may not share an instance, a
+machine can be drained only if another one takes its tasks. In a simulated wave,
+one to six machines were late without additional machines, and none was late
+with them. More machines would stay idle."""
 
 ARRIVAL_GRACE_S = 3.0
-"""How long a moved machine counts for its new pool without a known instance:
-the time for the move, the start of the instance and its first heartbeat."""
-
+"""How long a machine counts for its pool while its instance is unknown: the
+time for the move, the start of the instance and its first heartbeat."""
 
 MOVE_EXPIRY_S = 10.0
-"""An accepted move without effect is dropped after this time. Its machine
-failed on the way and would otherwise count for the new pool forever."""
+"""An accepted move that has not completed is dropped after this time. Its
+machine failed during the move and would otherwise count for the new pool
+forever."""
 
 
 @dataclasses.dataclass(frozen=True)
 class _PendingMove:
-    """A move that was ordered and is not complete.
+    """A move that was ordered and has not completed.
 
     Attributes:
         ordered_at: monotonic seconds at which it was ordered.
         accepted: the platform accepted it.
-        in_doubt: a copy of the order was sent and got no answer, so it may
-            take effect at any moment.
+        outcome_unknown: a copy of the order was sent and got no answer, so it
+            may take effect at any moment.
     """
 
     move: capacity_planner.Move
     ordered_at: float
     accepted: bool
-    in_doubt: bool = False
+    outcome_unknown: bool = False
 
 
 class MachineMover:
@@ -79,7 +81,7 @@
         machines: fleet.Machines,
         writer: fenced_writer.FencedWriter,
         orders_per_s: float,
-        reserved: Callable[[], waves.ReservedMachines],
+        reserved_machines: Callable[[], waves.ReservedMachines],
         clock: clocks.Clock,
         emit: Callable[[object], None],
         policy: capacity_planner.ScalingPolicy = (
@@ -91,15 +93,15 @@
         Args:
             scheduler: the owner's state of instances, runs and waiting tasks.
             machines: client for orders to the platform.
-            writer: tells whether the term of this owner is confirmed.
+            writer: tells whether this owner may still send orders.
             orders_per_s: how many orders the platform accepts per second.
-            reserved: returns the machines that waves have reserved.
-            clock: paces the plans.
+            reserved_machines: returns the machines that waves have reserved.
+            clock: source of time.
             emit: receives events.
             policy: parameters of the capacity planner.
         """
         self._orders_per_step = max(1, int(orders_per_s * STEP_INTERVAL_S))
-        self._reserved = reserved
+        self._reserved_machines = reserved_machines
         self._paused_until = 0.0
         self._emit = emit
         self._scheduler = scheduler
@@ -120,8 +122,8 @@
         return self._planner.required_machines
 
     @property
-    def moving(self) -> Collection[str]:
-        """Machines whose move was ordered and is not complete."""
+    def moving_machines(self) -> Collection[str]:
+        """Names of machines whose move was ordered and has not completed."""
         return self._pending_moves.keys()
 
     def update_machines(self, machines: Mapping[str, fleet.Machine]) -> None:
@@ -142,18 +144,18 @@
             self._clock.sleep(STEP_INTERVAL_S)
 
     def step(self) -> None:
-        """Plans moves once and starts to order them."""
+        """Plans moves once and starts to send the orders."""
         if not self._listed:
             # The capacity of a machine is unknown before the first read.
             return
         now = self._clock.monotonic()
         if not self._writer.may_operate_machines():
             self._planner.reset_surplus_timers()
-        loads = self._pool_loads(self._reserved())
-        unconfirmed = [
-            order.move
-            for order in self._pending_moves.values()
-            if order.in_doubt
+        loads = self._pool_loads(self._reserved_machines())
+        unanswered = [
+            pending_move.move
+            for pending_move in self._pending_moves.values()
+            if pending_move.outcome_unknown
         ]
         planned = [
             move
@@ -162,36 +164,42 @@
         ]
         if now < self._paused_until:
             return
-        for move in (unconfirmed + planned)[: self._orders_per_step]:
+        for move in (unanswered + planned)[: self._orders_per_step]:
             self._start_order(move, now)
 
     def _remove_completed(
         self, listed: Mapping[str, fleet.Machine], now: float
     ) -> None:
-        """Removes moves that are complete, expired or of removed machines."""
-        for name, order in list(self._pending_moves.items()):
+        """Drops moves that completed or expired, and moves of removed machines.
+
+        Moves whose order is in flight are kept.
+        """
+        for name, pending_move in list(self._pending_moves.items()):
             machine = listed.get(name)
-            expired = order.accepted and now - order.ordered_at > MOVE_EXPIRY_S
+            is_expired = (
+                pending_move.accepted
+                and now - pending_move.ordered_at > MOVE_EXPIRY_S
+            )
             if name in self._in_flight:
                 continue
-            if machine is None or expired:
+            if machine is None or is_expired:
                 del self._pending_moves[name]
                 continue
-            arrived = (
-                machine.pool == order.move.pool
+            is_in_target_pool = (
+                machine.pool == pending_move.move.pool
                 and machine.state is fleet.MachineState.UP
             )
             if (
-                arrived
-                and order.accepted
-                and self._has_arrived(machine, order, now)
+                is_in_target_pool
+                and pending_move.accepted
+                and self._counts_as_arrived(machine, pending_move, now)
             ):
                 del self._pending_moves[name]
 
     def _track_unregistered(
         self, listed: Mapping[str, fleet.Machine], now: float
     ) -> None:
-        """Updates since when machines have been up without a known instance."""
+        """Records since when machines have been up without a known instance."""
         self._unregistered_since = {
             name: self._unregistered_since.get(name, now)
             for name, machine in listed.items()
@@ -199,14 +207,14 @@
             and machine.instance not in self._scheduler.instances
         }
 
-    def _has_arrived(
-        self, machine: fleet.Machine, order: _PendingMove, now: float
+    def _counts_as_arrived(
+        self, machine: fleet.Machine, pending_move: _PendingMove, now: float
     ) -> bool:
         pool = self._scheduler.pools.get(machine.pool)
         if pool is not None and pool.is_standby:
             return True
         instance = self._scheduler.instances.get(machine.instance)
-        is_grace_over = now - order.ordered_at > ARRIVAL_GRACE_S
+        is_grace_over = now - pending_move.ordered_at > ARRIVAL_GRACE_S
         return is_grace_over or (instance is not None and instance.is_adopted)
 
     def _pool_loads(
@@ -230,8 +238,8 @@
         """Groups the machines by the pool that they are in or moving to."""
         by_pool: dict[str, list[fleet.Machine]] = {}
         for machine in self._listed.values():
-            order = self._pending_moves.get(machine.name)
-            pool = order.move.pool if order else machine.pool
+            pending_move = self._pending_moves.get(machine.name)
+            pool = pending_move.move.pool if pending_move else machine.pool
             by_pool.setdefault(pool, []).append(machine)
         return by_pool
 
@@ -244,15 +252,15 @@
         reserved: waves.ReservedMachines,
     ) -> capacity_planner.PoolLoad:
         machine_count = 0
-        pending = 0
+        awaiting_maintenance = 0
         idle_machines: list[str] = []
-        cpu = 0
+        machine_cpu = 0
         lost_cpu = 0
         for machine in machines:
-            order = self._pending_moves.get(machine.name)
-            cpu = max(cpu, self._full_cpu(machine))
-            pending += machine.name in reserved.pending
-            if order is not None:
+            pending_move = self._pending_moves.get(machine.name)
+            machine_cpu = max(machine_cpu, self._full_cpu(machine))
+            awaiting_maintenance += machine.name in reserved.pending
+            if pending_move is not None:
                 machine_count += 1
             elif self._is_in_service(machine, pool):
                 machine_count += 1
@@ -260,8 +268,8 @@
                 is_reserved = machine.name in reserved.unavailable
                 if not is_reserved and self._is_idle(machine, pool):
                     idle_machines.append(machine.name)
-        # Machines due for maintenance come last, so they go to standby first:
-        # maintenance of a machine that serves no pool takes no capacity.
+        # Machines due for maintenance come last, so that they move to standby
+        # first: maintenance of a machine on standby takes no capacity.
         idle_machines.sort(key=lambda name: name in reserved.pending)
         used_cpu = sum(instance.used_cpu for instance in instances)
         load = self._scheduler.backlog_load.get(pool.name, fleet.Load())
@@ -273,13 +281,13 @@
             min_machines=min_machines,
             machine_count=machine_count,
             idle_machines=idle_machines,
-            machine_cpu=cpu,
+            machine_cpu=machine_cpu,
             lost_cpu=lost_cpu,
             mean_task_s=load.mean_task_s,
             arrival_growth=self._arrival_growth(pool.name),
             surge_machines=0
             if pool.is_standby
-            else min(pending, MAINTENANCE_SURGE),
+            else min(awaiting_maintenance, MAINTENANCE_SURGE),
             standby=pool.is_standby,
         )
 
@@ -298,18 +306,18 @@
     def _full_cpu(self, machine: fleet.Machine) -> int:
         """Returns the full capacity of a machine, thousandths of a core."""
         instance = self._instance_on(machine)
-        known = 0 if instance is None else instance.max_cpu
-        return max(known, machine.capacity.cpu)
+        instance_cpu = 0 if instance is None else instance.max_cpu
+        return max(instance_cpu, machine.capacity.cpu)
 
     def _lost_cpu(self, machine: fleet.Machine) -> int:
-        """Returns how much of its full capacity a machine lacks now."""
+        """Returns the difference of a machine's full and current capacity."""
         instance = self._instance_on(machine)
         if instance is None:
             return 0
         return instance.max_cpu - instance.capacity.cpu
 
     def _is_in_service(self, machine: fleet.Machine, pool: fleet.Pool) -> bool:
-        """Whether a machine serves its pool or soon will."""
+        """Whether a machine serves its pool or probably will soon."""
         if pool.is_standby:
             return machine.state is fleet.MachineState.UP
         if machine.state is not fleet.MachineState.UP:
@@ -328,8 +336,8 @@
         """Whether the unknown instance of a machine may still be starting.
 
         When a whole fleet starts, its instances register over some seconds. If
-        they did not count, their pool would take machines from standby to
-        replace machines that it already has.
+        their machines did not count, their pool would take machines from
+        standby without need.
         """
         now = self._clock.monotonic()
         since = self._unregistered_since.get(machine.name, now)
@@ -346,7 +354,8 @@
     def _start_order(self, move: capacity_planner.Move, now: float) -> None:
         """Sends an order in a new greenlet unless one is in flight.
 
-        Does nothing for a machine that still runs tasks: a move ends them.
+        Does nothing for a machine that still runs tasks, since a move would end
+        them.
         """
         machine = self._listed.get(move.machine)
         if machine is None or move.machine in self._in_flight:
@@ -357,7 +366,7 @@
         if instance is not None:
             if instance.runs:
                 return
-            # No task may start there from here on.
+            # No new task may start on the instance from now on.
             instance.is_terminating = True
         self._pending_moves.setdefault(
             move.machine, _PendingMove(move, now, False)
@@ -369,7 +378,7 @@
         self,
         move: capacity_planner.Move,
         instance: instance_state.Instance | None,
-        now: float,
+        ordered_at: float,
     ) -> None:
         try:
             # The order may have waited for a free greenlet, so check again.
@@ -379,7 +388,7 @@
                 )
             else:
                 outcome = fleet.NoAnswer(
-                    False, "the owner's term is unconfirmed"
+                    False, "this owner may not operate machines now"
                 )
         finally:
             self._in_flight.discard(move.machine)
@@ -392,29 +401,31 @@
             )
         )
         if isinstance(outcome, fleet.Accepted):
-            self._pending_moves[move.machine] = _PendingMove(move, now, True)
+            self._pending_moves[move.machine] = _PendingMove(
+                move, ordered_at, True
+            )
         elif isinstance(outcome, fleet.NoAnswer) and outcome.may_take_effect:
-            # The order may take effect at any moment. It is sent again with a
-            # higher fencing token until it is answered. Where tokens are
-            # checked, this also invalidates the earlier copy.
+            # The order may take effect at any moment. It is sent again with the
+            # newest version as a higher fencing token until it is answered. If
+            # the platform checks tokens, this invalidates the earlier copy.
             self._pending_moves[move.machine] = _PendingMove(
-                move, now, False, True
+                move, ordered_at, False, True
             )
-            self._back_off(now)
+            self._back_off(ordered_at)
         elif isinstance(outcome, fleet.NoAnswer):
-            self._back_off(now)
-            if not self._pending_moves[move.machine].in_doubt:
+            self._back_off(ordered_at)
+            if not self._pending_moves[move.machine].outcome_unknown:
                 self._drop_order(move, outcome, instance)
         else:
             self._drop_order(move, outcome, instance)
 
-    def _back_off(self, now: float) -> None:
-        """Pauses all orders after one that failed or got no answer.
+    def _back_off(self, ordered_at: float) -> None:
+        """Pauses all orders after one that got no usable answer.
 
-        Without the pause each plan would resend dozens of orders to a failing
-        platform, and each of them counts against its rate limit.
+        Without the pause, each plan would resend dozens of orders to a failing
+        platform, and each of them counts against the platform's rate limit.
         """
-        self._paused_until = now + RETRY_DELAY_S
+        self._paused_until = ordered_at + RETRY_DELAY_S
 
     def _drop_order(
         self,
--- a/src/vanillaswitch/coordination/fleet/machines/wave_controller.py
+++ b/src/vanillaswitch/coordination/fleet/machines/wave_controller.py
@@ -1,4 +1,4 @@
-"""Runs maintenance waves within the surplus of the pools."""
+"""Runs maintenance waves on machines that their pools do not need."""
 
 import collections
 from collections.abc import Callable
@@ -19,23 +19,23 @@
 from vanillaswitch.state import deployment as deployments
 
 SHORT_TASK_GRACE_S = 2.5
-"""How long a drained machine waits for its short tasks before maintenance ends
-them; about the duration of the longest steps."""
+"""How long a draining machine waits for its short tasks to finish before
+maintenance ends them; about the duration of the longest steps."""
 
 LATE_SHORT_TASK_GRACE_S = 0.6
 """The same while the wave is behind schedule."""
 
-SHORT_ONLY_COST = 1e9
-"""Added to the drain cost of machines that run short tasks only. More than the
-thousandths of a core of any machine, so that these machines come last."""
+SHORT_TASKS_ONLY_COST = 1e9
+"""Added to the drain cost of machines that run short tasks only, so that these
+are drained last. It exceeds the CPU of any machine in thousandths of a core."""
 
 ROUND_OVERHEAD_S = 0.6
-"""Time of a round of maintenance besides the maintenance itself: reading the
-list until it shows the end, and stopping what still runs."""
+"""Overhead of a round of maintenance, in addition to the maintenance itself:
+reading the list until it shows the end, and stopping tasks that still run."""
 
 WAVE_MARGIN_S = 3.0
 """Time reserved at the end of a wave for its last machines, which may have to
-be drained first."""
+be drained before their maintenance."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -44,8 +44,9 @@
 
     Attributes:
         finished_machines: machines whose maintenance is finished.
-        age_s: time since an owner first saw the wave. If each owner restarted
-            the count, a wave would seem to have time left when it has none.
+        age_s: time since any owner first saw the wave. If each owner counted
+            from its own start, a wave would seem to have time left when it has
+            none.
     """
 
     finished_machines: Collection[str]
@@ -53,7 +54,7 @@
 
 
 class WaveStore(Protocol):
-    """Store of the operators' wave orders and of their progress."""
+    """Store of the waves that operators ordered, and of their progress."""
 
     def wave_orders(self) -> Iterable[fleet.WaveOrder]:
         """Returns the waves that operators have ordered."""
@@ -72,7 +73,10 @@
 
 
 class WaveController:
-    """Drains machines of waves and orders their maintenance for one term."""
+    """Drains machines of waves and orders their maintenance.
+
+    Used during one term, the period in which a process is the owner.
+    """
 
     def __init__(
         self,
@@ -82,7 +86,7 @@
         writer: fenced_writer.FencedWriter,
         bounds: deployments.Bounds,
         required_machines: Callable[[], Mapping[str, int]],
-        moving: Callable[[], Collection[str]],
+        moving_machines: Callable[[], Collection[str]],
         clock: clocks.Clock,
         emit: Callable[[object], None],
     ):
@@ -92,11 +96,12 @@
             scheduler: the owner's state of instances and runs.
             machines: client for orders to the platform.
             wave_store: store of the wave orders and of their progress.
-            writer: tells whether the term of this owner is confirmed.
+            writer: tells whether this owner may still send orders.
             bounds: contains the duration of maintenance.
             required_machines: returns how many machines each pool needs;
                 empty while unknown.
-            moving: returns the machines on their way to another pool.
+            moving_machines: returns the machines that are moving to another
+                pool.
             clock: source of time.
             emit: receives events.
         """
@@ -106,16 +111,16 @@
         self._writer = writer
         self._bounds = bounds
         self._required_machines = required_machines
-        self._moving = moving
+        self._moving_machines = moving_machines
         self._clock = clock
         self._emit = emit
         self._waves: dict[str, waves.Wave] = {}
         self._listed: Mapping[str, fleet.Machine] = {}
         self._draining: dict[str, float] = {}
-        self._marked_leaving: set[str] = set()
+        self._marked_terminating: set[str] = set()
 
     @property
-    def reserved(self) -> waves.ReservedMachines:
+    def reserved_machines(self) -> waves.ReservedMachines:
         """Machines that waves have reserved."""
         unavailable = set(self._draining)
         pending = set()
@@ -137,24 +142,25 @@
 
         Args:
             listed: machines by name. The list must have been read after the
-                previous call returned, since it shows the effect of orders.
+                previous call returned, so that it shows the effect of the
+                orders of that call.
         """
         self._listed = listed
         now = self._clock.monotonic()
         for order in self._wave_store.wave_orders():
             if order.name not in self._waves:
-                self._start(order, now)
+                self._add_wave(order, now)
         for wave in self._waves.values():
-            if wave.reported is not True:
+            if wave.reported_completed is not True:
                 self._advance(wave, now)
         self._update_cordons()
 
-    def _start(self, order: fleet.WaveOrder, now: float) -> None:
-        record = self._wave_store.start_wave(order.name)
-        if record is None:
+    def _add_wave(self, order: fleet.WaveOrder, now: float) -> None:
+        stored_progress = self._wave_store.start_wave(order.name)
+        if stored_progress is None:
             return
-        wave = waves.new_wave(order, now - record.age_s)
-        for name in record.finished_machines:
+        wave = waves.new_wave(order, now - stored_progress.age_s)
+        for name in stored_progress.finished_machines:
             if name in wave.machines:
                 wave.machines[name].phase = waves.MachinePhase.DONE
         self._waves[order.name] = wave
@@ -188,12 +194,12 @@
         self._report_status(wave)
 
     def _advance_machine(
-        self, wave: waves.Wave, name: str, waited_s: float, now: float
+        self, wave: waves.Wave, name: str, drained_for_s: float, now: float
     ) -> None:
         """Orders maintenance of a draining machine once that is allowed."""
         phase = wave.machines[name].phase
         if phase is waves.MachinePhase.OUTCOME_UNKNOWN:
-            # Check the disruption budgets again before the order is resent:
+            # Check the disruption budgets again before resending the order:
             # other tasks of the same steps may have become unavailable.
             instance = self._instance_on(name)
             if instance is None or evacuation.allows_disruption_of_all(
@@ -201,18 +207,21 @@
             ):
                 self._order_maintenance(wave, name)
         elif phase is not waves.MachinePhase.WAITING:
-            # It left the list, or its maintenance was started by others.
+            # The machine was removed from the list, or an order that this
+            # controller did not send has started its maintenance.
             del self._draining[name]
         elif waves.count_in_maintenance(
             wave
-        ) < wave.order.max_count and self._is_ready(name, wave, waited_s, now):
+        ) < wave.order.max_count and self._is_ready(
+            name, wave, drained_for_s, now
+        ):
             self._order_maintenance(wave, name)
 
     def _report_status(self, wave: waves.Wave) -> None:
-        if wave.reported is not None and not wave.completed:
+        if wave.reported_completed is not None and not wave.completed:
             return
         if self._wave_store.report_status(wave.order.name, wave.completed):
-            wave.reported = wave.completed
+            wave.reported_completed = wave.completed
             state = "completed" if wave.completed else "running"
             self._emit_wave(wave, state, "", self._clock.monotonic())
 
@@ -225,9 +234,9 @@
     def _drain_cost(self, machine: str) -> float:
         """Returns the sort key of a machine for draining, lowest first.
 
-        Idle machines come first. Machines with long-running tasks follow,
-        since relocating these takes the most time. Machines with short tasks
-        only come last: these end within seconds at any point of the wave.
+        Idle machines come first. Machines with long-running tasks follow, since
+        moving these tasks takes the most time. Machines with short tasks only
+        come last, since such tasks end within seconds at any time.
         """
         instance = self._instance_on(machine)
         if instance is None or not instance.runs:
@@ -236,15 +245,15 @@
             run.step.long_running for run in instance.runs.values()
         )
         return instance.used_cpu + (
-            0.0 if has_long_running else SHORT_ONLY_COST
+            0.0 if has_long_running else SHORT_TASKS_ONLY_COST
         )
 
     def _surplus(self) -> collections.Counter[str]:
-        """Returns the surplus of usable instances of each pool.
+        """Returns how many more instances than required each pool can use.
 
-        Draining instances do not count, including those chosen just now.
-        Otherwise a pool with a surplus of one could lose all its machines at
-        once.
+        Draining instances do not count, including those that were chosen just
+        now. Otherwise a pool with a surplus of one could lose all its machines
+        at once.
         """
         now = self._clock.monotonic()
         draining = {
@@ -266,66 +275,67 @@
         return "" if pool is None or pool.is_standby else pool.name
 
     def _choose_machines(self, wave: waves.Wave, now: float) -> None:
-        """Chooses machines to drain, within the surplus of their pools.
+        """Chooses machines to drain, up to the surplus of their pools.
 
-        A wave that is behind schedule ignores the surplus.
+        If the wave is behind schedule, the surplus is ignored.
         """
-        is_behind = self._is_behind(wave, now)
-        if not is_behind and not self._required_machines():
-            # A new owner has no plan of the required machines yet.
+        is_behind_schedule = self._is_behind_schedule(wave, now)
+        if not is_behind_schedule and not self._required_machines():
+            # A new owner has not computed the required machines yet.
             return
         surplus = self._surplus()
-        if not is_behind:
-            self._release_needed(wave, surplus)
+        if not is_behind_schedule:
+            self._cancel_needed_drains(wave, surplus)
         for name in waves.next_machines(
             wave,
             self._listed,
             self._drain_cost,
             wave.order.max_count,
-            self._moving(),
+            self._moving_machines(),
         ):
             pool = self._active_pool(name)
             if name in self._draining or (
-                pool and surplus[pool] <= 0 and not is_behind
+                pool and surplus[pool] <= 0 and not is_behind_schedule
             ):
                 continue
             self._draining[name] = now
             surplus[pool] -= 1
 
-    def _release_needed(
+    def _cancel_needed_drains(
         self, wave: waves.Wave, surplus: collections.Counter[str]
     ) -> None:
         """Stops draining machines that their pool needs again.
 
-        A burst may start while machines drain. If they stayed cordoned until
-        the wave is behind schedule, they would stand half empty for 20 s while
-        tasks wait. The machines that started to drain last are released first.
+        A burst may start while machines drain. If these machines stayed
+        cordoned until the wave is behind schedule, they would be half empty for
+        20 s while tasks wait. Draining stops first for the machines that
+        started it last.
         """
-        newest = sorted(
+        latest_first = sorted(
             self._draining.items(), key=_by_drain_start, reverse=True
         )
-        for name, _ in newest:
+        for name, _ in latest_first:
             if name not in wave.machines or name not in self._listed:
                 continue
             pool = self._active_pool(name)
-            waiting = wave.machines[name].phase is waves.MachinePhase.WAITING
-            if waiting and pool and surplus[pool] < 0:
+            is_waiting = wave.machines[name].phase is waves.MachinePhase.WAITING
+            if is_waiting and pool and surplus[pool] < 0:
                 del self._draining[name]
                 surplus[pool] += 1
 
-    def _is_behind(self, wave: waves.Wave, now: float) -> bool:
-        """Whether the remaining machines need more time than the wave has."""
-        left = sum(
+    def _is_behind_schedule(self, wave: waves.Wave, now: float) -> bool:
+        """Whether the remaining machines need more time than is left."""
+        remaining_count = sum(
             progress.phase is not waves.MachinePhase.DONE
             for progress in wave.machines.values()
         )
-        rounds = -(-left // wave.order.max_count)
+        rounds = -(-remaining_count // wave.order.max_count)
         needed_s = rounds * (self._bounds.upkeep_s + ROUND_OVERHEAD_S)
         needed_s += WAVE_MARGIN_S
         return now + needed_s > wave.first_seen_at + wave.order.duration_s
 
     def _is_ready(
-        self, name: str, wave: waves.Wave, waited_s: float, now: float
+        self, name: str, wave: waves.Wave, drained_for_s: float, now: float
     ) -> bool:
         """Whether maintenance of a draining machine may be ordered now."""
         instance = self._instance_on(name)
@@ -335,10 +345,10 @@
             return True
         grace_s = (
             LATE_SHORT_TASK_GRACE_S
-            if self._is_behind(wave, now)
+            if self._is_behind_schedule(wave, now)
             else SHORT_TASK_GRACE_S
         )
-        if waited_s < grace_s:
+        if drained_for_s < grace_s:
             return False
         return evacuation.allows_disruption_of_all(
             self._scheduler, instance, now
@@ -349,9 +359,9 @@
     ) -> bool:
         """Whether a machine may run tasks that this owner does not know.
 
-        While some jobs can't be read, their runs are known from the status
-        reports of instances only. A machine whose instance has not reported
-        yet must not be treated as empty: maintenance would end those runs.
+        The runs of jobs whose rows can't be read are known only from the status
+        reports of instances. A machine whose instance has not reported to this
+        owner yet must not be treated as empty: maintenance would end such runs.
         """
         if not self._scheduler.unreadable_jobs:
             return False
@@ -365,13 +375,13 @@
         instance = self._instance_on(name)
         if instance is not None:
             # Only the list shows whether the runs have ended: if an earlier
-            # owner's order was carried out already, the platform accepts this
-            # one without effect and the runs continue.
+            # owner's order was executed already, the platform accepts this one
+            # without effect and the runs continue.
             self._scheduler.emit_maintenance_stops(
                 instance, self._clock.monotonic()
             )
             instance.is_terminating = True
-            self._marked_leaving.add(name)
+            self._marked_terminating.add(name)
         outcome = self._machines.maintain(
             name, wave.order.number, self._writer.newest_version
         )
@@ -384,8 +394,8 @@
             progress.instance = self._listed[name].instance
             self._draining.pop(name, None)
         elif isinstance(outcome, fleet.NoAnswer) and outcome.may_take_effect:
-            # Maintenance may start at any moment, so the machine counts as
-            # down until the same order is answered.
+            # Maintenance may start at any moment, so the machine counts as in
+            # maintenance until the same order is answered.
             progress.phase = waves.MachinePhase.OUTCOME_UNKNOWN
         elif fleet.is_fenced(outcome):
             self._writer.end_term()
@@ -393,22 +403,22 @@
             instance.is_terminating = False
 
     def _update_cordons(self) -> None:
-        """Cordons the instances of draining machines.
+        """Cordons the instances of draining machines; updates related flags.
 
-        An instance that still runs after the maintenance of its machine was
-        found finished gets work again.
+        If an instance still runs after the maintenance of its machine has
+        finished, it gets work again.
         """
-        pending = self.reserved.pending
+        awaiting_maintenance = self.reserved_machines.pending
         finished = set().union(*map(_finished_machines, self._waves.values()))
         for name, machine in self._listed.items():
             instance = self._scheduler.instances.get(machine.instance)
             if instance is not None:
                 instance.is_cordoned = name in self._draining
-                instance.is_maintenance_due = name in pending
-                if name in self._marked_leaving & finished:
-                    # Reset only what this controller has set: a mover sets
-                    # it too.
-                    self._marked_leaving.discard(name)
+                instance.is_maintenance_due = name in awaiting_maintenance
+                if name in self._marked_terminating & finished:
+                    # Reset the flag only if this controller has set it: the
+                    # mover sets it too.
+                    self._marked_terminating.discard(name)
                     instance.is_terminating = False
 
 
--- a/src/vanillaswitch/coordination/fleet/machines/waves.py
+++ b/src/vanillaswitch/coordination/fleet/machines/waves.py
@@ -1,9 +1,9 @@
 """State of a maintenance wave and the choice of its next machines.
 
 Load pattern: a wave contains about half of the machines. Only one or a few may
-be down at a time, and the wave has little more time than their maintenance
-takes. So the next machines are drained while the current ones are in
-maintenance, and empty machines go first.
+be in maintenance at a time, and the wave has little more time than the
+maintenance of all its machines takes. So the next machines are drained while
+others are in maintenance, and empty machines are maintained first.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,15 @@
 
 
 class MachinePhase(enum.StrEnum):
-    """Progress of a machine of a wave."""
+    """Phase of the maintenance of a machine of a wave.
+
+    Attributes:
+        WAITING: maintenance was not ordered yet.
+        OUTCOME_UNKNOWN: maintenance was ordered without an answer and may start
+            at any moment.
+        IN_MAINTENANCE: maintenance was ordered and accepted, or has started.
+        DONE: maintenance is finished, or the machine was removed.
+    """
 
     WAITING = "waiting"
     OUTCOME_UNKNOWN = "in-doubt"
@@ -30,8 +38,10 @@
     """Progress of one machine of a wave.
 
     Attributes:
-        instance: the instance that ran on it when the order was sent.
-        ordered_at: monotonic seconds at which the order was accepted.
+        instance: the instance that the machine ran when maintenance was
+            ordered.
+        ordered_at: monotonic seconds at which the order was accepted, or the
+            maintenance was first seen.
     """
 
     machine: str
@@ -46,7 +56,7 @@
 
     Attributes:
         unavailable: machines that are draining, or may be in maintenance.
-        pending: machines whose maintenance was not ordered yet.
+        pending: machines of waves whose maintenance was not ordered yet.
     """
 
     unavailable: frozenset[str] = frozenset()
@@ -60,14 +70,14 @@
     Attributes:
         first_seen_at: monotonic seconds at which an owner first saw it.
         machines: progress of its machines, by name.
-        reported: the last status written for the operators, True for
-            completed; None before the first.
+        reported_completed: the last status written for the operators: True for
+            completed, False for running, None before the first.
     """
 
     order: fleet.WaveOrder
     first_seen_at: float
     machines: dict[str, MachineProgress]
-    reported: bool | None = None
+    reported_completed: bool | None = None
 
     @property
     def completed(self) -> bool:
@@ -85,19 +95,23 @@
 
 
 def update_progress(
-    wave: Wave, listed: Mapping[str, fleet.Machine], upkeep_s: float, now: float
+    wave: Wave,
+    listed: Mapping[str, fleet.Machine],
+    maintenance_s: float,
+    now: float,
 ) -> None:
     """Updates the progress of a wave from the list of machines.
 
-    An ordered machine is done when its maintenance is over. It is also done
-    when the same instance still runs on it: an earlier owner had ordered the
-    maintenance, and the platform accepts the repeated order without effect. A
-    machine that was removed from the list needs no maintenance.
+    A machine is done when its maintenance is over. It is also done if the
+    platform accepted the order but the machine still runs the same instance:
+    then an earlier owner had ordered the maintenance, and the platform accepted
+    the repeated order without effect. A machine that is not in the list any
+    more counts as done.
 
     Args:
         wave: the wave to update.
         listed: machines by name.
-        upkeep_s: duration of the maintenance of a machine.
+        maintenance_s: duration of the maintenance of a machine.
         now: monotonic seconds.
     """
     for progress in wave.machines.values():
@@ -109,10 +123,10 @@
                 progress.phase = MachinePhase.IN_MAINTENANCE
                 progress.ordered_at = now
         elif progress.phase is MachinePhase.IN_MAINTENANCE:
-            unchanged = (
+            is_same_instance = (
                 progress.instance and progress.instance == machine.instance
             )
-            if unchanged or now - progress.ordered_at >= upkeep_s:
+            if is_same_instance or now - progress.ordered_at >= maintenance_s:
                 progress.phase = MachinePhase.DONE
 
 
@@ -136,13 +150,14 @@
 
     Args:
         wave: the wave.
-        listed: the machines as last listed.
+        listed: machines by name.
         cost: returns the cost of draining a machine now.
-        drain_ahead: how many to drain besides those that may be down at once.
-        moving: machines on their way to another pool, even if they are listed
-            as up.
+        drain_ahead: how many machines to drain in advance, in addition to those
+            that may be in maintenance at once.
+        moving: machines that are moving to another pool, even if they are
+            listed as up.
     """
-    waiting = [
+    waiting_machines = [
         progress.machine
         for progress in wave.machines.values()
         if progress.phase is MachinePhase.WAITING
@@ -150,4 +165,6 @@
         and listed[progress.machine].state is fleet.MachineState.UP
     ]
     limit = wave.order.max_count - count_in_maintenance(wave) + drain_ahead
-    return sorted(waiting, key=lambda name: (cost(name), name))[: max(0, limit)]
+    return sorted(waiting_machines, key=lambda name: (cost(name), name))[
+        : max(0, limit)
+    ]
--- a/src/vanillaswitch/coordination/fleet/operator_table.py
+++ b/src/vanillaswitch/coordination/fleet/operator_table.py
@@ -1,4 +1,4 @@
-"""The configuration and the wave orders in the operators' table."""
+"""Reads the operators' table and writes the progress of maintenance waves."""
 
 from collections.abc import Callable
 from collections.abc import Collection
@@ -23,14 +23,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class OperatorFormat:
-    """The platform's format of rows that operators write and read.
+    """Describes the platform's format of rows that operators write and read.
 
     Attributes:
         config_key: key of the configuration row.
-        wave_prefix: prefix of the keys of waves.
-        status_table: table of the wave states that operators read.
+        wave_prefix: prefix of the keys of rows of waves.
+        status_table: table of the wave statuses that operators read.
         config: parses the configuration row.
-        wave: parses a wave's row, given its key.
+        wave: parses the row of a wave, given its key and content.
         wave_status: builds the status of a wave, given whether it is
             completed.
     """
@@ -51,20 +51,20 @@
     def __init__(
         self,
         table: platform.Table,
-        form: OperatorFormat,
-        time: reference_clock.ReferenceClock,
+        row_format: OperatorFormat,
+        store_clock: reference_clock.ReferenceClock,
         emit: Callable[[object], None],
     ):
         self._emit = emit
-        self._time = time
+        self._store_clock = store_clock
         self._table = table
-        self._format = form
+        self._format = row_format
         self._config: fleet.FleetConfig | None = None
         self._waves: dict[str, fleet.WaveOrder] = {}
 
     @property
     def config(self) -> fleet.FleetConfig | None:
-        """The newest configuration; None before the first."""
+        """The newest configuration; None before one was read."""
         return self._config
 
     def on_snapshot(self, snapshot: change_feeds.Snapshot) -> None:
@@ -78,12 +78,12 @@
         """Applies changed rows of the operators' table."""
         for change in changes:
             if change.read_error:
-                # The previous content of the row stays in force.
+                # The previous content of the row remains valid.
                 self._report_unusable(change, change.read_error)
             elif change.key == self._format.config_key and change.value:
-                self._on_config(change, change.value)
+                self._apply_config(change, change.value)
             elif change.key.startswith(self._format.wave_prefix):
-                self._on_wave(change)
+                self._apply_wave(change)
 
     def _report_unusable(
         self, change: change_feeds.RowChange, why: str
@@ -92,7 +92,7 @@
             events.RowUnusable("operators", change.key, change.version, why)
         )
 
-    def _on_config(
+    def _apply_config(
         self, change: change_feeds.RowChange, document: Mapping[str, Any]
     ) -> None:
         config = self._format.config(document)
@@ -104,7 +104,7 @@
         self._config = config
         self._emit(events.ConfigInForce(config.version, len(config.queues)))
 
-    def _on_wave(self, change: change_feeds.RowChange) -> None:
+    def _apply_wave(self, change: change_feeds.RowChange) -> None:
         if change.value is None:
             self._waves.pop(change.key, None)
             return
@@ -121,15 +121,15 @@
     def start_wave(self, wave: str) -> wave_controller.WaveProgress | None:
         """Returns the stored state of a wave; stores its start if it is new."""
         key = f"{WAVE_PROGRESS_TABLE}/{wave}"
-        began: dict[str, Any] = {
+        new_row: dict[str, Any] = {
             "machines": [],
-            "began_store_ms": self._time.store_now_ms or 0,
+            "began_store_ms": self._store_clock.store_now_ms or 0,
         }
 
-        def begun(document: Mapping[str, Any]) -> dict[str, Any]:
-            return began | dict(document)
+        def add_missing_fields(document: Mapping[str, Any]) -> dict[str, Any]:
+            return new_row | dict(document)
 
-        if not self._update(key, begun):
+        if not self._update(key, add_missing_fields):
             return None
         read = self._table.read([key])
         if isinstance(read, platform.Unavailable) or not read.rows:
@@ -140,7 +140,7 @@
             # The start is unknown, so the age counts from now.
             logs.warning("{}: began_store_ms is not a number, using now", key)
             began_ms = 0
-        age_s = self._time.age_of_s(began_ms)
+        age_s = self._store_clock.age_of_s(began_ms)
         return wave_controller.WaveProgress(
             tuple(finished_machines(row)), age_s
         )
@@ -148,25 +148,27 @@
     def save_finished(self, wave: str, machines: Collection[str]) -> bool:
         """Adds machines to the stored finished machines of a wave.
 
-        The set only grows, so a delayed copy of a write is harmless.
+        No machine is ever removed, so a delayed copy of a write is harmless.
         """
 
-        def merged(document: Mapping[str, Any]) -> dict[str, Any]:
-            known = finished_machines(document) | set(machines)
-            return dict(document) | {"machines": sorted(known)}
+        def add_finished(document: Mapping[str, Any]) -> dict[str, Any]:
+            finished = finished_machines(document) | set(machines)
+            return dict(document) | {"machines": sorted(finished)}
 
-        return self._update(f"{WAVE_PROGRESS_TABLE}/{wave}", merged)
+        return self._update(f"{WAVE_PROGRESS_TABLE}/{wave}", add_finished)
 
     def report_status(self, wave: str, completed: bool) -> bool:
         """Writes the status of a wave for the operators."""
         status = dict(self._format.wave_status(completed))
-        done = dict(self._format.wave_status(True))
+        completed_status = dict(self._format.wave_status(True))
 
-        def newer(document: Mapping[str, Any]) -> dict[str, Any]:
-            # A completed wave never becomes running again.
-            return done if document == done else status
+        def keep_completed(document: Mapping[str, Any]) -> dict[str, Any]:
+            # A completed wave must not be reported as running again.
+            return completed_status if document == completed_status else status
 
-        return self._update(f"{self._format.status_table}/{wave}", newer)
+        return self._update(
+            f"{self._format.status_table}/{wave}", keep_completed
+        )
 
     def _update(
         self, key: str, change: Callable[[Mapping[str, Any]], dict[str, Any]]
@@ -189,12 +191,14 @@
 
 
 def finished_machines(document: Mapping[str, Any]) -> set[str]:
-    """Returns the finished machines of a wave's row."""
-    named = document.get("machines")
-    if named is None:
+    """Returns the finished machines that the row of a wave contains."""
+    machines = document.get("machines")
+    if machines is None:
         return set()
-    if not isinstance(named, list):
+    if not isinstance(machines, list):
         # All machines are maintained again, which is safe.
-        logs.warning("a wave's row: machines is not a list, maintaining all")
+        logs.warning(
+            "row of a wave: machines is not a list, maintaining all again"
+        )
         return set()
-    return {machine for machine in named if isinstance(machine, str)}
+    return {machine for machine in machines if isinstance(machine, str)}
