--- a/src/vanillaswitch/coordination/fleet/machines/capacity_planner.py
+++ b/src/vanillaswitch/coordination/fleet/machines/capacity_planner.py
@@ -265,13 +265,13 @@
             assigned_count = len(load.idle_machines) - len(unassigned)
             surplus = self._surplus(load) - assigned_count
             # Takes from the end: see ``PoolLoad.idle_machines``.
-            released = (
+            surplus_machines = (
                 unassigned[max(0, len(unassigned) - surplus) :]
                 if surplus > 0
                 else []
             )
             moves_to_standby.extend(
-                Move(machine, target) for machine in released
+                Move(machine, target) for machine in surplus_machines
             )
         return moves_to_standby
 
--- a/src/vanillaswitch/coordination/fleet/operator_table.py
+++ b/src/vanillaswitch/coordination/fleet/operator_table.py
@@ -171,7 +171,7 @@
         )
 
     def _update(
-        self, key: str, change: Callable[[Mapping[str, Any]], dict[str, Any]]
+        self, key: str, modify: Callable[[Mapping[str, Any]], dict[str, Any]]
     ) -> bool:
         for _ in range(_MAX_ATTEMPTS):
             read = self._table.read([key])
@@ -179,7 +179,7 @@
                 return False
             version = read.rows[0].version if read.rows else platform.ABSENT
             before = read.rows[0].value if read.rows else {}
-            after = change(before)
+            after = modify(before)
             if read.rows and after == before:
                 return True
             put = platform.Put(key, version, after)
