--- a/src/vanillaswitch/platform/advice.py
+++ b/src/vanillaswitch/platform/advice.py
@@ -45,7 +45,7 @@
             return fleet.NoAnswer(False, f"status {response.status}")
         # "good" lists pairs of an instance and its ticket.
         tickets = {
-            str(row[0]): str(row[1]) for row in response.body.get("good", ())
+            str(pair[0]): str(pair[1]) for pair in response.body.get("good", ())
         }
         validity_s = float(response.body.get("validity_ms", 0.0)) / 1000
         return fleet.Tickets(tickets, validity_s)
--- a/src/vanillaswitch/platform/http_calls.py
+++ b/src/vanillaswitch/platform/http_calls.py
@@ -55,7 +55,7 @@
         body: JSON object; None for an empty body.
         headers: additional header fields.
         timeout_s: limit for the whole call.
-        fresh: use a new connection instead of a kept one.
+        fresh: use a new connection instead of a pooled one.
     """
     data = b"" if body is None else json.dumps(body).encode()
     outcome = client.call(
--- a/src/vanillaswitch/platform/http_table.py
+++ b/src/vanillaswitch/platform/http_table.py
@@ -33,7 +33,7 @@
 
 SUSPECT_CONNECTIONS_S = 0.1
 """Once a call has waited for its answer for this long, other calls open new
-connections. The kept connections may all have gone silent together, and each
+connections. The pooled connections may all have gone silent together, and each
 would delay a call up to its time limit. An idle store answers in 7 ms."""
 
 OUTAGE_S = 1.0
@@ -41,8 +41,8 @@
 60 times slower than usual answers in half that time."""
 
 _OK = 200
-_CONFLICT = 412
-_HISTORY_LOST = 410
+_PRECONDITION_FAILED = 412
+_GONE = 410
 _NOT_APPLIED = frozenset({429, 503})
 
 
@@ -151,7 +151,7 @@
             return platform.Committed(version)
         if response.status == _OK:
             return platform.OutcomeUnknown("the response has no row_version")
-        if response.status == _CONFLICT:
+        if response.status == _PRECONDITION_FAILED:
             return store_rows.decode_conflict(
                 transaction, response.body.get("rows", ())
             )
@@ -177,21 +177,21 @@
         gevent.joinall(greenlets, raise_error=True)
         rows: list[change_feeds.RowChange] = []
         versions: list[int] = []
-        missing: dict[str, str] = {}
+        unreadable: dict[str, str] = {}
         for partition, greenlet in zip(wanted, greenlets, strict=True):
             result = greenlet.value
             if isinstance(result, platform.Unavailable):
-                missing[partition] = result.reason
+                unreadable[partition] = result.reason
                 continue
             versions.append(result.version)
             rows.extend(
                 store_rows.decode_change(table, raw) for raw in result.rows
             )
-        reason = next(iter(missing.values()), "")
+        reason = next(iter(unreadable.values()), "")
         if not versions:
             return platform.Unavailable(reason)
         return change_feeds.Snapshot(
-            tuple(rows), min(versions), tuple(missing), reason
+            tuple(rows), min(versions), tuple(unreadable), reason
         )
 
     def _read_partition(
@@ -231,12 +231,12 @@
             f"/-/rows-feed?{query}",
             None,
             wait_s + FEED_MARGIN_S,
-            self._suspects_kept_connections(),
+            self._suspects_pooled_connections(),
         )
         if isinstance(response, http_calls.NoResponse):
             return platform.Unavailable(response.reason)
         self._on_response(response)
-        if response.status == _HISTORY_LOST:
+        if response.status == _GONE:
             return change_feeds.HistoryTruncated()
         if response.status != _OK:
             return platform.Unavailable(f"status {response.status}")
@@ -278,8 +278,8 @@
             )
         return response.body
 
-    def _suspects_kept_connections(self) -> bool:
-        """Returns whether kept connections may have gone silent.
+    def _suspects_pooled_connections(self) -> bool:
+        """Returns whether pooled connections may have gone silent.
 
         Connections to the store may go silent together. So all are suspect if
         the last call got no answer or a current one has waited too long.
@@ -301,7 +301,7 @@
     ) -> http_calls.JsonResponse | http_calls.NoResponse:
         if self._unanswered_since is None:
             self._unanswered_since = self._clock.monotonic()
-        fresh = self._suspects_kept_connections()
+        fresh = self._suspects_pooled_connections()
         number = next(self._call_numbers)
         started_at = self._clock.monotonic()
         self._calls_in_flight[number] = started_at
--- a/src/vanillaswitch/platform/job_body.py
+++ b/src/vanillaswitch/platform/job_body.py
@@ -23,7 +23,7 @@
     "mem_mb": "mem_mb",
     "gpu": "gpu",
     "anti_affinity": "anti_affinity",
-    "may_miss": "may_miss",  # disruption budget: tasks that may be down
+    "may_miss": "may_miss",  # disruption budget
 }
 _FLAGS = {
     "gang": "gang",
@@ -31,11 +31,11 @@
     "checkpointable": "checkpointable",
     "speculative": "speculative",
     "long_running": "long_running",
-    "fills": "fills",  # uses only processors that other tasks leave idle
+    "fills": "fills",  # uses only idle processor time
 }
-_TEXTS = {"requires": "requires", "affinity": "affinity", "image": "image"}
+_STRINGS = {"requires": "requires", "affinity": "affinity", "image": "image"}
 _NUMBERS = {"estimate_ms": "estimate_ms", "target_ms": "target_ms"}
-_STEP_FIELDS = {"count", "after", *_COUNTS, *_FLAGS, *_TEXTS, *_NUMBERS}
+_STEP_FIELDS = {"count", "after", *_COUNTS, *_FLAGS, *_STRINGS, *_NUMBERS}
 _JOB_FIELDS = {
     "spec",
     "steps",
@@ -130,7 +130,7 @@
         values[field] = _get_number(raw, name, location)
     for name, field in _FLAGS.items():
         values[field] = _get_typed(raw, name, location, bool, False)
-    for name, field in _TEXTS.items():
+    for name, field in _STRINGS.items():
         values[field] = _get_typed(raw, name, location, str, "")
     count = _get_count(raw, "count", location)
     if not count:
--- a/src/vanillaswitch/platform/job_request_handler.py
+++ b/src/vanillaswitch/platform/job_request_handler.py
@@ -37,16 +37,16 @@
 
     def __init__(
         self,
-        job_intake: job_service.JobService,
+        job_service_: job_service.JobService,
         owner_rpc_: owner_rpc.OwnerRpc,
         config: Callable[[], fleet.FleetConfig | None],
         clock: clocks.Clock,
-        time: reference_clock.ReferenceClock,
+        reference_clock_: reference_clock.ReferenceClock,
         emit: Callable[[object], None],
     ):
         self._emit = emit
-        self._time = time
-        self._intake = job_intake
+        self._reference_clock = reference_clock_
+        self._job_service = job_service_
         self._owner_rpc = owner_rpc_
         self._config = config
         self._clock = clock
@@ -112,12 +112,12 @@
                 job_id,
                 queue.name,
                 queue.service,
-                int(self._time.store_now_ms or 0),
+                int(self._reference_clock.store_now_ms or 0),
                 int(self._clock.wall() * 1000),
             )
         except job_body.BadJobError as error:
             return _refusal(400, "bad-job", str(error))
-        result = self._intake.submit(job, self._deadline(incoming))
+        result = self._job_service.submit(job, self._deadline(incoming))
         waited_s = self._clock.monotonic() - incoming.received
         self._emit(
             events.HandedIn(
@@ -141,7 +141,7 @@
     ) -> requests.Reply:
         state = self._owner_rpc.state(job_id)
         if state is None:
-            stored = self._intake.state(job_id, self._deadline(incoming))
+            stored = self._job_service.state(job_id, self._deadline(incoming))
             if isinstance(stored, job_store.StateUnknown):
                 return _refusal(503, "no-store", "come back soon", 1.0)
             state = stored
@@ -155,7 +155,7 @@
         state = self._owner_rpc.state(job_id)
         if state is not None and state.is_final:
             return _ok(job_body.encode_state(state))
-        result = self._intake.cancel(
+        result = self._job_service.cancel(
             job_id, state is not None, self._deadline(incoming)
         )
         self._emit(events.CancelAsked(job_id, result.value))
--- a/src/vanillaswitch/platform/machines.py
+++ b/src/vanillaswitch/platform/machines.py
@@ -35,6 +35,14 @@
     def __init__(
         self, client: plain_http.PlainClient, address: str, holder: str
     ):
+        """Creates a client of the machine API.
+
+        Args:
+            client: sends the calls.
+            address: "ip:port" of the API.
+            holder: name of this process, sent as ``X-Lease-Holder`` with each
+                order.
+        """
         self._client = client
         self._address = address
         self._holder = holder
@@ -44,16 +52,18 @@
     def list(self) -> Sequence[fleet.Machine] | fleet.NoAnswer:
         """Reads all pages of the list.
 
-        The list is dropped as a whole if one machine in it is unusable. A
-        machine left out would count as gone, and its tasks would start
+        One invalid entry makes the whole list unusable. If the entry were left
+        out, its machine would count as gone, and its tasks would be started
         elsewhere.
         """
         found: list[fleet.Machine] = []
-        token = None
+        page_token = None
         while True:
             target = "/-/machines"
-            if token:
-                target += "?" + urllib.parse.urlencode({"page_token": token})
+            if page_token:
+                target += "?" + urllib.parse.urlencode(
+                    {"page_token": page_token}
+                )
             response = self._call("GET", target, None, (), LIST_TIMEOUT_S)
             if isinstance(response, http_calls.NoResponse):
                 return fleet.NoAnswer(response.sent, response.reason)
@@ -67,8 +77,8 @@
                         True, f"unusable machine: {decoded.reason}"
                     )
                 found.append(decoded)
-            token = response.body.get("next_token")
-            if not token:
+            page_token = response.body.get("next_token")
+            if not page_token:
                 self._decoded_entries = {
                     item.name: self._decoded_entries[item.name]
                     for item in found
--- a/src/vanillaswitch/platform/operator_rows.py
+++ b/src/vanillaswitch/platform/operator_rows.py
@@ -48,8 +48,11 @@
         service: pool of the instances that run the queue's tasks.
         priority: 0 is the highest.
         max_attempts: number of failed runs of one task that fail its job.
-        stretch: factor on the job's longest chain in the latency objective.
+        stretch: factor on the estimated duration of the job's longest chain of
+            steps in the latency objective.
         target_duration_ms: constant part of the latency objective.
+        timeout_ms: not used.
+        advice: parameters of the advisor; null if steps may run anywhere.
     """
 
     name: str
--- a/src/vanillaswitch/platform/settings.py
+++ b/src/vanillaswitch/platform/settings.py
@@ -13,7 +13,7 @@
 
 ENVIRONMENT_VARIABLE = "VANILLASWITCH_SETTINGS"
 SUPPORTED_ORDER_MODE = "request"
-"""The only supported value of ``orders``, how instances take orders."""
+"""The only supported value of the field ``orders``: how orders are sent."""
 
 SUPPORTED_CONTRACTS = frozenset(
     {
@@ -29,6 +29,8 @@
         "sharing",
     }
 )
+"""Parts of the platform's rules that this version implements; the field
+``contracts`` lists those in force."""
 
 _DEFAULT_BOUNDS = deployment.Bounds()
 
@@ -39,12 +41,12 @@
     Raises:
         errors.SettingsError: the environment variable is not set.
     """
-    named = os.environ.get(ENVIRONMENT_VARIABLE)
-    if not named:
+    file_name = os.environ.get(ENVIRONMENT_VARIABLE)
+    if not file_name:
         raise errors.SettingsError(
             f"set {ENVIRONMENT_VARIABLE} to the path of the settings file"
         )
-    return pathlib.Path(named)
+    return pathlib.Path(file_name)
 
 
 def load(file: pathlib.Path) -> deployment.Deployment:
--- a/src/vanillaswitch/platform/store_rows.py
+++ b/src/vanillaswitch/platform/store_rows.py
@@ -6,8 +6,8 @@
 fleet writes are in one partition, and rows that clients submit are spread over
 several. Tables that this program shares with the platform are not partitioned
 and hold plain documents. A row of any other table holds a document and the
-token of the transaction that wrote it, which settles a commit whose answer was
-lost (see ``coordination.commits``).
+token of the transaction that wrote it. The token shows whether a commit whose
+answer was lost took effect (see ``coordination.commits``).
 """
 
 import base64
@@ -25,8 +25,8 @@
 
 CLIENT_PARTITIONS = 24
 """Partitions of a table that clients write to. A store that is 60 times slower
-than usual takes about four transactions a second in a partition, and a fleet
-of 97 machines submits 57 jobs a second; 8 partitions took only 34 of them.
+than usual commits about four transactions a second in a partition, and a fleet
+of 97 machines submits 57 jobs a second; 8 partitions handled only 34 of them.
 Each partition costs a new owner one more call."""
 
 _PARTITION = "vanillaswitch"
--- a/src/vanillaswitch/platform/upstreams.py
+++ b/src/vanillaswitch/platform/upstreams.py
@@ -21,7 +21,8 @@
 """One more than the highest TCP port."""
 
 PACE_TIMEOUT_S = 1.0
-"""Time limit for a pace order; a healthy instance answers at once."""
+"""Time limit for an order that limits a run's speed; a healthy instance answers
+at once."""
 
 _OK = 200
 _CONFLICT = 409
@@ -29,7 +30,7 @@
 _BAD_REQUEST = 400
 
 
-_NO_BORN = -1
+_BORN_MISSING = -1
 """Default of ``born``; instances of older versions do not send the field."""
 
 _DRAINING = "draining"
@@ -67,7 +68,7 @@
     Attributes:
         service: the pool that the instance belongs to.
         labels: kind of machine first, rack last.
-        born: start of the instance, in milliseconds since 1970.
+        born: start of the instance, in milliseconds since the Unix epoch.
     """
 
     service: str
@@ -76,7 +77,7 @@
     state: str
     capacity: Capacity
     labels: tuple[str, ...]
-    born: int = _NO_BORN
+    born: int = _BORN_MISSING
     version: str = ""
     slots: int = 0
     cold_left_ms: float = 0.0
@@ -107,7 +108,7 @@
         is_draining=row.state == _DRAINING,
         capacity=capacity,
         labels=row.labels,
-        born_ms=None if row.born == _NO_BORN else row.born,
+        born_ms=None if row.born == _BORN_MISSING else row.born,
     )
 
 
@@ -287,8 +288,8 @@
 ) -> fleet.StatusReport | fleet.NoAnswer:
     """Decodes an instance's status report.
 
-    A report that can't be decoded counts as no answer. Read as an empty
-    report, it would have the instance's tasks started elsewhere.
+    A report that can't be decoded counts as no answer. If it counted as an
+    empty report, the instance's tasks would be started elsewhere.
     """
     clock_ms = _clock_ms(body)
     if clock_ms is None:
--- a/src/vanillaswitch/protocol/change_feeds.py
+++ b/src/vanillaswitch/protocol/change_feeds.py
@@ -16,9 +16,9 @@
         key: name of the row within the table.
         value: content; None if the row was deleted or can't be read.
         version: number of the commit that wrote or deleted the row.
-        read_error: why the content can't be read; empty if it can. A damaged
-            row still exists: readers use its previous content for as long as it
-            may be used.
+        read_error: why the content can't be read; empty if it can. Such a row
+            still exists, and readers keep its previous content while that is
+            valid.
     """
 
     key: str
@@ -47,9 +47,9 @@
 
     Attributes:
         version: version after which to read changes.
-        unreadable_partitions: parts of the table that could not be read;
-            ``rows`` has no rows of these parts.
-        unreadable_reason: why the first of these parts could not be read.
+        unreadable_partitions: partitions that could not be read; ``rows`` has
+            no rows of them.
+        unreadable_reason: why the first of them could not be read.
     """
 
     rows: tuple[RowChange, ...]
@@ -69,10 +69,14 @@
     def snapshot(
         self, table: str, parts: tuple[str, ...] = ()
     ) -> Snapshot | platform.Unavailable:
-        """Reads all rows of a table, or of some of its parts.
+        """Reads all rows of a table, or of some of its partitions.
+
+        Args:
+            table: name of the table.
+            parts: the partitions to read; empty for all.
 
         Returns:
-            ``Unavailable`` if no part could be read.
+            ``Unavailable`` if no partition could be read.
         """
 
     def changes(
--- a/src/vanillaswitch/protocol/claims.py
+++ b/src/vanillaswitch/protocol/claims.py
@@ -11,7 +11,7 @@
     """The request is claimed for this process, which may send it once.
 
     Attributes:
-        ticket: identifies the claim in the call that settles it.
+        ticket: id of the claim, to pass to the call that closes it.
     """
 
     ticket: str
@@ -27,8 +27,8 @@
 class ClaimService(Protocol):
     """Claims requests by their idempotency keys.
 
-    The caller settles each ``Proceed`` with exactly one call of one of the
-    other methods.
+    The caller closes each claim that ``begin`` makes with exactly one call of
+    ``release``, ``finish`` or ``lost``.
     """
 
     def begin(
--- a/src/vanillaswitch/protocol/codec.py
+++ b/src/vanillaswitch/protocol/codec.py
@@ -153,22 +153,22 @@
         # A msgpack.Unpacker would use 40 KB per stream. With length-prefixed
         # frames, only an incomplete frame needs a buffer.
         self._buffer = bytearray()
-        self._fault: MalformedStream | None = None
+        self._error: MalformedStream | None = None
 
     def feed(self, data: bytes) -> Decoded:
-        """Decodes the next bytes; ignores them after an earlier fault."""
+        """Decodes the next bytes; ignores them after an earlier error."""
         messages: list[peers.Message] = []
-        passed_over = 0
+        skipped_frames = 0
         try:
             for frame in self._frames(data):
                 message = _decode_message(frame)
                 if message is not None:
                     messages.append(message)
                 elif frame is not None:
-                    passed_over += 1
+                    skipped_frames += 1
         except (zlib.error, ValueError, msgpack.UnpackException) as error:
-            self._fault = MalformedStream(repr(error))
-        return Decoded(tuple(messages), passed_over, self._fault)
+            self._error = MalformedStream(repr(error))
+        return Decoded(tuple(messages), skipped_frames, self._error)
 
     def _frames(self, data: bytes) -> typing.Iterator[Any]:
         """Yields complete frames.
@@ -177,7 +177,7 @@
         a frame's length before buffering it limits the memory that a faulty
         peer can make this process use to one message.
         """
-        if self._fault is not None:
+        if self._error is not None:
             return
         inflated = self._inflate.decompress(data, _CHUNK_BYTES)
         while inflated:
--- a/src/vanillaswitch/protocol/fleet.py
+++ b/src/vanillaswitch/protocol/fleet.py
@@ -1,4 +1,8 @@
-"""The fleet as its owner sees it, the orders it sends and their outcomes."""
+"""The fleet as its owner sees it, the orders it sends and their outcomes.
+
+A run is one attempt of an instance to execute a task. The runs of a task are
+numbered; a later run has a higher number.
+"""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -60,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class AdvisorConfig:
-    """The advisor of a queue whose steps may only run on some instances.
+    """Settings of the advisor that decides where a queue's steps may run.
 
     Attributes:
         decision_ms: time that the advisor takes for a call.
@@ -81,12 +85,15 @@
     duration of its longest chain of steps, plus ``target_ms``.
 
     Attributes:
-        prefix: path prefix of the queue's requests.
+        prefix: prefix of the paths of its requests.
         service: pool of the instances that run its tasks.
         priority: lower values go first; 0 is the highest priority.
         max_attempts: number of failed runs of one task that fails the job.
-        stretch: factor of the objective.
+        stretch: factor on the estimated duration in the objective.
         target_duration_ms: constant part of the objective.
+        timeout_ms: part of the operators' configuration; not used.
+        advice: settings of its advisor; None if its steps may run on any
+            instance.
     """
 
     name: str
@@ -173,7 +180,15 @@
 
 
 class MachineState(enum.StrEnum):
-    """The state of a machine."""
+    """The state of a machine.
+
+    Attributes:
+        UP: it is in operation.
+        MOVING: it is changing to another pool.
+        MAINTENANCE: it is in maintenance.
+        DOWN: it is not in operation.
+        UNKNOWN: the platform lists a state that this version does not know.
+    """
 
     UP = "up"
     MOVING = "moving"
@@ -199,7 +214,15 @@
 
 
 class RunOutcome(enum.StrEnum):
-    """How a run ended."""
+    """How a run ended.
+
+    Attributes:
+        DONE: the task is complete.
+        FAILED: the task failed.
+        STOPPED: it was stopped by an order.
+        LEASE_EXPIRED: its lease was not renewed in time.
+        BROKEN: another member of its gang failed.
+    """
 
     DONE = "done"
     FAILED = "failed"
@@ -217,7 +240,7 @@
         checkpoint: newest checkpoint; empty for none.
         percent: progress; for a long-running task, whether it is serving.
         gauge: tail latency in milliseconds for a task that serves users, else
-            thousandths of a core in use; over the last half second.
+            thousandths of a core in use; both over the last half second.
     """
 
     task: jobs.TaskName
@@ -245,7 +268,17 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why an order was refused."""
+    """Why an order was refused.
+
+    Attributes:
+        FENCED: the receiver has seen a higher fencing token.
+        STALE_RUN: the instance knows the same or a later run of the task.
+        DEADLINE_PASSED: the end of the lease in the order has passed.
+        NO_CAPACITY: the task exceeds the capacity of the instance.
+        INVALID_TICKET: the ticket of the advisor is invalid.
+        INVALID: the order is invalid, or the reason is unknown.
+        UNHEALTHY: the instance answered with an unexpected status.
+    """
 
     FENCED = "fence"
     STALE_RUN = "old"
@@ -285,7 +318,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refused:
-    """The order had no effect; an earlier copy of it may still have one."""
+    """The order had no effect; an earlier copy of it may still take effect."""
 
     reason: RefusalReason
     clock_ms: float | None = None
@@ -351,7 +384,14 @@
         timeout_s: float,
         fresh: bool,
     ) -> OrderOutcome:
-        """Starts a run; idempotent while the run exists."""
+        """Starts a run; idempotent while the run exists.
+
+        Args:
+            target: the instance.
+            order: the run to start.
+            timeout_s: time limit for the whole call.
+            fresh: use a new connection instead of a pooled one.
+        """
 
     def stop(
         self,
@@ -378,12 +418,12 @@
         Args:
             target: the instance.
             token: fencing token of the sender.
-            seen: number of the last end of a run that the sender recorded.
+            seen: number of the last ``RunEnd`` that the sender has recorded.
             deadline_ms: new end of the lease on the instance's clock; None to
                 leave it unchanged.
             wait_s: how long the instance may wait for a run to end.
             timeout_s: time limit for the whole call.
-            fresh: use a new connection.
+            fresh: use a new connection instead of a pooled one.
         """
 
     def set_pace(
--- a/src/vanillaswitch/protocol/jobs.py
+++ b/src/vanillaswitch/protocol/jobs.py
@@ -22,10 +22,12 @@
     @property
     def is_final(self) -> bool:
         """Whether the state is final."""
-        return self in _ENDED
+        return self in _FINAL_STATES
 
 
-_ENDED = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
+_FINAL_STATES = frozenset(
+    {JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED}
+)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -53,8 +55,8 @@
             users; 0 for other tasks.
         fills: the tasks use only processor time that others leave unused, so
             their ``cpu`` does not count against the instance's capacity.
-        may_miss: disruption budget: how many tasks this system may take down
-            at the same time; 0 for no limit.
+        may_miss: disruption budget: how many of the tasks this program may
+            interrupt at the same time; 0 for no limit.
     """
 
     count: int
@@ -86,13 +88,14 @@
         queue: name of the queue that it was submitted to.
         service: pool of the queue at that time, used if the queue is removed.
         spec: opaque text that is passed to the instances.
-        submitted_ms: when the entry accepted the job, on the store's
-            monotonic clock; 0 if unknown.
-        repeat_count: how often the steps run; 0 for an unscheduled job.
+        submitted_ms: when the process that serves the client accepted the
+            job, on the store's monotonic clock; 0 if unknown.
+        repeat_count: how often the steps run; each time is an occurrence of the
+            job. 0 for an unscheduled job, which has one occurrence.
         first_run_ms: due time of the first occurrence, milliseconds since
             the Unix epoch.
         interval_ms: time between the due times of two occurrences.
-        submitted_wall_ms: wall clock of the entry at ``submitted_ms``,
+        submitted_wall_ms: wall clock of that process at ``submitted_ms``,
             milliseconds since the Unix epoch. Processes use it to agree on
             one wall clock.
         spec_digest: digest of a spec that is stored in a separate row and is
--- a/src/vanillaswitch/protocol/minions.py
+++ b/src/vanillaswitch/protocol/minions.py
@@ -1,4 +1,8 @@
-"""Interface to minions: one attempt to send one request."""
+"""Interface to minions: one attempt to send one request.
+
+A minion is an instance that handles the requests of callers. An entry is a
+process that accepts these requests and forwards them to minions.
+"""
 
 import dataclasses
 from typing import Protocol
--- a/src/vanillaswitch/protocol/peers.py
+++ b/src/vanillaswitch/protocol/peers.py
@@ -31,7 +31,8 @@
         address: "ip:port" on which it accepts peer connections.
         sequence: grows with each heartbeat of this boot.
         config_version: version of its active configuration; 0 for none.
-        view_version: highest commit number of the drains that it applies.
+        view_version: highest version of the ``DrainNotice`` messages or budget
+            rows that it applies.
         leaving: it is shutting down.
         loads: requests in flight by minion instance; absent means zero.
         peers: peer addresses that it knows, for discovery of new processes.
@@ -122,8 +123,8 @@
     never held the claim. Only then are the last two fields set.
 
     Attributes:
-        unbroken_s: how long the sender has kept all of its own claims and
-            has been in contact with all other entries.
+        unbroken_s: for how long without a break the sender has both kept all
+            of its own claims and been in contact with all other entries.
         entries: boots of the live entries that the sender knows.
     """
 
@@ -215,8 +216,8 @@
 
     Attributes:
         boot: boot id in the owner's row.
-        patience_s: an owner whose last write is more recent than this keeps
-            its term.
+        patience_s: an owner whose last write is more recent than this stays
+            the owner.
         asker: address of the sender, which can reach the store.
     """
 
@@ -228,11 +229,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class OwnerStanding:
-    """Answers an ``OwnerQuestion``.
+    """Answers an ``OwnerQuestion``: whether the sender has stopped as owner.
 
     Attributes:
         boot: boot id of the sender.
-        ended: the term in question is over, at the latest from now on.
+        ended: the process in question does not act as the owner any more; if it
+            did until now, it stopped before it sent this.
     """
 
     question: str
@@ -249,7 +251,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoreStanding:
-    """Answers a ``StoreQuestion``.
+    """Answers a ``StoreQuestion``: whether the sender can reach the store.
 
     Attributes:
         answers: the store has recently answered the sender.
@@ -293,7 +295,7 @@
     """The result of an ``Errand``.
 
     Attributes:
-        verdict: the result that the sender would report to its own client.
+        verdict: the result, as for a client of the process that executed it.
         state: the recorded state of the job, if it was requested.
     """
 
--- a/src/vanillaswitch/protocol/platform.py
+++ b/src/vanillaswitch/protocol/platform.py
@@ -165,7 +165,13 @@
 
 
 class InstanceKind(enum.StrEnum):
-    """The purpose of an instance."""
+    """The purpose of an instance.
+
+    Attributes:
+        ENTRY: accepts requests of callers and forwards them to minions.
+        MINION: handles requests of callers.
+        WORKER: runs tasks of jobs.
+    """
 
     ENTRY = "entry"
     MINION = "minion"
@@ -329,7 +335,7 @@
     def checkpoint(
         self, worker: str, operation: str
     ) -> Done | Missing | Unavailable:
-        """Requests a task to write a checkpoint."""
+        """Asks a task to write a checkpoint."""
 
     def throttle(
         self, worker: str, operation: str, share: float
--- a/src/vanillaswitch/protocol/requests.py
+++ b/src/vanillaswitch/protocol/requests.py
@@ -71,7 +71,13 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known about a request without an answer of a minion."""
+    """What is known about a request without an answer of a minion.
+
+    Attributes:
+        NOT_RUN: no minion has run it or will run it.
+        UNKNOWN: a minion may have run it or may still do so.
+        RAN: a minion has run it.
+    """
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
