--- a/src/vanillaswitch/coordination/entry/request_sender.py
+++ b/src/vanillaswitch/coordination/entry/request_sender.py
@@ -265,9 +265,9 @@
             return _not_run(503, "declined", "The minions declined it.")
         case minions_lib.NotSent():
             return _not_run(503, "unreachable", "No minion was reached.")
-        case minions_lib.ResponseLost(timed_out=True):
+        case minions_lib.AnswerLost(timed_out=True):
             return _unknown(504, "no-answer", "No answer came in time.")
-        case minions_lib.ResponseLost():
+        case minions_lib.AnswerLost():
             return _unknown(502, "answer-lost", "The answer broke off.")
 
 
--- a/src/vanillaswitch/coordination/entry/retry.py
+++ b/src/vanillaswitch/coordination/entry/retry.py
@@ -118,7 +118,7 @@
             return AttemptEffect.ANSWERED
         case minions.NotSent():
             return AttemptEffect.NOT_RUN
-        case minions.ResponseLost():
+        case minions.AnswerLost():
             return AttemptEffect.MAY_HAVE_RUN
 
 
@@ -131,7 +131,7 @@
     match outcome:
         case minions.NotSent():
             return True
-        case minions.ResponseLost(timed_out=silent):
+        case minions.AnswerLost(timed_out=silent):
             return not silent
         case minions.Answered():
             return False
--- a/src/vanillaswitch/coordination/fleet/instances/completions.py
+++ b/src/vanillaswitch/coordination/fleet/instances/completions.py
@@ -114,7 +114,7 @@
         instance.consecutive_failed_jobs.clear()
         instance.suspension_count = 0
         name = task.name
-        step = entry.open_by_key[name.occurrence, name.step]
+        step = entry.open_steps_by_key[name.occurrence, name.step]
         step.has_proven_task = True
         if step.step.long_running:
             # It has to run until its job is cancelled, whatever the outcome of
@@ -163,7 +163,7 @@
         task.avoided_instances.add(instance.name)
         self.tracker.mark_dirty(entry)
         name = task.name
-        step = entry.open_by_key[name.occurrence, name.step]
+        step = entry.open_steps_by_key[name.occurrence, name.step]
         self._suspend_if_failing(instance, entry.job.job_id, now)
         queue = self.queues.get(entry.job.queue)
         max_failures = queue.max_attempts if queue else 1
@@ -216,7 +216,7 @@
     ) -> None:
         """Stores a checkpoint; that of a gang member is valid for the gang."""
         name = task.name
-        step = entry.open_by_key[name.occurrence, name.step]
+        step = entry.open_steps_by_key[name.occurrence, name.step]
         for member in step.tasks if step.step.gang else [task]:
             member.checkpoint = checkpoint
 
--- a/src/vanillaswitch/coordination/fleet/instances/crashes.py
+++ b/src/vanillaswitch/coordination/fleet/instances/crashes.py
@@ -164,7 +164,9 @@
         task = entry.task(run.task) if entry else None
         if entry is None or task is None or not task.record_crash(crash):
             return
-        entry.open_by_key[run.task.occurrence, run.task.step].has_crashed = True
+        entry.open_steps_by_key[
+            run.task.occurrence, run.task.step
+        ].has_crashed = True
         self.tracker.mark_dirty(entry)
         long_running = run.step.long_running
         rack = instance.registration.rack
@@ -220,7 +222,9 @@
         That owner's term may have ended before it evaluated the last of them.
         """
         crashed = [
-            step for step in entry.open_by_key.values() if step.has_crashed
+            step
+            for step in entry.open_steps_by_key.values()
+            if step.has_crashed
         ]
         for step in crashed:
             for task in step.tasks:
@@ -249,7 +253,7 @@
         if crash not in task.crashes:
             return
         shared = self._has_shared_cause(pending)
-        was_proven = crash.kind is crash_evidence.CrashKind.PROVEN_RUN
+        was_proven = crash.kind is crash_evidence.CrashKind.OLDER_RUN
         if shared and was_proven and pending.long_running:
             task.remove_crash(crash.run)
         elif (
@@ -318,7 +322,7 @@
         task = entry.task(run.task) if entry else None
         if entry is None or task is None or task.run != run.run:
             return
-        entry.open_by_key[
+        entry.open_steps_by_key[
             run.task.occurrence, run.task.step
         ].has_proven_task = True
         task.is_suspect = False
@@ -328,7 +332,7 @@
         if len(remaining) < len(task.crashes):
             task.crashes = remaining
             self.tracker.mark_dirty(entry)
-        run.is_cleared = not remaining
+        run.crashes_cleared = not remaining
 
     def _emit_crash(
         self,
@@ -368,7 +372,7 @@
 def _may_have_started(run: instance_state.Run) -> bool:
     if run.started_at is not None or run.has_unanswered_start:
         return True
-    return run.sent and not run.is_start_unsent
+    return run.is_start_sent and not run.is_start_unsent
 
 
 def _is_unlikely_cause(run: instance_state.Run, has_suspect: bool) -> bool:
@@ -378,7 +382,7 @@
     later their instance crashes for another reason. Applies to other tasks only
     if a suspected task ran on the same instance.
     """
-    ran_long = run.run_time_s >= crash_evidence.MAX_PROOF_S
+    ran_long = run.run_time_s >= crash_evidence.MAX_REQUIRED_RUN_TIME_S
     return ran_long and (has_suspect or run.step.long_running)
 
 
@@ -388,8 +392,8 @@
     """Returns the kind of evidence that a loss gives against a run."""
     if not crash_confirmed or run.started_at is None:
         return crash_evidence.CrashKind.UNCERTAIN
-    if run.run_time_s >= crash_evidence.MIN_PROOF_S:
-        return crash_evidence.CrashKind.PROVEN_RUN
+    if run.run_time_s >= crash_evidence.MIN_REQUIRED_RUN_TIME_S:
+        return crash_evidence.CrashKind.OLDER_RUN
     if run.started_before_term:
         return crash_evidence.CrashKind.UNCERTAIN
     return crash_evidence.CrashKind.NEW_RUN
--- a/src/vanillaswitch/coordination/fleet/instances/disruption_budget.py
+++ b/src/vanillaswitch/coordination/fleet/instances/disruption_budget.py
@@ -50,7 +50,9 @@
     """Returns the assumed availability of the tasks beside a given one."""
     entry = state.tracker.get(name.job_id)
     step = (
-        entry.open_by_key.get((name.occurrence, name.step)) if entry else None
+        entry.open_steps_by_key.get((name.occurrence, name.step))
+        if entry
+        else None
     )
     if step is None or not step.step.may_miss:
         return SiblingStatus()
@@ -144,7 +146,9 @@
     for (job_id, occurrence, step_number), indices in ending_indices.items():
         entry = state.tracker.get(job_id)
         step = (
-            entry.open_by_key.get((occurrence, step_number)) if entry else None
+            entry.open_steps_by_key.get((occurrence, step_number))
+            if entry
+            else None
         )
         if step is None:
             continue
--- a/src/vanillaswitch/coordination/fleet/instances/instance_client.py
+++ b/src/vanillaswitch/coordination/fleet/instances/instance_client.py
@@ -96,7 +96,7 @@
         self._recorded_event = gevent.event.Event()
         self._start_slots = gevent.lock.BoundedSemaphore(MAX_CONCURRENT_STARTS)
 
-    def mark_recorded(self, number: int, incarnation: int) -> None:
+    def mark_ends_recorded(self, number: int, incarnation: int) -> None:
         """Records that the ends of runs up to a number were written.
 
         Args:
@@ -177,12 +177,12 @@
         """
         began_at = self._clock.monotonic()
         wait_s = 0.0
-        if instance.is_adopted and not instance.is_unresponsive and not again:
+        if instance.has_reported and not instance.is_unresponsive and not again:
             wait_s = BUSY_POLL_S if instance.runs else IDLE_POLL_S
             if instance.has_isolated_run:
                 # Other starts on this instance wait until a report shows that
                 # the isolated task does not crash it.
-                wait_s = crash_evidence.MIN_PROOF_S
+                wait_s = crash_evidence.MIN_REQUIRED_RUN_TIME_S
             if instance.last_end_number > self.acknowledged_end(instance):
                 wait_s = 0.0
         deadline_ms = self._deadline_ms(instance, began_at)
@@ -226,9 +226,9 @@
             instance's clock is unknown before its first answer, or this
             process last confirmed its ownership too long ago.
         """
-        since_confirmed_s = now - self._context.writer.confirmed_at
+        since_confirmed_s = now - self._context.writer.last_write_sent_at
         if (
-            not instance.is_adopted
+            not instance.has_reported
             or since_confirmed_s > lease_times.RENEWAL_AFTER_LAST_WRITE_S
         ):
             return None
--- a/src/vanillaswitch/coordination/fleet/instances/order_outcomes.py
+++ b/src/vanillaswitch/coordination/fleet/instances/order_outcomes.py
@@ -194,7 +194,7 @@
         entry = self.tracker.get(run.task.job_id)
         task = entry.task(run.task) if entry else None
         has_capacity = any(
-            other is not instance and other.can_take_over(run, now)
+            other is not instance and other.could_start(run, now)
             for other in pool_instances
         )
         if task is None or not has_capacity:
--- a/src/vanillaswitch/coordination/fleet/instances/restarts.py
+++ b/src/vanillaswitch/coordination/fleet/instances/restarts.py
@@ -96,7 +96,7 @@
         # A call that was sent before the restart and reaches the new
         # incarnation states its deadline on the clock of the former one. The
         # instance shortens such a lease to the longest one that it grants.
-        max_lease_s = self._bounds.max_hold_s
+        max_lease_s = self._bounds.max_lease_s
         instance.reset_incarnation(
             now, lease_times.lease_expiry(now, max_lease_s)
         )
@@ -105,7 +105,7 @@
         ]
         self._drop_tickets(instance.name)
         for run in runs:
-            if run.key in reported_keys or run.inherited:
+            if run.key in reported_keys or run.awaits_first_report:
                 continue
             if _may_start_late(run):
                 run.reset_reported_state()
@@ -126,9 +126,9 @@
         work until it sends a status report.
         """
         behind_ms = instance.estimated_clock_ms(now) - clock_ms
-        if not instance.is_adopted or behind_ms <= CLOCK_RESET_MS:
+        if not instance.has_reported or behind_ms <= CLOCK_RESET_MS:
             return
-        max_lease_s = self._bounds.max_hold_s
+        max_lease_s = self._bounds.max_lease_s
         lease_expires_at = lease_times.lease_expiry(now, max_lease_s)
         instance.lease_expires_at = max(
             instance.lease_expires_at, lease_expires_at
@@ -169,4 +169,6 @@
     incarnation has accepted a stop. A run that the former incarnation reported
     had started there and ended with it.
     """
-    return run.has_unanswered_start or (run.sent and not run.was_reported)
+    return run.has_unanswered_start or (
+        run.is_start_sent and not run.was_reported
+    )
--- a/src/vanillaswitch/coordination/fleet/instances/run_recovery.py
+++ b/src/vanillaswitch/coordination/fleet/instances/run_recovery.py
@@ -28,7 +28,7 @@
         """
         unregistered = []
         for entry in self.tracker.unfinished.values():
-            for step in entry.open_by_key.values():
+            for step in entry.open_steps_by_key.values():
                 for task in step.tasks:
                     if task.state is job_tracker.TaskState.ASSIGNED:
                         name = task.instance
@@ -52,7 +52,7 @@
         never started and can't start any more, since the instance refuses
         orders with a lower fencing token than this owner's.
         """
-        for step in entry.open_by_key.values():
+        for step in entry.open_steps_by_key.values():
             for task in step.tasks:
                 if task.state is job_tracker.TaskState.ASSIGNED:
                     self._recover_late_task(step, task, now, lease_expires_at)
@@ -108,9 +108,9 @@
         self._recover_run(step, task, now)
         run = instance.runs[task.name, task.run]
         if reported_run is not None:
-            run.inherited = False
+            run.awaits_first_report = False
             run.copy_reported_state(reported_run)
-        elif instance.is_adopted and not any(
+        elif instance.has_reported and not any(
             (end.task, end.run) == run.key for end in instance.unprocessed_ends
         ):
             self._release_run(instance, run)
@@ -150,9 +150,11 @@
             job_tracker.task_demand(step.step),
             now,
         )
-        run.sent = True
-        run.inherited = run.may_be_stopping = True
+        run.is_start_sent = True
+        run.awaits_first_report = run.may_be_stopping = True
         run.born_ms = task.born_ms
         run.is_isolated = task.is_suspect
-        run.required_proof_s = crash_evidence.required_proof_s(task.crashes)
+        run.required_run_time_s = crash_evidence.required_run_time_s(
+            task.crashes
+        )
         self.instances[task.instance].add_run(run)
--- a/src/vanillaswitch/coordination/fleet/instances/start_checks.py
+++ b/src/vanillaswitch/coordination/fleet/instances/start_checks.py
@@ -27,10 +27,10 @@
         run = self._find_run(start.instance, (start.task, start.run))
         if instance is None or run is None or run.stop_requested_at is not None:
             return False
-        if not run.sent and not instance.can_send_start(run):
+        if not run.is_start_sent and not instance.can_send_start(run):
             self._withhold_start(instance, run)
             return False
-        run.sent = True
+        run.is_start_sent = True
         return True
 
     def must_defer_resend(self, start: term_state.StartOrder) -> bool:
@@ -73,7 +73,7 @@
                     member.task
                 ) != instance_state.step_key(run.task):
                     continue
-                if member.sent:
+                if member.is_start_sent:
                     why = "start of another gang member no longer fits"
                     self.stop_run(other, member, run.decided_at, why)
                 else:
--- a/src/vanillaswitch/coordination/fleet/instances/status_reports.py
+++ b/src/vanillaswitch/coordination/fleet/instances/status_reports.py
@@ -34,7 +34,7 @@
         instance.last_contact_at = now
         instance.clock_ms, instance.clock_at = report.clock_ms, now
         if (
-            not instance.is_adopted
+            not instance.has_reported
             or instance.is_unresponsive
             or instance.has_unanswered_call
         ):
@@ -48,15 +48,15 @@
             (run_status.task, run_status.run) for run_status in report.running
         }
         for run_status in report.running:
-            if not instance.is_adopted:
+            if not instance.has_reported:
                 self._drop_newer_run(instance, run_status, listed)
             self._process_listed_run(instance, run_status, began_at, now)
         for run in list(instance.runs.values()):
             if run.key not in listed:
                 self._process_missing_run(instance, run, began_at, now)
-        if not instance.is_adopted:
-            instance.is_adopted = True
-            instance.adopted_at = now
+        if not instance.has_reported:
+            instance.has_reported = True
+            instance.first_report_at = now
             self._stop_undelivered_starts(instance, now)
 
     def _process_end(
@@ -95,7 +95,11 @@
             return
         gang = entry.job.steps[run_status.task.step].gang
         newer = instance.runs.get((run_status.task, task.run))
-        if newer is None or not newer.inherited or newer.key in listed:
+        if (
+            newer is None
+            or not newer.awaits_first_report
+            or newer.key in listed
+        ):
             return
         if gang or run_status.run >= newer.run:
             return
@@ -117,17 +121,19 @@
             if run is None:
                 return
         run.mark_started(now)
-        run.started_before_term = run.started_before_term or run.inherited
-        run.inherited = False
+        run.started_before_term = (
+            run.started_before_term or run.awaits_first_report
+        )
+        run.awaits_first_report = False
         # Since its first report to this owner, the instance refuses orders of
         # the previous one. A stop that it accepted before ends its run within
         # ``stop_s``.
-        if began_at >= instance.adopted_at + self._bounds.stop_s:
+        if began_at >= instance.first_report_at + self._bounds.stop_s:
             run.may_be_stopping = False
         self._mark_job_started(run_status.task.job_id)
         stragglers.record_progress(instance, run, run_status.percent, now)
         run.gauge = run_status.gauge
-        if not run.is_cleared:
+        if not run.crashes_cleared:
             self._clear_if_proven(instance, run)
         run.checkpoint = run_status.checkpoint or run.checkpoint
 
@@ -153,7 +159,7 @@
             step = jobs.Step(count=1)
         else:
             step = entry.job.steps[run_status.task.step]
-        if instance.is_adopted:
+        if instance.has_reported:
             self.emit_stop(
                 instance,
                 run_status.task,
@@ -174,7 +180,7 @@
             job_tracker.task_demand(step),
             now,
         )
-        run.sent = run.confirmed = True
+        run.is_start_sent = run.confirmed = True
         instance.add_run(run)
         self.stop_run(instance, run, now, "not a current run of a known job")
         return run
@@ -193,7 +199,7 @@
         precedence. Otherwise all such runs, however many belong to one
         service, would be stopped as soon as their instances report again.
         """
-        open_step = entry.open_by_key[
+        open_step = entry.open_steps_by_key[
             run_status.task.occurrence, run_status.task.step
         ]
         step, task = open_step.step, open_step.tasks[run_status.task.index]
@@ -208,7 +214,7 @@
             job_tracker.task_demand(step),
             now,
         )
-        run.sent = run.may_be_stopping = run.started_before_term = True
+        run.is_start_sent = run.may_be_stopping = run.started_before_term = True
         # It has started and can't start again, so a status report that does not
         # list it shows that it is over.
         run.cannot_start_since = now
@@ -242,7 +248,7 @@
         run = instance_state.Run(
             run_status.task, run_status.run, step, full_capacity, now
         )
-        run.sent = run.has_unknown_demand = True
+        run.is_start_sent = run.has_unknown_demand = True
         instance.add_run(run)
         return run
 
@@ -261,7 +267,7 @@
         ordered it: the instance now refuses that owner's orders, because this
         owner's fencing token is higher.
         """
-        inherited = run.inherited and not instance.is_adopted
+        inherited = run.awaits_first_report and not instance.has_reported
         if inherited and _targets_former_incarnation(instance, run):
             why = "its instance restarted"
             self._count_loss(instance, [run], why, now, crash_confirmed=False)
--- a/src/vanillaswitch/coordination/fleet/instances/suspect_placement.py
+++ b/src/vanillaswitch/coordination/fleet/instances/suspect_placement.py
@@ -32,7 +32,7 @@
 ) -> bool:
     """Whether the chosen instance of a pool may run a suspected task."""
     max_share = BUSY_SUSPECT_SHARE if chosen.runs else IDLE_SUSPECT_SHARE
-    active_suspects = sum(instance.has_active_trial for instance in pool)
+    active_suspects = sum(instance.has_active_isolated_run for instance in pool)
     return active_suspects < max(1, int(len(pool) * max_share))
 
 
@@ -76,7 +76,9 @@
     fitting = [
         instance
         for instance in candidates
-        if instance.fits_without_short_tasks(step.step, task.name, need, now)
+        if instance.fits_beside_long_running_tasks(
+            step.step, task.name, need, now
+        )
     ]
     return min(fitting, key=rank, default=None)
 
--- a/src/vanillaswitch/coordination/fleet/instances/term_state.py
+++ b/src/vanillaswitch/coordination/fleet/instances/term_state.py
@@ -112,7 +112,7 @@
     @property
     def unavailability_grace_s(self) -> float:
         """Seconds for which an unavailable long-running task uses no budget."""
-        return self._bounds.notice_s
+        return self._bounds.missing_after_s
 
     def apply_config(self, config: fleet.FleetConfig) -> None:
         """Applies a configuration."""
--- a/src/vanillaswitch/coordination/fleet/job_requests/job_rows.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/job_rows.py
@@ -31,15 +31,15 @@
     return dataclasses.asdict(jobs.Step(count=0))
 
 
-def pack(job: jobs.Job) -> dict[str, Any]:
+def job_to_row(job: jobs.Job) -> dict[str, Any]:
     """Returns the row of a job, without a long spec; see ``pack_spec``."""
-    document = pack_full(job)
+    document = job_to_document(job)
     if _has_separate_spec(job):
         document[_SPEC], document[_DIGEST] = "", jobs.hash_spec(job.spec)
     return document
 
 
-def pack_full(job: jobs.Job) -> dict[str, Any]:
+def job_to_document(job: jobs.Job) -> dict[str, Any]:
     """Returns a job as a document that includes its spec.
 
     Omits fields of steps that have their default value. Messages between
@@ -92,7 +92,7 @@
     return len(job.spec.encode()) > INLINE_SPEC_BYTES
 
 
-def unpack(document: Mapping[str, Any]) -> jobs.Job | unusable.Unusable:
+def row_to_job(document: Mapping[str, Any]) -> jobs.Job | unusable.Unusable:
     """Returns the job from a document of ``pack`` or ``pack_full``."""
     try:
         job = cattrs.structure(dict(document), jobs.Job)
--- a/src/vanillaswitch/coordination/fleet/job_requests/job_store.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/job_store.py
@@ -106,7 +106,7 @@
             )
         if self._is_store_unresponsive():
             return RequestResult.NOT_APPLIED
-        document = job_rows.pack(job)
+        document = job_rows.job_to_row(job)
         key = f"{fenced_writer.JOB_TABLE}/{job.job_id}"
         rows = {key: document}
         spec = job_rows.pack_spec(job)
--- a/src/vanillaswitch/coordination/fleet/job_requests/request_forwarder.py
+++ b/src/vanillaswitch/coordination/fleet/job_requests/request_forwarder.py
@@ -117,7 +117,7 @@
         Returns:
             The result; ``NOT_APPLIED`` if no other process reaches the store.
         """
-        document = json.dumps(job_rows.pack_full(job)).encode()
+        document = json.dumps(job_rows.job_to_document(job)).encode()
         response = self._forward(
             peers.ErrandKind.SUBMIT, job.job_id, document, False, deadline
         )
@@ -197,7 +197,7 @@
             if not untried:
                 return ""
             tried.add(untried[0])
-            if self._can_help(untried[0]):
+            if self._peer_reaches_store(untried[0]):
                 return untried[0]
 
     def _remember_peer(self, address: str) -> None:
@@ -206,7 +206,7 @@
         others = [other for other in self._known_peers if other != address]
         self._known_peers = [address, *others][:MAX_KNOWN_PEERS]
 
-    def _can_help(self, address: str) -> bool:
+    def _peer_reaches_store(self, address: str) -> bool:
         now = self._clock.monotonic()
         valid_until, reaches_store = self._store_statuses.get(
             address, (0.0, False)
@@ -262,7 +262,7 @@
     def _execute_submit(
         self, request: peers.Errand, deadline: float
     ) -> job_stores.RequestResult:
-        job = job_rows.unpack(json.loads(request.document))
+        job = job_rows.row_to_job(json.loads(request.document))
         if isinstance(job, unusable.Unusable):
             logs.error(
                 "rejected a forwarded request: cannot decode its job: {}",
--- a/src/vanillaswitch/coordination/fleet/machines/evacuation.py
+++ b/src/vanillaswitch/coordination/fleet/machines/evacuation.py
@@ -70,11 +70,13 @@
     """
     if instance.is_cordoned:
         return any(
-            other.fits_without_short_tasks(run.step, run.task, run.demand, now)
+            other.fits_beside_long_running_tasks(
+                run.step, run.task, run.demand, now
+            )
             for other in others
         )
     return any(
-        not other.is_maintenance_due and other.can_take_over(run, now)
+        not other.is_maintenance_due and other.could_start(run, now)
         for other in others
     )
 
--- a/src/vanillaswitch/coordination/fleet/machines/mover.py
+++ b/src/vanillaswitch/coordination/fleet/machines/mover.py
@@ -215,7 +215,7 @@
             return True
         instance = self._scheduler.instances.get(machine.instance)
         is_grace_over = now - pending_move.ordered_at > ARRIVAL_GRACE_S
-        return is_grace_over or (instance is not None and instance.is_adopted)
+        return is_grace_over or (instance is not None and instance.has_reported)
 
     def _pool_loads(
         self, reserved: waves.ReservedMachines
@@ -259,7 +259,9 @@
         for machine in machines:
             pending_move = self._pending_moves.get(machine.name)
             machine_cpu = max(machine_cpu, self._full_cpu(machine))
-            awaiting_maintenance += machine.name in reserved.pending
+            awaiting_maintenance += (
+                machine.name in reserved.awaiting_maintenance
+            )
             if pending_move is not None:
                 machine_count += 1
             elif self._is_in_service(machine, pool):
@@ -270,7 +272,9 @@
                     idle_machines.append(machine.name)
         # Machines due for maintenance come last, so that they move to standby
         # first: maintenance of a machine on standby takes no capacity.
-        idle_machines.sort(key=lambda name: name in reserved.pending)
+        idle_machines.sort(
+            key=lambda name: name in reserved.awaiting_maintenance
+        )
         used_cpu = sum(instance.used_cpu for instance in instances)
         load = self._scheduler.backlog_load.get(pool.name, fleet.Load())
         for instance in instances:
@@ -348,7 +352,7 @@
             return True
         instance = self._instance_on(machine)
         return (
-            instance is not None and instance.is_adopted and not instance.runs
+            instance is not None and instance.has_reported and not instance.runs
         )
 
     def _start_order(self, move: capacity_planner.Move, now: float) -> None:
@@ -384,7 +388,7 @@
             # The order may have waited for a free greenlet, so check again.
             if self._writer.may_operate_machines():
                 outcome = self._machines.move(
-                    move.machine, move.pool, self._writer.newest_version
+                    move.machine, move.pool, self._writer.last_written_version
                 )
             else:
                 outcome = fleet.NoAnswer(
--- a/src/vanillaswitch/coordination/fleet/machines/wave_controller.py
+++ b/src/vanillaswitch/coordination/fleet/machines/wave_controller.py
@@ -183,7 +183,9 @@
 
     def _advance(self, wave: waves.Wave, now: float) -> None:
         before = _finished_machines(wave)
-        waves.update_progress(wave, self._listed, self._bounds.upkeep_s, now)
+        waves.update_progress(
+            wave, self._listed, self._bounds.maintenance_s, now
+        )
         finished = _finished_machines(wave)
         if finished != before:
             self._wave_store.save_finished(wave.order.name, finished)
@@ -330,7 +332,7 @@
             for progress in wave.machines.values()
         )
         rounds = -(-remaining_count // wave.order.max_count)
-        needed_s = rounds * (self._bounds.upkeep_s + ROUND_OVERHEAD_S)
+        needed_s = rounds * (self._bounds.maintenance_s + ROUND_OVERHEAD_S)
         needed_s += WAVE_MARGIN_S
         return now + needed_s > wave.first_seen_at + wave.order.duration_s
 
@@ -367,7 +369,7 @@
             return False
         if instance is None:
             return bool(self._listed[name].instance)
-        return not instance.is_adopted
+        return not instance.has_reported
 
     def _order_maintenance(self, wave: waves.Wave, name: str) -> None:
         if not self._writer.may_operate_machines():
@@ -383,7 +385,7 @@
             instance.is_terminating = True
             self._marked_terminating.add(name)
         outcome = self._machines.maintain(
-            name, wave.order.number, self._writer.newest_version
+            name, wave.order.number, self._writer.last_written_version
         )
         change = f"upkeep {type(outcome).__name__.lower()}"
         self._emit_wave(wave, change, name, self._clock.monotonic())
@@ -408,7 +410,7 @@
         If an instance still runs after the maintenance of its machine has
         finished, it gets work again.
         """
-        awaiting_maintenance = self.reserved_machines.pending
+        awaiting_maintenance = self.reserved_machines.awaiting_maintenance
         finished = set().union(*map(_finished_machines, self._waves.values()))
         for name, machine in self._listed.items():
             instance = self._scheduler.instances.get(machine.instance)
--- a/src/vanillaswitch/coordination/fleet/machines/waves.py
+++ b/src/vanillaswitch/coordination/fleet/machines/waves.py
@@ -60,7 +60,7 @@
     """
 
     unavailable: frozenset[str] = frozenset()
-    pending: frozenset[str] = frozenset()
+    awaiting_maintenance: frozenset[str] = frozenset()
 
 
 @dataclasses.dataclass
--- a/src/vanillaswitch/coordination/fleet/operator_table.py
+++ b/src/vanillaswitch/coordination/fleet/operator_table.py
@@ -38,11 +38,13 @@
     config_key: str
     wave_prefix: str
     status_table: str
-    config: Callable[[Mapping[str, Any]], fleet.FleetConfig | unusable.Unusable]
-    wave: Callable[
+    decode_config: Callable[
+        [Mapping[str, Any]], fleet.FleetConfig | unusable.Unusable
+    ]
+    decode_wave: Callable[
         [str, Mapping[str, Any]], fleet.WaveOrder | unusable.Unusable
     ]
-    wave_status: Callable[[bool], Mapping[str, Any]]
+    encode_wave_status: Callable[[bool], Mapping[str, Any]]
 
 
 class OperatorTable:
@@ -95,7 +97,7 @@
     def _apply_config(
         self, change: change_feeds.RowChange, document: Mapping[str, Any]
     ) -> None:
-        config = self._format.config(document)
+        config = self._format.decode_config(document)
         if isinstance(config, unusable.Unusable):
             self._report_unusable(change, config.reason)
             return
@@ -108,7 +110,7 @@
         if change.value is None:
             self._waves.pop(change.key, None)
             return
-        wave = self._format.wave(change.key, change.value)
+        wave = self._format.decode_wave(change.key, change.value)
         if isinstance(wave, unusable.Unusable):
             self._report_unusable(change, wave.reason)
             return
@@ -140,7 +142,7 @@
             # The start is unknown, so the age counts from now.
             logs.warning("{}: began_store_ms is not a number, using now", key)
             began_ms = 0
-        age_s = self._store_clock.age_of_s(began_ms)
+        age_s = self._store_clock.age_s(began_ms)
         return wave_controller.WaveProgress(
             tuple(finished_machines(row)), age_s
         )
@@ -159,8 +161,8 @@
 
     def report_status(self, wave: str, completed: bool) -> bool:
         """Writes the status of a wave for the operators."""
-        status = dict(self._format.wave_status(completed))
-        completed_status = dict(self._format.wave_status(True))
+        status = dict(self._format.encode_wave_status(completed))
+        completed_status = dict(self._format.encode_wave_status(True))
 
         def keep_completed(document: Mapping[str, Any]) -> dict[str, Any]:
             # A completed wave must not be reported as running again.
--- a/src/vanillaswitch/coordination/fleet/ownership/fenced_writer.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/fenced_writer.py
@@ -131,12 +131,12 @@
         return self._token
 
     @property
-    def newest_version(self) -> int:
+    def last_written_version(self) -> int:
         """Version of the last successful write; increases within a term."""
         return self._version
 
     @property
-    def confirmed_at(self) -> float:
+    def last_write_sent_at(self) -> float:
         """Monotonic seconds when the last successful write was first sent.
 
         The lease counts from this time.
--- a/src/vanillaswitch/coordination/fleet/ownership/job_tables.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/job_tables.py
@@ -104,7 +104,7 @@
                 self._clock.sleep(0)
         self._progress_without_job = rows
         self._jobs.resume_from(job_snapshot)
-        self._specs.start_from(job_snapshot.version)
+        self._specs.resume_from(job_snapshot.version)
         self._update_unreadable_jobs()
         self._scheduler.recover_runs(
             now, lease_times.inherited_lease_expiry(now)
@@ -120,7 +120,7 @@
         """Cancels jobs as requested by clients; does not return."""
         self._cancel_follower.run()
 
-    def take_orphans(self) -> list[job_tracker.JobEntry]:
+    def take_orphan_entries(self) -> list[job_tracker.JobEntry]:
         """Returns entries for progress rows whose jobs were removed.
 
         The owner removes these rows. Each entry is returned only once.
@@ -162,7 +162,7 @@
         decoded = (
             unusable.Unusable(row.read_error)
             if row.value is None
-            else job_rows.unpack(row.value)
+            else job_rows.row_to_job(row.value)
         )
         if isinstance(decoded, jobs.Job):
             return decoded
@@ -200,7 +200,7 @@
         self._shared_clock.add_wall_sample(
             job.submitted_ms, job.submitted_wall_ms
         )
-        return self._shared_clock.age_of_s(job.submitted_ms)
+        return self._shared_clock.age_s(job.submitted_ms)
 
     def _update_unreadable_jobs(self) -> None:
         """Updates which jobs count as unreadable and which as removed.
--- a/src/vanillaswitch/coordination/fleet/ownership/owner.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/owner.py
@@ -107,7 +107,7 @@
         emit: Callable[[object], None],
     ):
         self._emit = emit
-        self._outside = dependencies
+        self._dependencies = dependencies
         self._writer = writer
         self._settings = settings
         self._config = config
@@ -155,7 +155,7 @@
             dependencies.table,
             dependencies.feed,
             clock,
-            lambda: writer.newest_version,
+            lambda: writer.last_written_version,
             emit,
             self._replan_event.set,
         )
@@ -244,7 +244,7 @@
         snapshots = [
             snapshot
             for table in (
-                self._outside.registration_table,
+                self._dependencies.registration_table,
                 fenced_writer.JOB_TABLE,
                 fenced_writer.PROGRESS_TABLE,
                 fenced_writer.CANCEL_TABLE,
@@ -261,7 +261,7 @@
         return True
 
     def _read_table(self, table: str) -> change_feeds.Snapshot | None:
-        outcome = self._outside.feed.snapshot(table)
+        outcome = self._dependencies.feed.snapshot(table)
         if isinstance(outcome, change_feeds.Snapshot):
             return outcome
         self._emit(events.Dependency(f"table {table}", "lost", outcome.reason))
@@ -325,7 +325,7 @@
                 checked_at = now
                 self._run_periodic_checks(now)
             if is_check_due or self._scheduler.needs_plan:
-                self._scheduler.plan(now, self._outside.time.wall_now_ms)
+                self._scheduler.plan(now, self._dependencies.time.wall_now_ms)
                 self._ticket_refresher.request_missing_tickets()
             self._send_stops()
             duration_s = self._clock.monotonic() - now
@@ -388,7 +388,7 @@
         """Removes the rows of jobs that ended long ago, until the term ends."""
         while not self._writer.is_term_over and not self._is_finishing:
             self._clock.sleep(retention.SCAN_INTERVAL_S)
-            store_ms = self._outside.time.store_now_ms
+            store_ms = self._dependencies.time.store_now_ms
             if store_ms is None:
                 continue
             expired = retention.expired_jobs(
@@ -397,7 +397,9 @@
                 store_ms,
             )
             for entry in expired:
-                if retention.remove_job(self._outside.table, entry.job.job_id):
+                if retention.remove_job(
+                    self._dependencies.table, entry.job.job_id
+                ):
                     self._scheduler.tracker.remove(entry.job.job_id)
                     self._progress_to_remove.append(entry)
 
@@ -408,7 +410,7 @@
         may forget the ends of their tasks only after these are stored.
         """
         states = [entry.state for entry in batch.entries]
-        store_ms = self._outside.time.store_now_ms or 0.0
+        store_ms = self._dependencies.time.store_now_ms or 0.0
         puts = [
             platform.Put(
                 f"{fenced_writer.PROGRESS_TABLE}/{entry.job.job_id}",
@@ -417,7 +419,9 @@
             )
             for entry in batch.entries
         ]
-        removed = self._progress_to_remove + self._job_tables.take_orphans()
+        removed = (
+            self._progress_to_remove + self._job_tables.take_orphan_entries()
+        )
         free_rows = fenced_writer.MAX_ROWS_PER_WRITE - len(puts)
         self._progress_to_remove = removed[free_rows:]
         puts.extend(retention.progress_removals(removed[:free_rows]))
@@ -430,7 +434,7 @@
         for name, number in batch.recorded_ends.items():
             client = self._instance_clients.get(name)
             if client is not None:
-                client.mark_recorded(number, batch.incarnations[name])
+                client.mark_ends_recorded(number, batch.incarnations[name])
         for start in batch.starts:
             client = self._instance_clients.get(start.instance)
             if client is not None:
--- a/src/vanillaswitch/coordination/fleet/ownership/owner_candidate.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/owner_candidate.py
@@ -39,7 +39,7 @@
 """540 task starts per second of 2.4 KB each need 10 Mbit/s on average, and
 peaks need up to five times the average."""
 
-HINT_POLL_S = 0.1
+STREAM_CHECK_INTERVAL_S = 0.1
 """Interval at which a process checks whether its stream (a connection that
 stays open) to the owner has closed. It is a tenth of the time after which the
 owner's row would show the loss."""
@@ -73,7 +73,7 @@
         emit: Callable[[object], None],
     ):
         self._emit = emit
-        self._outside = dependencies
+        self._dependencies = dependencies
         self._operator_table = operator_table_
         self._settings = settings
         self._clock = clock
@@ -112,7 +112,7 @@
         """
         writer = self._writer
         if self._owner is not None and writer is not None:
-            return writer.confirmed_at
+            return writer.last_write_sent_at
         return self._store_answered_at
 
     def shut_down(self) -> None:
@@ -148,7 +148,7 @@
         """
         until = self._clock.monotonic() + seconds
         while self._clock.monotonic() < until and not self._stream_ended:
-            self._clock.sleep(min(HINT_POLL_S, seconds))
+            self._clock.sleep(min(STREAM_CHECK_INTERVAL_S, seconds))
         self._stream_ended = False
 
     def on_stream_closed(self, address: str) -> None:
@@ -180,7 +180,7 @@
         whose row is readable again.
         """
         requested_at = self._clock.monotonic()
-        read = self._outside.table.read([fenced_writer.OWNER_KEY])
+        read = self._dependencies.table.read([fenced_writer.OWNER_KEY])
         now = self._clock.monotonic()
         if isinstance(read, platform.Unavailable):
             self._monitor.on_read_failed()
@@ -321,7 +321,7 @@
     def _take_over(self) -> None:
         """Tries to become the owner; if so, runs until the term is over."""
         writer = fenced_writer.FencedWriter(
-            self._outside.table, self._clock, self._row_to_write()
+            self._dependencies.table, self._clock, self._row_to_write()
         )
         now = self._clock.monotonic()
         operations_allowed_from = self._monitor.operations_allowed_from(
@@ -334,7 +334,7 @@
             "began", self._own_row.holder, writer.token, 0.0
         )
         owner = owners.Owner(
-            self._outside,
+            self._dependencies,
             writer,
             self._settings,
             lambda: self._operator_table.config,
@@ -355,7 +355,7 @@
                 owner.finish(RELEASE_TIMEOUT_S)
         finally:
             self._owner = None
-            age_s = self._clock.monotonic() - writer.confirmed_at
+            age_s = self._clock.monotonic() - writer.last_write_sent_at
             self._emit_owner_changed(
                 "ended", self._own_row.holder, writer.token, age_s
             )
--- a/src/vanillaswitch/coordination/fleet/ownership/owner_monitor.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/owner_monitor.py
@@ -17,7 +17,7 @@
 is three missed writes. A timeout that is too short only costs unnecessary
 changes of owner: writes of the former owner are rejected."""
 
-UNRESPONSIVE_TERM_S = 1.0
+UNRESPONSIVE_TIMEOUT_S = 1.0
 """Replaces ``TERM_TIMEOUT_S`` for an owner that did not answer whether its term
 is over, for example because its machine lost power and so does not even refuse
 connections. It shortens the time without an owner by 0.6 s. A live owner that
@@ -166,7 +166,7 @@
         if self._has_no_owner:
             return True
         timeout_s = (
-            UNRESPONSIVE_TERM_S if self.is_unresponsive else TERM_TIMEOUT_S
+            UNRESPONSIVE_TIMEOUT_S if self.is_unresponsive else TERM_TIMEOUT_S
         )
         return (
             now - self._unchanged_since
--- a/src/vanillaswitch/coordination/fleet/ownership/owner_rpc.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/owner_rpc.py
@@ -62,14 +62,14 @@
         elif isinstance(message, peers.JobAnswer | peers.OwnerStanding):
             self._peer_calls.on_answer(message.question, message)
 
-    def state(self, job_id: str) -> jobs.JobState | None:
+    def recorded_state(self, job_id: str) -> jobs.JobState | None:
         """Asks the owner for a job's stored state; None if unknown."""
         answer = self._ask(job_id, "")
         if answer is None or not answer.state:
             return None
         return jobs.JobState(answer.state)
 
-    def pending(self, queue: str) -> int | None:
+    def count_pending(self, queue: str) -> int | None:
         """Asks how many jobs of a queue wait; None without an answer."""
         answer = self._ask("", queue)
         return None if answer is None else answer.pending
--- a/src/vanillaswitch/coordination/fleet/ownership/spec_table.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/spec_table.py
@@ -83,7 +83,7 @@
         self._early_specs: dict[str, str] = {}
         self._retry_at: dict[str, float] = {}
 
-    def start_from(self, version: int) -> None:
+    def resume_from(self, version: int) -> None:
         """Sets the version to follow changes from.
 
         Older specs are read one by one when they are needed.
--- a/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
+++ b/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
@@ -34,11 +34,11 @@
 
     SOLE_NEW_RUN = "alone"
     NEW_RUN = "new"
-    PROVEN_RUN = "worked"
+    OLDER_RUN = "worked"
     UNCERTAIN = "unsure"
 
 
-MIN_PROOF_S = 0.1
+MIN_REQUIRED_RUN_TIME_S = 0.1
 """A run that its instance has reported for this long did not crash it by
 starting."""
 
@@ -46,7 +46,7 @@
 """A run is proven after this multiple of the longest time that a run of the
 task lasted before its instance crashed."""
 
-MAX_PROOF_S = 2.0
+MAX_REQUIRED_RUN_TIME_S = 2.0
 """Upper limit of ``required_proof_s``, and so of the time for which nothing
 else starts beside a suspect task."""
 
@@ -93,14 +93,17 @@
         return f"run {self.run} on {self.instance}: {self.kind}"
 
 
-def required_proof_s(crashes: Sequence[Crash]) -> float:
+def required_run_time_s(crashes: Sequence[Crash]) -> float:
     """Returns how long a task's next run has to last to be proven.
 
     A run of half a second shows nothing about a task that crashes its instances
     after a second.
     """
     longest_s = max((crash.run_time_s for crash in crashes), default=0.0)
-    return min(max(MIN_PROOF_S, REQUIRED_PROOF_FACTOR * longest_s), MAX_PROOF_S)
+    return min(
+        max(MIN_REQUIRED_RUN_TIME_S, REQUIRED_PROOF_FACTOR * longest_s),
+        MAX_REQUIRED_RUN_TIME_S,
+    )
 
 
 def exceeds_crash_limit(
@@ -131,9 +134,7 @@
 def _last_proven_index(kinds: Sequence[CrashKind]) -> int:
     """Returns the index of the last ``PROVEN_RUN``; -1 for none."""
     proven = [
-        index
-        for index, kind in enumerate(kinds)
-        if kind is CrashKind.PROVEN_RUN
+        index for index, kind in enumerate(kinds) if kind is CrashKind.OLDER_RUN
     ]
     return max(proven, default=-1)
 
@@ -148,15 +149,15 @@
         run_time_s: how long its current run has lasted.
         long_running: whether the task runs until its job is cancelled.
     """
-    if run_time_s < MAX_PROOF_S:
+    if run_time_s < MAX_REQUIRED_RUN_TIME_S:
         return list(crashes)
     if long_running or run_time_s >= DROP_ALL_CRASHES_AFTER_S:
         return []
-    return [crash for crash in crashes if crash.kind is CrashKind.PROVEN_RUN]
+    return [crash for crash in crashes if crash.kind is CrashKind.OLDER_RUN]
 
 
 def is_suspect(crashes: Sequence[Crash]) -> bool:
     """Whether a task has to run in isolation after these crashes."""
     if not crashes:
         return False
-    return crashes[-1].kind is not CrashKind.PROVEN_RUN or len(crashes) > 1
+    return crashes[-1].kind is not CrashKind.OLDER_RUN or len(crashes) > 1
--- a/src/vanillaswitch/coordination/fleet/queue/instance_state.py
+++ b/src/vanillaswitch/coordination/fleet/queue/instance_state.py
@@ -86,10 +86,10 @@
     step: jobs.Step
     demand: fleet.Resources
     decided_at: float
-    sent: bool = False
+    is_start_sent: bool = False
     confirmed: bool = False
     has_unanswered_start: bool = False
-    inherited: bool = False
+    awaits_first_report: bool = False
     may_be_stopping: bool = False
     has_unknown_demand: bool = False
     stop_requested_at: float | None = None
@@ -104,8 +104,8 @@
     is_isolated: bool = False
     started_before_term: bool = False
     is_start_unsent: bool = False
-    is_cleared: bool = False
-    required_proof_s: float = crash_evidence.MIN_PROOF_S
+    crashes_cleared: bool = False
+    required_run_time_s: float = crash_evidence.MIN_REQUIRED_RUN_TIME_S
     born_ms: int | None = None
     gauge: float = 0.0
     pace: int = FULL_PACE
@@ -129,7 +129,7 @@
         """Whether it has lasted for ``required_proof_s``."""
         if self.started_at is None:
             return False
-        return self.run_time_s >= self.required_proof_s
+        return self.run_time_s >= self.required_run_time_s
 
     @property
     def run_time_s(self) -> float:
@@ -244,8 +244,8 @@
             lease_expires_at: see the attribute.
         """
         self.incarnation = next(_INCARNATION_NUMBERS)
-        self.is_adopted = False
-        self.adopted_at = float("inf")
+        self.has_reported = False
+        self.first_report_at = float("inf")
         self.is_unresponsive = False
         self.has_unanswered_call = False
         self.suspended_until = 0.0
@@ -255,7 +255,7 @@
         self.speed_samples = 0
         self.is_straggler = False
         self.last_paced_at = 0.0
-        self.below_target_since = now
+        self.low_latency_since = now
         self.last_end_number = 0
         self.unprocessed_ends: list[fleet.RunEnd] = []
         self.clock_ms = 0.0
@@ -328,7 +328,7 @@
         return bool(self._isolated)
 
     @property
-    def has_active_trial(self) -> bool:
+    def has_active_isolated_run(self) -> bool:
         """Whether it has a run in isolation that is not to be stopped."""
         return any(
             self.runs[key].stop_requested_at is None for key in self._isolated
@@ -392,7 +392,7 @@
     def is_schedulable(self, now: float) -> bool:
         """Whether new work may be assigned to it."""
         return (
-            self.is_adopted
+            self.has_reported
             and self.is_listed
             and not self.is_unresponsive
             and not self.has_unanswered_call
@@ -427,7 +427,7 @@
         needs = [
             other.demand
             for other in self.runs.values()
-            if other.sent or other is run
+            if other.is_start_sent or other is run
         ]
         return (
             sum(need.cpu for need in needs) <= capacity.cpu
@@ -444,13 +444,13 @@
             and self._reserved_gpu <= capacity.gpu
         )
 
-    def can_take_over(self, run: Run, now: float) -> bool:
+    def could_start(self, run: Run, now: float) -> bool:
         """Whether a run of another instance could start here now."""
         return self.has_capacity_for(
             run.demand
         ) and self._meets_placement_rules(run.step, run.task, now)
 
-    def fits_without_short_tasks(
+    def fits_beside_long_running_tasks(
         self,
         step: jobs.Step,
         task: jobs.TaskName,
--- a/src/vanillaswitch/coordination/fleet/queue/job_tracker.py
+++ b/src/vanillaswitch/coordination/fleet/queue/job_tracker.py
@@ -209,7 +209,7 @@
         self.ended_store_ms = 0.0
         self.critical_path_ms: float | None = None
         self.remaining_path_ms: dict[int, float] = {}
-        self.open_by_key: dict[tuple[int, int], OpenStep] = {}
+        self.open_steps_by_key: dict[tuple[int, int], OpenStep] = {}
         self.fatal_crashes: tuple[crash_evidence.Crash, ...] = ()
         self._may_open_steps = True
         self._done: set[tuple[int, int]] = set()
@@ -241,7 +241,7 @@
                 if self.job.due_ms(occurrence) > wall_ms:
                     break
                 self._open_occurrence(occurrence)
-        return self.open_by_key.values()
+        return self.open_steps_by_key.values()
 
     def next_due_ms(self) -> float | None:
         """Returns when the next unopened occurrence is due, None for none."""
@@ -252,7 +252,7 @@
 
     def task(self, name: jobs.TaskName) -> Task | None:
         """Returns a task of an open step, None if there is no such task."""
-        step = self.open_by_key.get((name.occurrence, name.step))
+        step = self.open_steps_by_key.get((name.occurrence, name.step))
         if step is None or not 0 <= name.index < len(step.tasks):
             return None
         return step.tasks[name.index]
@@ -264,7 +264,7 @@
     def close_step(self, step: OpenStep) -> None:
         """Marks a step as done, and the job as completed with its last one."""
         key = (step.occurrence, step.number)
-        del self.open_by_key[key]
+        del self.open_steps_by_key[key]
         self._done.add(key)
         self._may_open_steps = True
         self.remaining_path_ms.clear()
@@ -274,7 +274,7 @@
     def end_early(self, state: jobs.JobState) -> None:
         """Ends the job early and drops its open steps."""
         self.ended = state
-        self.open_by_key.clear()
+        self.open_steps_by_key.clear()
 
     def _open_occurrence(self, occurrence: int) -> None:
         for number, step in enumerate(self.job.steps):
@@ -283,7 +283,9 @@
                 continue
             if all((occurrence, other) in self._done for other in step.after):
                 self._opened.add(key)
-                self.open_by_key[key] = OpenStep(self, occurrence, number, step)
+                self.open_steps_by_key[key] = OpenStep(
+                    self, occurrence, number, step
+                )
 
     def to_document(self, store_ms: float = 0.0) -> dict[str, Any]:
         """Returns the state that a later owner needs as a document.
@@ -305,7 +307,7 @@
                 task.failed_runs,
                 task.checkpoint,
             ]
-            for step in self.open_by_key.values()
+            for step in self.open_steps_by_key.values()
             for task in step.tasks
             if task.run
         ]
@@ -326,7 +328,7 @@
                 task.born_ms,
                 _encode_crashes(task.crashes),
             ]
-            for step in self.open_by_key.values()
+            for step in self.open_steps_by_key.values()
             for task in step.tasks
             if task.crashes or task.born_ms is not None
         ]
@@ -380,11 +382,13 @@
         checkpoint: str,
     ) -> None:
         key = (occurrence, number)
-        if key not in self.open_by_key:
+        if key not in self.open_steps_by_key:
             self._opened.add(key)
             step = self.job.steps[number]
-            self.open_by_key[key] = OpenStep(self, occurrence, number, step)
-        task = self.open_by_key[key].tasks[index]
+            self.open_steps_by_key[key] = OpenStep(
+                self, occurrence, number, step
+            )
+        task = self.open_steps_by_key[key].tasks[index]
         task.state = TaskState(state)
         task.run = run
         task.instance = instance
@@ -402,7 +406,7 @@
         born_ms: int | None,
         crashes: Iterable[Sequence[Any]],
     ) -> None:
-        step = self.open_by_key[occurrence, number]
+        step = self.open_steps_by_key[occurrence, number]
         task = step.tasks[index]
         task.born_ms = born_ms
         for crash in _decode_crashes(crashes):
--- a/src/vanillaswitch/coordination/fleet/queue/pacing.py
+++ b/src/vanillaswitch/coordination/fleet/queue/pacing.py
@@ -64,10 +64,10 @@
         return []
     worst = max((_latency_ratio(run) for run in serving), default=0.0)
     if worst >= LOW_LATENCY_RATIO:
-        instance.below_target_since = now
+        instance.low_latency_since = now
     if worst > HIGH_LATENCY_RATIO:
         return _change_paces(instance, fillers, _reduced_pace, now)
-    if now - instance.below_target_since >= MIN_LOW_LATENCY_S:
+    if now - instance.low_latency_since >= MIN_LOW_LATENCY_S:
         return _change_paces(instance, fillers, _raised_pace, now)
     return []
 
--- a/src/vanillaswitch/coordination/fleet/queue/placement.py
+++ b/src/vanillaswitch/coordination/fleet/queue/placement.py
@@ -43,7 +43,7 @@
     ]
 
 
-class MaxFree:
+class MaxFreeCapacity:
     """The largest unreserved amount of each resource over some instances.
 
     A task that needs more fits on none of them. In a burst that demands more
--- a/src/vanillaswitch/coordination/fleet/queue/planning.py
+++ b/src/vanillaswitch/coordination/fleet/queue/planning.py
@@ -35,7 +35,7 @@
         """
         minimums: dict[str, int] = {}
         for entry in self.tracker.unfinished.values():
-            for step in entry.open_by_key.values():
+            for step in entry.open_steps_by_key.values():
                 max_per_instance = step.step.anti_affinity
                 if step.step.long_running and max_per_instance:
                     pool_name = self.pool_name_of(entry)
@@ -90,7 +90,7 @@
                 for instance in pools.get(pool_name, [])
                 if instance.is_schedulable(now)
             ]
-            max_free = placement.MaxFree(instances)
+            max_free = placement.MaxFreeCapacity(instances)
             for step in steps:
                 if step.entry.spec is None:
                     continue
@@ -99,17 +99,17 @@
                     instances = self._place_in_isolation(
                         step, instances, pool, now
                     )
-                    max_free = placement.MaxFree(instances)
+                    max_free = placement.MaxFreeCapacity(instances)
                 if max_free.may_fit(
                     job_tracker.task_demand(step.step)
                 ) and self._place(step, instances, now):
-                    max_free = placement.MaxFree(instances)
+                    max_free = placement.MaxFreeCapacity(instances)
                 reserved = self._reserve_instance(step, instances, now)
                 if reserved is not None:
                     instances = [
                         item for item in instances if item is not reserved
                     ]
-                    max_free = placement.MaxFree(instances)
+                    max_free = placement.MaxFreeCapacity(instances)
 
     def _mark_if_image_suspect(
         self, step: job_tracker.OpenStep, now: float
@@ -230,7 +230,7 @@
             (
                 instance
                 for instance in instances
-                if instance.fits_without_short_tasks(
+                if instance.fits_beside_long_running_tasks(
                     step.step, waiting[0].name, need, now
                 )
             ),
@@ -317,7 +317,9 @@
         )
         run.born_ms = task.born_ms
         run.is_isolated = isolated
-        run.required_proof_s = crash_evidence.required_proof_s(task.crashes)
+        run.required_run_time_s = crash_evidence.required_run_time_s(
+            task.crashes
+        )
         instance.add_run(run)
         self._emit(
             events.TaskAssigned(
--- a/src/vanillaswitch/coordination/fleet/reference_clock.py
+++ b/src/vanillaswitch/coordination/fleet/reference_clock.py
@@ -87,7 +87,7 @@
         if store_ms and wall_ms:
             self._samples.append(wall_ms - store_ms)
 
-    def age_of_s(self, store_ms: float) -> float:
+    def age_s(self, store_ms: float) -> float:
         """Returns the age of a store timestamp in seconds.
 
         Args:
--- a/src/vanillaswitch/coordination/fleet/status_summaries.py
+++ b/src/vanillaswitch/coordination/fleet/status_summaries.py
@@ -136,7 +136,7 @@
         progress_document: content of the row that the owner writes; None
             before the job's first start.
     """
-    job = job_rows.unpack(job_document)
+    job = job_rows.row_to_job(job_document)
     if isinstance(job, unusable.Unusable):
         return job
     entry = job_tracker.JobEntry(job, 0.0)
@@ -156,7 +156,7 @@
             if entry.is_step_done(occurrence, number):
                 steps[f"{occurrence}.{number}"] = "done"
     tasks: list[TaskSummary] = []
-    for step in entry.open_by_key.values():
+    for step in entry.open_steps_by_key.values():
         key = f"{step.occurrence}.{step.number}"
         counts = collections.Counter(
             _TASK_STATE_NAMES[item.state] for item in step.tasks
@@ -226,7 +226,7 @@
     name: str, entries: Iterable[job_tracker.JobEntry]
 ) -> Iterable[str]:
     for entry in entries:
-        for step in entry.open_by_key.values():
+        for step in entry.open_steps_by_key.values():
             for task in step.tasks:
                 is_on_instance = task.instance == name
                 if (
--- a/src/vanillaswitch/platform/http_calls.py
+++ b/src/vanillaswitch/platform/http_calls.py
@@ -63,7 +63,7 @@
     )
     if isinstance(outcome, minions.NotSent):
         return NoResponse(False, outcome.reason)
-    if isinstance(outcome, minions.ResponseLost):
+    if isinstance(outcome, minions.AnswerLost):
         return NoResponse(True, outcome.reason)
     try:
         decoded = (
--- a/src/vanillaswitch/platform/http_table.py
+++ b/src/vanillaswitch/platform/http_table.py
@@ -199,14 +199,14 @@
     ) -> _PartitionRows | platform.Unavailable:
         """Reads all pages of one partition."""
         rows: list[Mapping[str, Any]] = []
-        first_key, version, limit = "", None, page_size.LEAST_ROWS
+        first_key, version, limit = "", None, page_size.MIN_ROWS
         while True:
             started_at = self._clock.monotonic()
             outcome = self._read_page(table, partition, first_key, "", limit)
             if isinstance(outcome, platform.Unavailable):
                 return outcome
             elapsed_s = self._clock.monotonic() - started_at
-            limit = self._page_size.after(len(outcome["rows"]), elapsed_s)
+            limit = self._page_size.next_limit(len(outcome["rows"]), elapsed_s)
             if version is None:
                 version = int(outcome["row_version"])
             page = outcome["rows"]
@@ -312,7 +312,7 @@
             del self._calls_in_flight[number]
         self._last_call_failed = isinstance(response, http_calls.NoResponse)
         if isinstance(response, http_calls.JsonResponse):
-            self._page_size.answered(self._clock.monotonic() - started_at)
+            self._page_size.record_call(self._clock.monotonic() - started_at)
             self._on_response(response)
         return response
 
--- a/src/vanillaswitch/platform/job_request_handler.py
+++ b/src/vanillaswitch/platform/job_request_handler.py
@@ -94,7 +94,7 @@
     ) -> requests.Reply:
         if incoming.method != "GET":
             return _refusal(405, "method", "use GET")
-        pending = self._owner_rpc.pending(queue.name)
+        pending = self._owner_rpc.count_pending(queue.name)
         if pending is None:
             return _refusal(503, "no-owner", "come back soon", RETRY_AFTER_S)
         return _ok(job_body.encode_pending(pending))
@@ -139,7 +139,7 @@
     def _get_state(
         self, incoming: requests.RawRequest, job_id: str
     ) -> requests.Reply:
-        state = self._owner_rpc.state(job_id)
+        state = self._owner_rpc.recorded_state(job_id)
         if state is None:
             stored = self._job_service.state(job_id, self._deadline(incoming))
             if isinstance(stored, job_store.StateUnknown):
@@ -152,7 +152,7 @@
     def _cancel_job(
         self, incoming: requests.RawRequest, job_id: str
     ) -> requests.Reply:
-        state = self._owner_rpc.state(job_id)
+        state = self._owner_rpc.recorded_state(job_id)
         if state is not None and state.is_final:
             return _ok(job_body.encode_state(state))
         result = self._job_service.cancel(
--- a/src/vanillaswitch/platform/settings.py
+++ b/src/vanillaswitch/platform/settings.py
@@ -152,22 +152,26 @@
         ),
         drain_s=fields.seconds("bounds.drain_ms", _DEFAULT_BOUNDS.drain_s),
         grace_s=fields.number("bounds.grace_s", _DEFAULT_BOUNDS.grace_s),
-        max_hold_s=fields.seconds(
-            "bounds.max_hold_ms", _DEFAULT_BOUNDS.max_hold_s
+        max_lease_s=fields.seconds(
+            "bounds.max_hold_ms", _DEFAULT_BOUNDS.max_lease_s
         ),
         stop_s=fields.seconds("bounds.stop_timeout_ms", _DEFAULT_BOUNDS.stop_s),
         gang_wait_s=fields.seconds(
             "bounds.gang_wait_ms", _DEFAULT_BOUNDS.gang_wait_s
         ),
         cancel_s=fields.seconds("bounds.cancel_ms", _DEFAULT_BOUNDS.cancel_s),
-        early_s=fields.seconds("bounds.early_ms", _DEFAULT_BOUNDS.early_s),
+        max_early_start_s=fields.seconds(
+            "bounds.early_ms", _DEFAULT_BOUNDS.max_early_start_s
+        ),
         move_s=fields.number("bounds.migrate_s", _DEFAULT_BOUNDS.move_s),
-        upkeep_s=fields.number(
-            "bounds.maintenance_s", _DEFAULT_BOUNDS.upkeep_s
+        maintenance_s=fields.number(
+            "bounds.maintenance_s", _DEFAULT_BOUNDS.maintenance_s
         ),
         fenced=fields.flag("bounds.enforce_fencing", _DEFAULT_BOUNDS.fenced),
         lease_s=fields.seconds("bounds.lease_ms", _DEFAULT_BOUNDS.lease_s),
-        notice_s=fields.seconds("bounds.notice_ms", _DEFAULT_BOUNDS.notice_s),
+        missing_after_s=fields.seconds(
+            "bounds.notice_ms", _DEFAULT_BOUNDS.missing_after_s
+        ),
         status_s=fields.number("bounds.status_s", _DEFAULT_BOUNDS.status_s),
         remote_factor=fields.number(
             "bounds.remote_factor", _DEFAULT_BOUNDS.remote_factor
@@ -178,6 +182,8 @@
         restore_s=fields.seconds(
             "bounds.restore_ms", _DEFAULT_BOUNDS.restore_s
         ),
-        impact_s=fields.seconds("bounds.impact_ms", _DEFAULT_BOUNDS.impact_s),
+        max_target_miss_s=fields.seconds(
+            "bounds.impact_ms", _DEFAULT_BOUNDS.max_target_miss_s
+        ),
         pacing_s=fields.seconds("bounds.pacing_ms", _DEFAULT_BOUNDS.pacing_s),
     )
--- a/src/vanillaswitch/protocol/minions.py
+++ b/src/vanillaswitch/protocol/minions.py
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ResponseLost:
+class AnswerLost:
     """Bytes were sent without a complete answer: the request may have run.
 
     Attributes:
@@ -57,7 +57,7 @@
     timed_out: bool
 
 
-SendOutcome = Answered | NotSent | ResponseLost
+SendOutcome = Answered | NotSent | AnswerLost
 
 
 class MinionClient(Protocol):
--- a/src/vanillaswitch/state/deployment.py
+++ b/src/vanillaswitch/state/deployment.py
@@ -32,21 +32,21 @@
     contact_s: float = 3.0
     drain_s: float = 2.0
     grace_s: float = 6.0
-    max_hold_s: float = 10.0
+    max_lease_s: float = 10.0
     stop_s: float = 0.4
     gang_wait_s: float = 3.0
     cancel_s: float = 3.0
-    early_s: float = 0.25
+    max_early_start_s: float = 0.25
     move_s: float = 1.5
-    upkeep_s: float = 2.0
+    maintenance_s: float = 2.0
     fenced: bool = True
     lease_s: float = 3.0
-    notice_s: float = 4.5
+    missing_after_s: float = 4.5
     status_s: float = 120.0
     remote_factor: float = 2.0
     checkpoint_s: float = 0.5
     restore_s: float = 0.6
-    impact_s: float = 4.0
+    max_target_miss_s: float = 4.0
     pacing_s: float = 0.1
 
 
--- a/src/vanillaswitch/transport/minion_http.py
+++ b/src/vanillaswitch/transport/minion_http.py
@@ -123,12 +123,12 @@
 
     def broken(
         self, reason: str, timed_out: bool = False
-    ) -> minions.NotSent | minions.ResponseLost:
+    ) -> minions.NotSent | minions.AnswerLost:
         """Returns what is known when the exchange ended early."""
         if not self._sent:
             return minions.NotSent(reason)
         silent = timed_out and not self._reader.received
-        return minions.ResponseLost(reason, silent)
+        return minions.AnswerLost(reason, silent)
 
     def _send(self, connection: socket.socket, data: bytes) -> None:
         # ``sendall`` does not tell how much had left when it failed. Here
@@ -148,7 +148,7 @@
         # minion names the request that it answers, the name tells them apart.
         named = headers.first(answer.headers, requests.HEADER_REQUEST_ID)
         if named is not None and named != self._request.request_id:
-            return minions.ResponseLost(
+            return minions.AnswerLost(
                 "this answers another request", timed_out=False
             )
         return minions.Answered(answer)
@@ -241,12 +241,12 @@
 
     def _timed_out(
         self, exchange: _Exchange, address: str
-    ) -> minions.NotSent | minions.ResponseLost:
+    ) -> minions.NotSent | minions.AnswerLost:
         outcome = exchange.broken("no whole answer in time", timed_out=True)
         # What lost track of one connection (a firewall that restarted, say)
         # has likely lost track of its neighbours of the same age, and each
         # would cost a request its whole timeout. New ones work.
-        if isinstance(outcome, minions.ResponseLost) and outcome.timed_out:
+        if isinstance(outcome, minions.AnswerLost) and outcome.timed_out:
             self._pool.discard(address)
         return outcome
 
--- a/src/vanillaswitch/transport/page_size.py
+++ b/src/vanillaswitch/transport/page_size.py
@@ -14,7 +14,7 @@
 """How long a page may keep its connection busy beyond the time of an empty
 answer: a quarter of the pause after which an owner is suspect, and more."""
 
-LEAST_ROWS = 10
+MIN_ROWS = 10
 """The first page of a part, and the smallest one: some 7 KB, so that 24 of
 them at once take 0.7 s of a link of 2 Mbit/s."""
 
@@ -33,11 +33,11 @@
             maxlen=_REMEMBERED
         )
 
-    def answered(self, took_s: float) -> None:
+    def record_call(self, took_s: float) -> None:
         """Takes note of how long a call took, whatever it carried."""
         self._times.append(took_s)
 
-    def after(self, rows: int, took_s: float) -> int:
+    def next_limit(self, rows: int, took_s: float) -> int:
         """Returns how many rows to ask for next.
 
         Args:
@@ -49,4 +49,4 @@
         if carried_s <= 0 or not rows:
             return MOST_ROWS
         wanted = rows * PAGE_S / carried_s
-        return max(LEAST_ROWS, min(MOST_ROWS, int(wanted)))
+        return max(MIN_ROWS, min(MOST_ROWS, int(wanted)))
--- a/src/vanillaswitch/transport/platform_caller.py
+++ b/src/vanillaswitch/transport/platform_caller.py
@@ -47,7 +47,7 @@
         sent = self._send("POST", path, wire.encode_call(call))
         if isinstance(sent, minions.NotSent):
             return platform.Unavailable(sent.reason)
-        if isinstance(sent, minions.ResponseLost):
+        if isinstance(sent, minions.AnswerLost):
             return platform.OutcomeUnknown(sent.reason)
         return typed(sent.answer)
 
--- a/src/vanillaswitch/wiring/edge.py
+++ b/src/vanillaswitch/wiring/edge.py
@@ -161,9 +161,9 @@
         config_key=operator_rows.CONFIG_KEY,
         wave_prefix=operator_rows.WAVE_PREFIX,
         status_table=operator_rows.STATUS_TABLE,
-        config=operator_rows.decode_config,
-        wave=operator_rows.decode_wave,
-        wave_status=operator_rows.encode_wave_status,
+        decode_config=operator_rows.decode_config,
+        decode_wave=operator_rows.decode_wave,
+        encode_wave_status=operator_rows.encode_wave_status,
     )
     return operator_table.OperatorTable(table, form, shared, told.emit)
 
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -171,7 +171,7 @@
     result = verdicts.judge(outcome, request)
     told = Told(request.idempotency_key, request.request_id, result)
     if not isinstance(outcome, minions.Answered):
-        cut = isinstance(outcome, minions.ResponseLost)
+        cut = isinstance(outcome, minions.AnswerLost)
         return dataclasses.replace(told, cut=cut, code=outcome.reason)
     answer = outcome.answer
     if result in (verdicts.Result.ANSWERED, verdicts.Result.WRONG):
--- a/standins/model/outside.py
+++ b/standins/model/outside.py
@@ -39,7 +39,7 @@
         self.is_term_over = False
 
     @property
-    def newest_version(self) -> int:
+    def last_written_version(self) -> int:
         """The newest write; a term has one token here."""
         return self.token
 
@@ -116,6 +116,6 @@
         reads_per_s=2000.0,
         machine_orders_per_s=64.0,
         bounds=deployments.Bounds(
-            move_s=scenario.move_s, upkeep_s=scenario.upkeep_s
+            move_s=scenario.move_s, maintenance_s=scenario.upkeep_s
         ),
     )
--- a/standins/model/world.py
+++ b/standins/model/world.py
@@ -399,7 +399,7 @@
             return
         now = self.clock.now
         deadline = None
-        if known.is_adopted:
+        if known.has_reported:
             deadline = int(
                 known.estimated_clock_ms(now) + lease_times.RUN_LEASE_S * 1e3
             )
--- a/standins/slots_entry.py
+++ b/standins/slots_entry.py
@@ -27,7 +27,7 @@
 from vanillaswitch.state import config as config_lib
 from vanillaswitch.state import config_view
 
-_LOST = minions_lib.ResponseLost("no answer in time", timed_out=True)
+_LOST = minions_lib.AnswerLost("no answer in time", timed_out=True)
 _REFUSED = minions_lib.NotSent("refused")
 _ANSWERED = minions_lib.Answered(requests.Answer(200, (), b""))
 ENDED = requests.Refusal(requests.Outcome.NOT_RUN, 503, "ended", "", 1.0)
--- a/standins/verdicts.py
+++ b/standins/verdicts.py
@@ -26,7 +26,7 @@
     """Returns what an entry's answer says of a request."""
     if isinstance(outcome, minions.NotSent):
         return Result.FAILED
-    if isinstance(outcome, minions.ResponseLost):
+    if isinstance(outcome, minions.AnswerLost):
         return Result.UNKNOWN
     answer = outcome.answer
     told = headers.first(answer.headers, requests.HEADER_OUTCOME)
--- a/tests/common/crash_simulation.py
+++ b/tests/common/crash_simulation.py
@@ -238,7 +238,7 @@
     ) -> None:
         known = self.scheduler.instances[name]
         deadline = None
-        if known.is_adopted:
+        if known.has_reported:
             deadline = int(
                 known.estimated_clock_ms(self.now)
                 + lease_times.RUN_LEASE_S * 1000
--- a/tests/common/disruption_simulation.py
+++ b/tests/common/disruption_simulation.py
@@ -379,7 +379,7 @@
         # ones need a new connection, which can't be established.
         is_sent = self._is_reachable(name) or not call.failures
         deadline = None
-        if known.is_adopted:
+        if known.has_reported:
             deadline = int(
                 known.estimated_clock_ms(self.now)
                 + lease_times.RUN_LEASE_S * 1000
--- a/tests/common/owner_histories.py
+++ b/tests/common/owner_histories.py
@@ -378,7 +378,7 @@
             term.scheduler.mark_unresponsive(name, self.now)
             return
         deadline = None
-        if known.is_adopted:
+        if known.has_reported:
             deadline = int(
                 known.estimated_clock_ms(self.now)
                 + lease_times.RUN_LEASE_S * 1000
--- a/tests/common/wave_doubles.py
+++ b/tests/common/wave_doubles.py
@@ -16,7 +16,7 @@
     """Recorder of an owner whose term is confirmed."""
 
     is_term_over = False
-    newest_version = 9
+    last_written_version = 9
 
     def may_operate_machines(self) -> bool:
         """Whether orders for machines may be sent now."""
--- a/tests/cover/test_deployment_command.py
+++ b/tests/cover/test_deployment_command.py
@@ -53,7 +53,8 @@
         """Writes the rows of jobs as the owner of a test day left them."""
         for job in submitted:
             self.put(
-                f"{fenced_writer.JOB_TABLE}/{job.job_id}", job_rows.pack(job)
+                f"{fenced_writer.JOB_TABLE}/{job.job_id}",
+                job_rows.job_to_row(job),
             )
             entry = day.scheduler.tracker.get(job.job_id)
             self.put(
@@ -135,7 +136,11 @@
 
 def test_an_instance_is_shown_with_its_recorded_runs(tmp_path):
     day = _day()
-    task = day.scheduler.tracker.get(_HEALTHY.job_id).open_by_key[0, 0].tasks[0]
+    task = (
+        day.scheduler.tracker.get(_HEALTHY.job_id)
+        .open_steps_by_key[0, 0]
+        .tasks[0]
+    )
     with _open_workstation(tmp_path) as workstation:
         workstation.put_day(day, _HEALTHY, _CRASHING)
         entry = {
--- a/tests/cover/test_document_validation.py
+++ b/tests/cover/test_document_validation.py
@@ -266,9 +266,9 @@
     assert found.ended_runs[0].outcome is fleet.RunOutcome.DONE
 
 
-@given(damaged_documents(job_rows.pack(fleet_builders.job(1))))
+@given(damaged_documents(job_rows.job_to_row(fleet_builders.job(1))))
 def test_any_job_row_is_decoded_or_unusable(document):
-    found = job_rows.unpack(document if isinstance(document, dict) else {})
+    found = job_rows.row_to_job(document if isinstance(document, dict) else {})
     assert isinstance(found, jobs.Job | unusable.Unusable)
 
 
--- a/tests/cover/test_minion_http.py
+++ b/tests/cover/test_minion_http.py
@@ -94,7 +94,7 @@
     client = minion_http.HttpMinionClient(clocks.ManualClock(), small)
     with raw_http.scripted(reply) as (script, address):
         outcome = wire.send(client, address)
-        assert isinstance(outcome, minions.ResponseLost)
+        assert isinstance(outcome, minions.AnswerLost)
         assert not outcome.timed_out
         assert len(script.requests) == 1
 
--- a/tests/cover/test_mover.py
+++ b/tests/cover/test_mover.py
@@ -17,7 +17,7 @@
 @dataclasses.dataclass
 class _Writer:
     is_term_over = False
-    newest_version = 7
+    last_written_version = 7
     is_confirmed = True
 
     def may_operate_machines(self):
@@ -158,7 +158,7 @@
     setup = _Setup(fleet.Accepted(0.0), orders_per_s=30.0)
     setup.reserved = waves.ReservedMachines(
         unavailable=frozenset({"m-0"}),
-        pending=frozenset(f"m-{index}" for index in range(1, 9)),
+        awaiting_maintenance=frozenset(f"m-{index}" for index in range(1, 9)),
     )
     setup.step()
     assert sorted(setup.machines.ordered) == ["m-10", "m-11", "m-9"]
--- a/tests/cover/test_owner_decisions.py
+++ b/tests/cover/test_owner_decisions.py
@@ -109,7 +109,7 @@
     other = jobs.TaskName(fleet_builders.job(3).job_id, 0, 0, 0)
 
     def could_fit(step):
-        return instance.fits_without_short_tasks(
+        return instance.fits_beside_long_running_tasks(
             step, other, job_tracker.task_demand(step), 1.0
         )
 
--- a/tests/cover/test_pacing.py
+++ b/tests/cover/test_pacing.py
@@ -43,7 +43,7 @@
 def test_a_filler_is_sped_up_only_after_a_while_of_low_latency():
     instance, serving, filler = _instance()
     serving.gauge, filler.pace = 20.0, 50
-    instance.below_target_since = 10.0
+    instance.low_latency_since = 10.0
     assert not pacing.plan_paces(instance, 11.0)
     assert pacing.plan_paces(instance, 11.7) == [pacing.PaceOrder(filler, 70)]
 
--- a/tests/cover/test_page_size.py
+++ b/tests/cover/test_page_size.py
@@ -12,15 +12,15 @@
 def test_a_page_is_within_what_the_platform_answers(times, rows, took_s):
     pages = page_size.PageSize()
     for time_s in times:
-        pages.answered(time_s)
-    wanted = pages.after(rows, took_s)
-    assert page_size.LEAST_ROWS <= wanted <= page_size.MOST_ROWS
+        pages.record_call(time_s)
+    wanted = pages.next_limit(rows, took_s)
+    assert page_size.MIN_ROWS <= wanted <= page_size.MOST_ROWS
 
 
 def test_a_slow_link_gets_small_pages():
     pages = page_size.PageSize()
-    pages.answered(0.01)
-    assert pages.after(100, 1.01) == 25
+    pages.record_call(0.01)
+    assert pages.next_limit(100, 1.01) == 25
 
 
 def test_a_store_that_answers_late_on_a_fast_link_gets_large_pages():
@@ -29,5 +29,5 @@
     Each page takes the same 0.3 s then, however small it is.
     """
     pages = page_size.PageSize()
-    pages.answered(0.3)
-    assert pages.after(16, 0.301) == page_size.MOST_ROWS
+    pages.record_call(0.3)
+    assert pages.next_limit(16, 0.301) == page_size.MOST_ROWS
--- a/tests/cover/test_planning_cost.py
+++ b/tests/cover/test_planning_cost.py
@@ -57,8 +57,8 @@
         instances.append(instance)
     wanted = fleet.Resources(*need)
     if any(instance.has_capacity_for(wanted) for instance in instances):
-        assert placement.MaxFree(instances).may_fit(wanted)
+        assert placement.MaxFreeCapacity(instances).may_fit(wanted)
 
 
 def test_nothing_may_fit_in_a_pool_without_instances():
-    assert not placement.MaxFree([]).may_fit(fleet.Resources(0, 0))
+    assert not placement.MaxFreeCapacity([]).may_fit(fleet.Resources(0, 0))
--- a/tests/cover/test_request_handler.py
+++ b/tests/cover/test_request_handler.py
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("silent", [False, True])
 def test_a_charge_that_may_have_run_is_sent_once_and_unknown(silent):
     with request_path_harness.run_request_path(
-        lambda *_: minions.ResponseLost("", silent)
+        lambda *_: minions.AnswerLost("", silent)
     ) as rig:
         reply = rig.charge("k")
         code = "no-answer" if silent else "answer-lost"
@@ -94,7 +94,7 @@
 
 
 def test_the_only_minion_is_retried_within_the_retry_budget():
-    replies = [minions.ResponseLost("", timed_out=True)]
+    replies = [minions.AnswerLost("", timed_out=True)]
 
     def answer(_, request, __):
         return (
@@ -106,7 +106,7 @@
     with request_path_harness.run_request_path(answer, minions_up=1) as rig:
         assert isinstance(rig.handle(), requests.Answer)
         assert rig.minion_client.fresh == [False, True]
-        rig.minion_client.responder = lambda *_: minions.ResponseLost(
+        rig.minion_client.responder = lambda *_: minions.AnswerLost(
             "", timed_out=False
         )
         for _ in range(50):
--- a/tests/cover/test_retry.py
+++ b/tests/cover/test_retry.py
@@ -12,7 +12,7 @@
 _IDEMPOTENT, _ONCE = config.RequestKind
 _OUTCOMES = st.one_of(
     st.builds(minions.NotSent, st.just("refused")),
-    st.builds(minions.ResponseLost, st.just("reset"), st.booleans()),
+    st.builds(minions.AnswerLost, st.just("reset"), st.booleans()),
     st.builds(
         lambda status: minions.Answered(requests.Answer(status, (), b"")),
         st.sampled_from((200, 500, 503)),
--- a/tests/cover/test_spec_table.py
+++ b/tests/cover/test_spec_table.py
@@ -37,7 +37,7 @@
 def _stored_job(table, job):
     """Returns a job as a new owner decodes its row."""
     row = table.read([f"job/{job.job_id}"]).rows[0]
-    return job_rows.unpack(row.value)
+    return job_rows.row_to_job(row.value)
 
 
 def _spec_table(scheduler, table, emitted=None):
@@ -60,8 +60,8 @@
 @given(st.text(st.characters(exclude_categories=["Cs"]), max_size=400))
 def test_a_spec_is_stored_in_one_row_and_read_back_unchanged(spec):
     job = fleet_builders.job(spec=spec)
-    document, spec_row = job_rows.pack(job), job_rows.pack_spec(job)
-    stored = job_rows.unpack(document)
+    document, spec_row = job_rows.job_to_row(job), job_rows.pack_spec(job)
+    stored = job_rows.row_to_job(document)
     if spec_row is None:
         assert stored == job
     else:
@@ -213,7 +213,7 @@
         lambda _: None,
         lambda: None,
     )
-    specs.start_from(5)
+    specs.resume_from(5)
     with pytest.raises(_Stop):
         specs.follow()
     assert [after for after, _ in calls] == [5, 77, 77]
--- a/tests/failures/test_all_processes_lost.py
+++ b/tests/failures/test_all_processes_lost.py
@@ -113,7 +113,9 @@
     elapsed_s = _take_over_time(lambda _: next(answers), closed=True)
     assert (
         elapsed_s
-        <= candidates.HINT_POLL_S + candidates.TAKE_OVER_JITTER_S + 0.01
+        <= candidates.STREAM_CHECK_INTERVAL_S
+        + candidates.TAKE_OVER_JITTER_S
+        + 0.01
     )
 
 
@@ -218,7 +220,7 @@
     [
         (
             errno.ETIMEDOUT,
-            owner_monitor.UNRESPONSIVE_TERM_S
+            owner_monitor.UNRESPONSIVE_TIMEOUT_S
             + candidates.TAKE_OVER_JITTER_S
             + 0.3,
         ),
--- a/tests/failures/test_clock_steps.py
+++ b/tests/failures/test_clock_steps.py
@@ -66,7 +66,7 @@
 
 def _store_job(table, job):
     put = fleet_builders.insertion(
-        f"{fenced_writer.JOB_TABLE}/{job.job_id}", job_rows.pack(job)
+        f"{fenced_writer.JOB_TABLE}/{job.job_id}", job_rows.job_to_row(job)
     )
     table.commit(put)
 
@@ -136,7 +136,7 @@
     _store_cancelled_job(table, job)
     _serve(_owner(table, _SteppedClock()))
     later = _owner(table, _SteppedClock(), _version_of_owner(table))
-    later._outside.time.observe_store_clock(
+    later._dependencies.time.observe_store_clock(
         ownership_terms.STORE_MS + HOUR_S * 1000
     )
     _serve(later)
@@ -159,7 +159,7 @@
     )
     clock.advance(0.2)
     time.add_wall_sample(job.submitted_ms, job.submitted_wall_ms)
-    entry = job_tracker.JobEntry(job, 10.0, time.age_of_s(job.submitted_ms))
+    entry = job_tracker.JobEntry(job, 10.0, time.age_s(job.submitted_ms))
     rank = queue_order.ORDERS.get(queue_order.DEFAULT_ORDER)
     moment = queue_order.PlanTime(10.0, time.wall_now_ms)
     step = next(iter(entry.open_due_steps(moment.wall_ms)))
@@ -227,5 +227,5 @@
     clock = manual.ManualClock()
     time = reference_clock.ReferenceClock(clock)
     assert time.store_now_ms is None
-    assert time.age_of_s(ownership_terms.STORE_MS) == 0.0
+    assert time.age_s(ownership_terms.STORE_MS) == 0.0
     assert time.wall_now_ms == clock.wall() * 1000
--- a/tests/failures/test_crashing_tasks.py
+++ b/tests/failures/test_crashing_tasks.py
@@ -139,7 +139,7 @@
     scheduler.add_job(
         fleet_builders.job(2, (jobs.Step(count=1, cpu=100),)), 1.0
     )
-    scheduler.tracker.get(f"{1:016x}").open_by_key[0, 0].tasks[
+    scheduler.tracker.get(f"{1:016x}").open_steps_by_key[0, 0].tasks[
         0
     ].not_before = 1.55
     (other,) = fleet_builders.plan_batch(scheduler, 1.5).starts
@@ -156,7 +156,7 @@
 def test_a_run_that_its_instance_lists_again_clears_its_task():
     """Otherwise a job fails because an instance was cut off for a while."""
     scheduler = _after_a_crash(jobs.Step(count=1, cpu=100))
-    (task,) = scheduler.tracker.get(f"{1:016x}").open_by_key[0, 0].tasks
+    (task,) = scheduler.tracker.get(f"{1:016x}").open_steps_by_key[0, 0].tasks
     assert task.is_suspect
     scheduler.handle_registration(fleet_builders.registration("i-1"), 1.4)
     row = fleet.RunStatus(task.name, 1, "", 10.0)
@@ -285,7 +285,7 @@
     clock = clocks.ManualClock()
     clock.advance(now)
     writer = types.SimpleNamespace(
-        token=9, is_term_over=False, confirmed_at=clock.monotonic()
+        token=9, is_term_over=False, last_write_sent_at=clock.monotonic()
     )
     upstream = _UnresponsiveUpstream(clock)
     means = instance_client.CallContext(
@@ -311,7 +311,7 @@
     (start,) = fleet_builders.plan_batch(scheduler, 1.5).starts
     upstream, task = _instance_task(scheduler, start.instance, 1.5)
     task._renew_lease(scheduler.instances[start.instance], again=False)
-    assert upstream.waits_s == [crash_evidence.MIN_PROOF_S]
+    assert upstream.waits_s == [crash_evidence.MIN_REQUIRED_RUN_TIME_S]
 
 
 def test_a_gang_with_a_member_that_crashes_its_instance_fails_its_job():
@@ -346,7 +346,7 @@
     simulation.advance(0.1)
     (name,) = {
         simulation.scheduler.tracker.get(job.job_id)
-        .open_by_key[0, 0]
+        .open_steps_by_key[0, 0]
         .tasks[0]
         .instance
         for job in neighbours
@@ -372,7 +372,7 @@
     del row["evidence"]
     entry = job_tracker.JobEntry(scheduler.tracker.get(f"{1:016x}").job, 0.0)
     assert entry.load_document(row) is None
-    assert not entry.open_by_key[0, 0].has_crashed
+    assert not entry.open_steps_by_key[0, 0].has_crashed
 
 
 @pytest.mark.parametrize(
--- a/tests/failures/test_disruption_budget.py
+++ b/tests/failures/test_disruption_budget.py
@@ -255,7 +255,7 @@
         (task,) = (
             task
             for task in scheduler.tracker.get(entry.job.job_id)
-            .open_by_key[0, 0]
+            .open_steps_by_key[0, 0]
             .tasks
             if task.instance == name
         )
--- a/tests/failures/test_failed_rack.py
+++ b/tests/failures/test_failed_rack.py
@@ -16,8 +16,8 @@
 class _Writer:
     is_term_over = False
     token = 9
-    newest_version = 9
-    confirmed_at = 0.0
+    last_written_version = 9
+    last_write_sent_at = 0.0
 
     def may_operate_machines(self):
         return True
--- a/tests/failures/test_forwarded_requests.py
+++ b/tests/failures/test_forwarded_requests.py
@@ -175,7 +175,7 @@
     sender can't know the outcome.
     """
     cut, owner = pair
-    assert cut.forwarder._can_help(owner.address)
+    assert cut.forwarder._peer_reaches_store(owner.address)
     owner.silent = True
     verdict = cut.service.submit(fleet_builders.job(), _deadline())
     assert verdict is job_stores.RequestResult.UNKNOWN
@@ -254,7 +254,9 @@
 def test_a_job_without_its_spec_is_never_accepted(pair):
     """Otherwise a job is accepted from its row alone and can never run."""
     _, owner = pair
-    stored = job_rows.unpack(job_rows.pack(fleet_builders.job(spec="x" * 1000)))
+    stored = job_rows.row_to_job(
+        job_rows.job_to_row(fleet_builders.job(spec="x" * 1000))
+    )
     with pytest.raises(errors.InvariantError):
         owner.service.submit(stored, _deadline())
     assert not owner.table.rows
--- a/tests/failures/test_lease_of_unreachable_instance.py
+++ b/tests/failures/test_lease_of_unreachable_instance.py
@@ -46,7 +46,7 @@
     batch = fleet_builders.plan_batch(scheduler, clock.monotonic())
     fleet_builders.accept_starts(scheduler, batch)
     writer = types.SimpleNamespace(
-        token=9, is_term_over=False, confirmed_at=0.0
+        token=9, is_term_over=False, last_write_sent_at=0.0
     )
     means = instance_client.CallContext(
         scheduler,
@@ -67,7 +67,7 @@
     """Keeps trying to renew the lease for some seconds."""
     until = means.clock.monotonic() + seconds
     while means.clock.monotonic() < until:
-        means.writer.confirmed_at = means.clock.monotonic()
+        means.writer.last_write_sent_at = means.clock.monotonic()
         task._renew_lease(scheduler.instances["i-1"], again=True)
         scheduler.release_expired_leases(means.clock.monotonic())
 
--- a/tests/failures/test_long_take_over.py
+++ b/tests/failures/test_long_take_over.py
@@ -30,7 +30,7 @@
     clock = clocks.ManualClock()
     candidate = ownership_terms.candidate(_Table(), clock)
     writer = fenced_writer.FencedWriter(
-        candidate._outside.table,
+        candidate._dependencies.table,
         clock,
         fenced_writer.OwnerRow("e", "a", "boot-1"),
     )
--- a/tests/failures/test_lost_order_responses.py
+++ b/tests/failures/test_lost_order_responses.py
@@ -183,7 +183,7 @@
         assert entry.ended is not None
         assert not harness.runs()
         assert harness.model.acknowledged == 0
-        harness.task.mark_recorded(
+        harness.task.mark_ends_recorded(
             2, harness.scheduler.instances["i-1"].incarnation
         )
         gevent.sleep(0.5)
@@ -219,7 +219,7 @@
         self._newest = 10
 
     @property
-    def newest_version(self):
+    def last_written_version(self):
         self._newest += 1
         return self._newest
 
--- a/tests/failures/test_lost_store_answers.py
+++ b/tests/failures/test_lost_store_answers.py
@@ -72,7 +72,7 @@
 def _longest_write_s(writer, clock, writes):
     longest = 0.0
     for _ in range(writes):
-        before = writer.confirmed_at
+        before = writer.last_write_sent_at
         writer.write([])
         longest = max(longest, clock.monotonic() - before)
     return longest
--- a/tests/failures/test_minion_connections.py
+++ b/tests/failures/test_minion_connections.py
@@ -60,7 +60,7 @@
                 assert outcome.answer.body == faulty.body(number)
                 assert step.fault not in (Fault.CUT, Fault.LATE)
             elif step.fault is not Fault.LATE:
-                assert isinstance(outcome, minions.ResponseLost)
+                assert isinstance(outcome, minions.AnswerLost)
             if step.fault is Fault.NONE and fresh[number]:
                 assert isinstance(outcome, minions.Answered)
         assert len(script.requests) <= len(plan)
@@ -108,5 +108,5 @@
     with raw_http.scripted(reply) as (script, address):
         for number in (1, 2):
             outcome = wire.send(client, address, f"r-{number}")
-            assert isinstance(outcome, minions.ResponseLost)
+            assert isinstance(outcome, minions.AnswerLost)
             assert script.accepted == number
--- a/tests/failures/test_not_run_guarantee.py
+++ b/tests/failures/test_not_run_guarantee.py
@@ -32,8 +32,8 @@
 
 
 _REFUSED = minions.NotSent("refused")
-_RESET = minions.ResponseLost("reset", timed_out=False)
-_NO_ANSWER = minions.ResponseLost("no answer", timed_out=True)
+_RESET = minions.AnswerLost("reset", timed_out=False)
+_NO_ANSWER = minions.AnswerLost("no answer", timed_out=True)
 _DECLINED = minions.Answered(requests.Answer(503, (), b""))
 _FAULTS = (
     Fault(_REFUSED),
@@ -129,7 +129,7 @@
         # A lost attempt may still run, so its slot stays counted for a while.
         outcomes = (fault.outcome for fault in faults if fault)
         lost_count = sum(
-            isinstance(outcome, minions.ResponseLost) for outcome in outcomes
+            isinstance(outcome, minions.AnswerLost) for outcome in outcomes
         )
         assert sum(rig.handler.in_flight_by_minion.values()) <= lost_count
         rig.clock.advance(slot_allocator.MAX_ABANDONED_S)
--- a/tests/failures/test_partly_unavailable_store.py
+++ b/tests/failures/test_partly_unavailable_store.py
@@ -77,7 +77,7 @@
     feed = _Feed()
     running, waiting = fleet_builders.job(1), fleet_builders.job(2)
     feed.rows["job"] = [
-        change_feeds.RowChange(job.job_id, job_rows.pack(job), 1)
+        change_feeds.RowChange(job.job_id, job_rows.job_to_row(job), 1)
         for job in (waiting, running)
     ]
     feed.rows["progress"] = [
--- a/tests/failures/test_restarted_instance.py
+++ b/tests/failures/test_restarted_instance.py
@@ -97,7 +97,7 @@
     (entry,) = scheduler.tracker.unfinished.values()
     return {
         task.name.index
-        for step in entry.open_by_key.values()
+        for step in entry.open_steps_by_key.values()
         for task in step.waiting_tasks
     }
 
@@ -265,9 +265,11 @@
     assert scheduler.instances["i-1"].incarnation != incarnation
     means = instance_client.CallContext(scheduler, None, None, None, None)
     task = instance_client.InstanceClient(means, "i-1")
-    task.mark_recorded(batch.recorded_ends["i-1"], batch.incarnations["i-1"])
+    task.mark_ends_recorded(
+        batch.recorded_ends["i-1"], batch.incarnations["i-1"]
+    )
     assert task.acknowledged_end(scheduler.instances["i-1"]) == 0
-    task.mark_recorded(1, scheduler.instances["i-1"].incarnation)
+    task.mark_ends_recorded(1, scheduler.instances["i-1"].incarnation)
     assert task.acknowledged_end(scheduler.instances["i-1"]) == 1
 
 
--- a/tests/failures/test_retry_storm.py
+++ b/tests/failures/test_retry_storm.py
@@ -14,8 +14,8 @@
     (
         None,
         minions.NotSent("refused"),
-        minions.ResponseLost("reset", timed_out=False),
-        minions.ResponseLost("no answer", timed_out=True),
+        minions.AnswerLost("reset", timed_out=False),
+        minions.AnswerLost("no answer", timed_out=True),
         minions.Answered(requests.Answer(503, (), b"")),
     )
 )
--- a/tests/failures/test_sent_once.py
+++ b/tests/failures/test_sent_once.py
@@ -42,7 +42,7 @@
     with raw_http.scripted(reply) as (script, address):
         warm(client, address, 4)
         outcome = wire.send(client, address, "charge")
-        assert isinstance(outcome, minions.ResponseLost)
+        assert isinstance(outcome, minions.AnswerLost)
         assert not outcome.timed_out
         assert sum(b": charge\r\n" in one for one in script.requests) == 1
 
@@ -74,7 +74,7 @@
         warm(client, running.address, 3)
         running.switch(reset_next=1, unlucky_run=ran)
         outcome = wire.send(client, running.address)
-        assert isinstance(outcome, minions.ResponseLost)
+        assert isinstance(outcome, minions.AnswerLost)
         assert not outcome.timed_out
         assert running.received == 4
         assert running.by_request["r-1"] == int(ran)
@@ -93,7 +93,7 @@
         warm(client, running.address, 3)
         running.switch(silent_next=1)
         outcome = wire.send(client, running.address, "q", SOON_S)
-        assert outcome == minions.ResponseLost(
+        assert outcome == minions.AnswerLost(
             "no whole answer in time", timed_out=True
         )
         running.wait_for_received(4)
@@ -142,7 +142,7 @@
     monkeypatch.setattr(sockets, "connect", lambda *_: mine)
     request = wire.request_of(method="POST", body=b"x" * 10_000_000)
     outcome = wire.send(client, "127.0.0.1:1", request, SOON_S)
-    assert outcome == minions.ResponseLost(
+    assert outcome == minions.AnswerLost(
         "no whole answer in time", timed_out=True
     )
     theirs.close()
@@ -158,7 +158,7 @@
     theirs.sendall(b"HTTP/1.1 200 OK\r\n")
     monkeypatch.setattr(sockets, "connect", lambda *_: mine)
     outcome = wire.send(client, "127.0.0.1:1", "r", SOON_S)
-    assert outcome == minions.ResponseLost(
+    assert outcome == minions.AnswerLost(
         "no whole answer in time", timed_out=False
     )
     theirs.close()
--- a/tests/failures/test_silent_store.py
+++ b/tests/failures/test_silent_store.py
@@ -165,7 +165,7 @@
         del address, method, target, data, headers, fresh
         if self.silent:
             gevent.sleep(timeout_s)
-            return minions.ResponseLost("silent", True)
+            return minions.AnswerLost("silent", True)
         body = b'{"rows": [], "row_version": 7, "now_ms": 1}'
         return minions.Answered(requests.Answer(200, (), body))
 
--- a/tests/failures/test_slow_link.py
+++ b/tests/failures/test_slow_link.py
@@ -48,7 +48,7 @@
         job = fleet_builders.job(number, spec="x" * SPEC_BYTES)
         ended = {"ended": jobs.JobState.COMPLETED.value, "started": True}
         rows["job"].append(
-            change_feeds.RowChange(job.job_id, job_rows.pack(job), number)
+            change_feeds.RowChange(job.job_id, job_rows.job_to_row(job), number)
         )
         rows["progress"].append(
             change_feeds.RowChange(job.job_id, ended, number)
--- a/tests/failures/test_specs_of_a_new_owner.py
+++ b/tests/failures/test_specs_of_a_new_owner.py
@@ -55,7 +55,7 @@
         job = fleet_builders.job(number, spec=_LONG_SPEC)
         job_store.submit(job, 10.0)
         row = table.read([f"job/{job.job_id}"]).rows[0]
-        scheduler.add_job(job_rows.unpack(row.value), 0.0)
+        scheduler.add_job(job_rows.row_to_job(row.value), 0.0)
     fleet_builders.plan_batch(scheduler)
     assert len(scheduler.jobs_without_spec) == _JOBS
     clock = _PauseCounter(scheduler)
--- a/tests/failures/test_unlisted_instance.py
+++ b/tests/failures/test_unlisted_instance.py
@@ -16,7 +16,7 @@
 class _Writer:
     is_term_over = False
     token = 9
-    confirmed_at = 0.0
+    last_write_sent_at = 0.0
 
 
 class _Upstreams:
@@ -70,7 +70,7 @@
     gevent.sleep(2 * instance_client.RETRY_PAUSE_S + 0.1)
     greenlet.kill()
     assert "" not in upstreams.addresses
-    assert scheduler.instances["i-1"].is_adopted
+    assert scheduler.instances["i-1"].has_reported
     assert scheduler.instances["i-1"].runs[start.task, start.run].confirmed
 
 
@@ -103,7 +103,7 @@
     scheduler.handle_registration(fleet_builders.registration("i-1"), 2.0)
     tasks.start_missing()
     gevent.sleep(0.2)
-    assert scheduler.instances["i-1"].is_adopted
+    assert scheduler.instances["i-1"].has_reported
     scheduler.remove_instance("i-1", 3.0, "the test ends")
 
 
@@ -121,7 +121,7 @@
     upstreams.renew_lease = working
     tasks.start_missing()
     gevent.sleep(0.2)
-    assert scheduler.instances["i-1"].is_adopted
+    assert scheduler.instances["i-1"].has_reported
     scheduler.remove_instance("i-1", 3.0, "the test ends")
 
 
--- a/tests/failures/test_unresponsive_connection.py
+++ b/tests/failures/test_unresponsive_connection.py
@@ -17,7 +17,7 @@
         if rig.minion_client.fresh[-1]:
             return request_path_harness.echo_answer(request)
         rig.clock.advance(timeout_s)
-        return minions.ResponseLost("no answer", timed_out=True)
+        return minions.AnswerLost("no answer", timed_out=True)
 
     with request_path_harness.run_request_path(
         answer_on_new_connections
@@ -38,7 +38,7 @@
 
     def lose_answers_of_m0(minion, request, __):
         if minion.instance == "m0" and not rig.minion_client.fresh[-1]:
-            return minions.ResponseLost("no answer", timed_out=True)
+            return minions.AnswerLost("no answer", timed_out=True)
         return request_path_harness.echo_answer(request)
 
     with request_path_harness.run_request_path(lose_answers_of_m0) as rig:
--- a/tests/failures/test_unusable_rows.py
+++ b/tests/failures/test_unusable_rows.py
@@ -201,7 +201,7 @@
     ):
         feed = _Feed(_rows([VALID_ENTRY]))
         feed.rows["job"] = [
-            change_feeds.RowChange(job.job_id, job_rows.pack(job), 1),
+            change_feeds.RowChange(job.job_id, job_rows.job_to_row(job), 1),
             change_feeds.RowChange("other", {"steps": 3}, 2),
             _damaged("third"),
         ]
@@ -214,7 +214,7 @@
         )
         assert not fleet_builders.plan_batch(scheduler).starts
         assert job.job_id in scheduler.unreadable_jobs
-        assert not owner._job_tables.take_orphans()
+        assert not owner._job_tables.take_orphan_entries()
 
 
 def test_runs_of_a_job_whose_row_was_overwritten_are_not_stopped():
@@ -244,7 +244,7 @@
     assert not owner.scheduler.take_stops()
     owner._job_tables._on_jobs([_damaged(job.job_id)])
     assert job.job_id in owner.scheduler.unreadable_jobs
-    assert not owner._job_tables.take_orphans()
+    assert not owner._job_tables.take_orphan_entries()
 
 
 def test_a_known_job_continues_when_its_row_is_overwritten():
@@ -252,7 +252,7 @@
     job = fleet_builders.job(1)
     feed = _Feed(_rows([VALID_ENTRY]))
     feed.rows["job"] = [
-        change_feeds.RowChange(job.job_id, job_rows.pack(job), 1)
+        change_feeds.RowChange(job.job_id, job_rows.job_to_row(job), 1)
     ]
     owner = _begin_term(feed)
     assert owner.load()
@@ -266,7 +266,7 @@
     job = fleet_builders.job(1)
     feed = _Feed(_rows([VALID_ENTRY]))
     feed.rows["job"] = [
-        change_feeds.RowChange(job.job_id, job_rows.pack(job), 1)
+        change_feeds.RowChange(job.job_id, job_rows.job_to_row(job), 1)
     ]
     feed.rows["cancel"] = [_damaged(job.job_id)]
     owner = _begin_term(feed)
