--- a/src/vanillaswitch/coordination/fleet/instances/status_reports.py
+++ b/src/vanillaswitch/coordination/fleet/instances/status_reports.py
@@ -165,7 +165,7 @@
                 run_status.task,
                 run_status.run,
                 now,
-                "listed, not in the book",
+                "reported, but not a current run of a known job",
             )
             self._pending_stops.append(
                 term_state.StopOrder(
--- a/tests/cover/test_stop_events.py
+++ b/tests/cover/test_stop_events.py
@@ -63,7 +63,8 @@
     kept = fleet_builders.fleet.RunStatus(run.task, run.run, "", 100.0)
     fleet_builders.report_running(scheduler, {"i-1": [kept, row]})
     (stop,) = _stops(emitted)
-    assert (stop.job, stop.why) == (other.job_id, "listed, not in the book")
+    assert stop.job == other.job_id
+    assert stop.why == "reported, but not a current run of a known job"
 
 
 def test_a_stop_event_of_a_short_task_states_no_budget():
--- a/tests/failures/test_disruption_budget.py
+++ b/tests/failures/test_disruption_budget.py
@@ -228,7 +228,8 @@
     The previous owner considered their runs ended and recorded new ones on the
     same instances, which it could not reach. The instances report to the next
     owner that the former runs go on. In a randomized simulation it stopped
-    one, as "not in the book", while four tasks were unavailable.
+    one, as "reported, but not a current run of a known job", while four tasks
+    were unavailable.
     """
     before = _serving()
     for name in _SPARE:
