--- a/src/vanillaswitch/coordination/configuration/rollout.py
+++ b/src/vanillaswitch/coordination/configuration/rollout.py
@@ -54,8 +54,8 @@
     Attributes:
         number: of the accepted configuration.
         digest: of the accepted configuration.
-        in_force: newest number in the head; higher than ``number`` if another
-            configuration was accepted since.
+        newest_number: newest number in the head; higher than ``number`` if
+            another configuration was accepted since.
     """
 
     number: int
--- a/src/vanillaswitch/coordination/control/controller.py
+++ b/src/vanillaswitch/coordination/control/controller.py
@@ -58,10 +58,10 @@
         rng: for ids and random choices.
         config: the configuration in force.
         broadcast: sends a message with soft state to every peer.
-        memory: soft state of this duty in this process; empty at the start
+        soft_state: soft state of this duty in this process; empty at the start
             of each epoch, never shared between duties.
-        drop: releases the duty of a fence after a write was rejected.
-        leased: returns whether the session lease is still held; to be called
+        release_duty: releases the duty of a fence after a write was rejected.
+        has_lease: returns whether the session lease is still held; to be called
             right before a message that must not be sent after its expiry.
     """
 
--- a/src/vanillaswitch/coordination/entry/class_queues.py
+++ b/src/vanillaswitch/coordination/entry/class_queues.py
@@ -21,10 +21,11 @@
     """A request that waits for a slot.
 
     Attributes:
-        ticket: number of the request, unique in this process and increasing.
+        request_number: number of the request, unique in this process and
+            increasing.
         class_name: name of the request class.
         definition: configuration of the request class.
-        arrived: monotonic seconds.
+        arrived_at: monotonic seconds.
         deadline: monotonic seconds.
     """
 
--- a/src/vanillaswitch/coordination/fleet/machines/waves.py
+++ b/src/vanillaswitch/coordination/fleet/machines/waves.py
@@ -56,7 +56,8 @@
 
     Attributes:
         unavailable: machines that are draining, or may be in maintenance.
-        pending: machines of waves whose maintenance was not ordered yet.
+        awaiting_maintenance: machines of waves whose maintenance was not
+            ordered yet.
     """
 
     unavailable: frozenset[str] = frozenset()
--- a/src/vanillaswitch/coordination/fleet/operator_table.py
+++ b/src/vanillaswitch/coordination/fleet/operator_table.py
@@ -29,9 +29,9 @@
         config_key: key of the configuration row.
         wave_prefix: prefix of the keys of rows of waves.
         status_table: table of the wave statuses that operators read.
-        config: parses the configuration row.
-        wave: parses the row of a wave, given its key and content.
-        wave_status: builds the status of a wave, given whether it is
+        decode_config: parses the configuration row.
+        decode_wave: parses the row of a wave, given its key and content.
+        encode_wave_status: builds the status of a wave, given whether it is
             completed.
     """
 
--- a/src/vanillaswitch/coordination/fleet/ownership/fenced_writer.py
+++ b/src/vanillaswitch/coordination/fleet/ownership/fenced_writer.py
@@ -147,9 +147,9 @@
     def last_write_answered_at(self) -> float:
         """Monotonic seconds when the last successful write was answered.
 
-        Use it to tell whether the store still answers. ``confirmed_at`` can't
-        tell: if each write takes a second, the last successful one was sent up
-        to two seconds ago.
+        Use it to tell whether the store still answers. ``last_write_sent_at``
+        can't tell: if each write takes a second, the last successful one was
+        sent up to two seconds ago.
         """
         return self._last_write_answered_at
 
--- a/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
+++ b/src/vanillaswitch/coordination/fleet/queue/crash_evidence.py
@@ -8,7 +8,7 @@
 
 A task that may be the cause (see ``is_suspect``) is a suspect and runs in
 isolation: nothing else starts on its instance. Once a run of it has lasted for
-``required_proof_s``, the run is proven: it did not crash its instance by
+``required_run_time_s``, the run is proven: it did not crash its instance by
 starting there. If it lasts still longer, fewer or none of the earlier crashes
 count against the task (see ``remaining_crashes``).
 """
@@ -26,8 +26,9 @@
             no other instance was lost at that moment without a cause of its
             own.
         NEW_RUN: the run had just started there.
-        PROVEN_RUN: the run had lasted for at least ``MIN_PROOF_S``, even if
-            ``required_proof_s`` is longer.
+        OLDER_RUN: the run had lasted for at least
+            ``MIN_REQUIRED_RUN_TIME_S``, even if ``required_run_time_s`` is
+            longer.
         UNCERTAIN: it is unknown whether or when the run started, or whether the
             instance crashed at all.
     """
@@ -47,13 +48,14 @@
 task lasted before its instance crashed."""
 
 MAX_REQUIRED_RUN_TIME_S = 2.0
-"""Upper limit of ``required_proof_s``, and so of the time for which nothing
+"""Upper limit of ``required_run_time_s``, and so of the time for which nothing
 else starts beside a suspect task."""
 
 DROP_ALL_CRASHES_AFTER_S = 10.0
 """Run time after which no earlier crash counts against a task any more.
-Crashes of other kinds than ``PROVEN_RUN`` stop counting after ``MAX_PROOF_S``,
-because a task that crashes its instances as it starts does so by then."""
+Crashes of other kinds than ``OLDER_RUN`` stop counting after
+``MAX_REQUIRED_RUN_TIME_S``, because a task that crashes its instances as it
+starts does so by then."""
 
 MAX_SOLE_CAUSE_CRASHES = 2
 MAX_NEW_RUN_CRASHES = 3
@@ -62,11 +64,10 @@
 """Number of crashes at which the job of a task fails.
 
 The first two limits count crashes of runs that had just started, after the last
-crash of kind ``PROVEN_RUN``. The first one applies if one of them is of kind
-``SOLE_NEW_RUN``.
-The third limit counts all crashes at which the task certainly ran, and the last
-one also those at which it may have run. The requirements allow at most two
-starts after the third crash."""
+crash of kind ``OLDER_RUN``. The first one applies if one of them is of kind
+``SOLE_NEW_RUN``. The third limit counts all crashes at which the task certainly
+ran, and the last one also those at which it may have run. The requirements
+allow at most two starts after the third crash."""
 
 EXTRA_CRASHES_LONG_RUNNING = 1
 """The job of a long-running task fails after this many more crashes. The task
@@ -132,7 +133,7 @@
 
 
 def _last_proven_index(kinds: Sequence[CrashKind]) -> int:
-    """Returns the index of the last ``PROVEN_RUN``; -1 for none."""
+    """Returns the index of the last ``OLDER_RUN``; -1 for none."""
     proven = [
         index for index, kind in enumerate(kinds) if kind is CrashKind.OLDER_RUN
     ]
--- a/src/vanillaswitch/coordination/fleet/queue/instance_state.py
+++ b/src/vanillaswitch/coordination/fleet/queue/instance_state.py
@@ -41,11 +41,11 @@
 
     Attributes:
         demand: the resources that it reserves.
-        sent: its start was recorded and may be sent.
+        is_start_sent: its start was recorded and may have been sent.
         confirmed: the instance has accepted the start or reports the run.
         has_unanswered_start: a copy of its start was sent and got no answer.
-        inherited: an earlier owner decided to start it, and no instance has
-            reported it to this owner yet.
+        awaits_first_report: an earlier owner decided to start it, and no
+            instance has reported it to this owner yet.
         may_be_stopping: an earlier owner may have ordered its stop. Its
             instance would report it as running until it has stopped.
         has_unknown_demand: its job's row can't be read, because a part of the
@@ -68,9 +68,9 @@
         checkpoint: newest reported checkpoint.
         is_isolated: its task is suspected of crashing instances, so nothing
             else starts on its instance until it is proven.
-        is_cleared: no earlier crashes count against its task any more.
-        required_proof_s: how long it has to last to be proven. A proven run did
-            not crash its instance by starting; see ``crash_evidence``.
+        crashes_cleared: no earlier crashes count against its task any more.
+        required_run_time_s: how long it has to last to be proven. A proven run
+            did not crash its instance by starting; see ``crash_evidence``.
         started_before_term: it started before this owner first learned of it.
         is_start_unsent: the last attempt to send its start failed without
             sending anything.
@@ -126,7 +126,7 @@
 
     @property
     def is_proven(self) -> bool:
-        """Whether it has lasted for ``required_proof_s``."""
+        """Whether it has lasted for ``required_run_time_s``."""
         if self.started_at is None:
             return False
         return self.run_time_s >= self.required_run_time_s
@@ -182,9 +182,9 @@
             its runs.
         last_contact_at: monotonic seconds of its last status report.
         runs: the runs that reserve resources on it.
-        is_adopted: its current incarnation has answered this owner. From then
+        has_reported: its current incarnation has answered this owner. From then
             on it rejects the orders of earlier owners.
-        adopted_at: monotonic seconds of its first answer to this owner.
+        first_report_at: monotonic seconds of its first answer to this owner.
         is_unresponsive: it does not answer.
         has_unanswered_call: a call to it got no answer, and it has not reported
             since.
@@ -203,7 +203,7 @@
         speed_samples: number of samples in ``relative_speed``.
         is_straggler: it is slow compared with its pool.
         last_paced_at: when the pace of filler tasks on it last changed.
-        below_target_since: since when the tail latency of all its serving tasks
+        low_latency_since: since when the tail latency of all its serving tasks
             has been low compared with their targets.
         lease_expires_at: monotonic seconds at which its lease expires, unless
             it is renewed. All its runs have ended by then. Calls in progress
--- a/src/vanillaswitch/coordination/maintenance/decision_records.py
+++ b/src/vanillaswitch/coordination/maintenance/decision_records.py
@@ -90,7 +90,7 @@
 
     Args:
         decisions: new decisions, oldest first.
-        found: the existing rows of ``keys_of(decisions)``.
+        found: the existing rows of ``history_keys(decisions)``.
     """
     by_key = {row.key: row for row in found}
     by_subject: dict[str, list[Decision]] = {}
--- a/src/vanillaswitch/coordination/maintenance/fleet_cache.py
+++ b/src/vanillaswitch/coordination/maintenance/fleet_cache.py
@@ -44,7 +44,7 @@
     """Rows and list as last read; soft state of one process.
 
     Attributes:
-        meter: throttle that counts what the duties read.
+        read_throttle: throttle that counts what the duties read.
     """
 
     def __init__(self) -> None:
--- a/src/vanillaswitch/coordination/maintenance/fleet_state.py
+++ b/src/vanillaswitch/coordination/maintenance/fleet_state.py
@@ -62,7 +62,7 @@
     """All members, budgets and waves, by name.
 
     Attributes:
-        strangers: listed minions and workers that have no pool yet.
+        unassigned: listed minions and workers that have no pool yet.
     """
 
     members: Mapping[str, Member]
--- a/src/vanillaswitch/coordination/maintenance/move_planner.py
+++ b/src/vanillaswitch/coordination/maintenance/move_planner.py
@@ -24,7 +24,7 @@
         name: its name.
         rack: its failure domain.
         tasks: number of tasks that run on it.
-        movable: whether it is up and has no operation in progress.
+        is_movable: whether it is up and has no operation in progress.
     """
 
     name: str
--- a/src/vanillaswitch/coordination/maintenance/pool_step.py
+++ b/src/vanillaswitch/coordination/maintenance/pool_step.py
@@ -34,7 +34,7 @@
     Attributes:
         service: the service whose pools are managed.
         fleet: the members that this step decides on, with their statuses.
-        whole: all members, without statuses.
+        full_fleet: all members, without statuses.
         config: the configuration in force.
         moves_to_begin: moves to begin, as planned by ``plan_moves``.
         lost: workers that have been down so long that their pool needs a
--- a/src/vanillaswitch/coordination/maintenance/spare_capacity.py
+++ b/src/vanillaswitch/coordination/maintenance/spare_capacity.py
@@ -23,10 +23,10 @@
 
     Attributes:
         service: the service.
-        pools: number of its pools.
-        by_rack: number of its workers in each rack.
-        allowed: number of its workers that may be down.
-        planned: number of its workers that are down for maintenance.
+        pool_count: number of its pools.
+        workers_by_rack: number of its workers in each rack.
+        max_down: number of its workers that may be down.
+        in_maintenance: number of its workers that are down for maintenance.
     """
 
     service: str
--- a/src/vanillaswitch/coordination/once/claim_records.py
+++ b/src/vanillaswitch/coordination/once/claim_records.py
@@ -52,7 +52,7 @@
     """One claim as its holder knows it.
 
     Attributes:
-        ticket: identifies this attempt; empty until the claim is granted.
+        claim_id: identifies this attempt; empty until the claim is granted.
         version: version of the row that the next write expects.
     """
 
--- a/src/vanillaswitch/coordination/peering/heartbeat_sender.py
+++ b/src/vanillaswitch/coordination/peering/heartbeat_sender.py
@@ -31,7 +31,7 @@
     Attributes:
         config_version: number of the configuration in force.
         view_version: version of the drains in the fleet view.
-        leaving: whether the process is shutting down.
+        is_leaving: whether the process is shutting down.
         loads: own requests in flight by minion instance.
     """
 
--- a/src/vanillaswitch/coordination/workloads/placement_soft_state.py
+++ b/src/vanillaswitch/coordination/workloads/placement_soft_state.py
@@ -29,10 +29,10 @@
 
     Attributes:
         taken_at: when the duty was taken.
-        operations: operations whose leases are renewed, by worker, as last
-            read from the table.
+        operations_by_worker: operations whose leases are renewed, as last read
+            from the table.
         last_answer_at: by worker, when it last accepted a renewal or a start.
-        sent: by worker, when a renewal was last sent to it.
+        renewal_sent_at: by worker, when a renewal was last sent to it.
         start_sent_at: by operation, when its start was first sent.
         last_reported_at: by operation, when it was last reported as running.
         confirmed_starts: operations that a worker accepted or reported.
@@ -46,7 +46,7 @@
         waits: why jobs wait, by job.
         snapshot: the last one; its unchanged rows are not parsed again.
         config: the configuration that the last planning pass used.
-        turned: when the last planning pass began; None before the first.
+        last_pass_at: when the last planning pass began; None before the first.
         is_busy: whether the last pass left work that must not wait.
     """
 
--- a/src/vanillaswitch/protocol/claims.py
+++ b/src/vanillaswitch/protocol/claims.py
@@ -11,7 +11,7 @@
     """The request is claimed for this process, which may send it once.
 
     Attributes:
-        ticket: id of the claim, to pass to the call that closes it.
+        claim_id: id of the claim, to pass to the call that closes it.
     """
 
     claim_id: str
--- a/src/vanillaswitch/protocol/minions.py
+++ b/src/vanillaswitch/protocol/minions.py
@@ -18,7 +18,7 @@
         instance: name in the platform's list of instances.
         address: "ip:port".
         slots: maximum number of concurrent requests, over all entries.
-        connections: maximum number of connections, over all entries.
+        max_connections: maximum number of connections, over all entries.
     """
 
     instance: str
@@ -49,7 +49,7 @@
     """Bytes were sent without a complete answer: the request may have run.
 
     Attributes:
-        silent: the attempt timed out without a single byte of an answer.
+        timed_out: the attempt timed out without a single byte of an answer.
             False after a reset or a truncated answer.
     """
 
--- a/src/vanillaswitch/protocol/requests.py
+++ b/src/vanillaswitch/protocol/requests.py
@@ -21,7 +21,7 @@
     The transport has already checked its framing and its size.
 
     Attributes:
-        received: monotonic time in seconds at which its head was read.
+        received_at: monotonic time in seconds at which its head was read.
     """
 
     method: str
@@ -44,7 +44,8 @@
         target: path and query as the caller sent them.
         headers: end-to-end headers to forward to the minion.
         deadline: monotonic time in seconds on this process's clock.
-        key: idempotency key; empty if the caller sent none.
+        idempotency_key: names the operation across attempts; empty if the
+            caller sent none.
         issued_ms: when the caller first issued the request under its key,
             milliseconds since the Unix epoch; 0 without a key.
     """
--- a/src/vanillaswitch/state/deployment.py
+++ b/src/vanillaswitch/state/deployment.py
@@ -11,21 +11,22 @@
         contact_s: a machine undisturbed for so long has to meet all bounds.
         drain_s: time in which a draining instance must get no more work.
         grace_s: time from a request to stop until the process is killed.
-        max_hold_s: longest lease that an instance grants what runs on it.
+        max_lease_s: longest lease that an instance grants what runs on it.
         stop_s: longest time that an instance takes to stop a run.
         gang_wait_s: how long a member of a gang waits for the others.
         cancel_s: time in which a cancelled job must be gone.
-        early_s: how much before its time an occurrence may start.
+        max_early_start_s: how much before its time an occurrence may start.
         move_s: time that a machine is away when it changes its pool.
-        upkeep_s: time that a machine's upkeep takes.
+        maintenance_s: time that the maintenance of a machine takes.
         fenced: the platform checks fencing tokens of orders for machines.
         lease_s: shortest time between orders of two owners in turn.
-        notice_s: a lasting task away for so long counts as missing.
+        missing_after_s: a long-running task that is unavailable for so long
+            counts as missing.
         status_s: how long the state of an ended job can be asked for.
         remote_factor: how many times longer a task takes away from its data.
         checkpoint_s: work between two checkpoints.
         restore_s: time that resuming from a checkpoint takes.
-        impact_s: longest time that a serving task may miss its target.
+        max_target_miss_s: longest time that a serving task may miss its target.
         pacing_s: time until a pace takes effect.
     """
 
