--- a/tests/stories/test_larkspur.py
+++ b/tests/stories/test_larkspur.py
@@ -73,7 +73,7 @@
 def _(wave, phases):
     assert not phases
     wave.write_instance_rows()
-    wave.hold()
+    wave.wait_for_duty()
     wave.start()
 
 
